--- a/packages/router/src/connection/neighbourhood.ts
+++ b/packages/router/src/connection/neighbourhood.ts
@@ -57,7 +57,7 @@
  * read; after a while some daemons enter themselves there to be found, and some
  * watch it for all.
  */
-export class Neighbourhood {
+export class FleetSync {
   readonly #own: Contact;
   readonly #known: SharedKnowledge;
   readonly #gate = new StartGate();
--- a/packages/router/src/leadership.ts
+++ b/packages/router/src/leadership.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { SYSTEM_CLOCK } from "@umbermast/coordination/clock";
-import type { Neighbourhood } from "./connection/neighbourhood.ts";
+import type { FleetSync } from "./connection/neighbourhood.ts";
 import type { LeaderKnowledge } from "./connection/told_news.ts";
 import { Autoscaler } from "./process/autoscaler.ts";
 import type { AutoscalerSources } from "./process/autoscaler.ts";
@@ -32,7 +32,7 @@
   readonly own: Contact;
   readonly log: EventLog;
   readonly metrics: LeaderMetrics;
-  readonly neighbourhood: () => Neighbourhood;
+  readonly neighbourhood: () => FleetSync;
   /** In [0, 1). */
   readonly random: () => number;
 }
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -9,7 +9,7 @@
 import { CallerServer, listen } from "./connection/caller_server.ts";
 import { CrashWatch } from "./connection/crash_watch.ts";
 import type { BrokenRun } from "./connection/crash_watch.ts";
-import { Neighbourhood } from "./connection/neighbourhood.ts";
+import { FleetSync } from "./connection/neighbourhood.ts";
 import type { SharedStore } from "./connection/neighbourhood.ts";
 import { TcpPeerNetwork } from "./connection/peer_network.ts";
 import { RunnerConnections } from "./connection/runner_connections.ts";
@@ -101,7 +101,7 @@
   );
   readonly #paces = new PerService(() => new StreamPace());
   readonly #limitWaits = new PerService(() => new LimitWaits());
-  readonly #neighbourhood: Neighbourhood;
+  readonly #neighbourhood: FleetSync;
   readonly #leadership: Leadership;
   readonly #survey: MemorySurvey;
   readonly #restarts: RestartWatch;
@@ -144,7 +144,7 @@
       random: () => this.random(),
     });
     const { time, usage, lease } = this.#leadership;
-    this.#neighbourhood = new Neighbourhood({
+    this.#neighbourhood = new FleetSync({
       time,
       usage,
       lease,
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -6,7 +6,7 @@
 import type { Buffer } from "node:buffer";
 import { decodeItem } from "@umbermast/coordination/codec";
 import { LENGTH_BYTES } from "@umbermast/coordination/frame_bytes";
-import { Neighbourhood } from "../src/connection/neighbourhood.ts";
+import { FleetSync } from "../src/connection/neighbourhood.ts";
 import type { SharedStore } from "../src/connection/neighbourhood.ts";
 import { unpackMessage } from "../src/connection/peer_encoding.ts";
 import { encodeMessage } from "../src/connection/peer_link.ts";
@@ -321,7 +321,7 @@
   /** Names of daemons that nothing from here reaches. */
   readonly deafTo = new Set<string>();
   accept: ((opening: LinkOpening) => void) | undefined;
-  readonly neighbourhood: Neighbourhood;
+  readonly neighbourhood: FleetSync;
   /** Mbit/s of what it sends on all its links together. */
   readonly #sendMbps: number;
   #sendsUntil = 0;
@@ -373,7 +373,7 @@
       log,
       metrics: { term() {}, usageWindow() {}, platformCall() {} },
     });
-    this.neighbourhood = new Neighbourhood({
+    this.neighbourhood = new FleetSync({
       loads: this.loads,
       prefixes: this.prefixes,
       crashes: this.crashes,
