--- a/packages/router/src/connection/neighbourhood.ts
+++ b/packages/router/src/connection/neighbourhood.ts
@@ -142,7 +142,7 @@
   }
 
   /** Whether all daemons are heard of that there were lately. */
-  get hearsAll(): boolean {
+  get seesWholeFleet(): boolean {
     return this.#sharing.hearsAll;
   }
 
--- a/packages/router/src/leadership.ts
+++ b/packages/router/src/leadership.ts
@@ -107,7 +107,7 @@
       usage: meter && timing && {
         meter,
         timing,
-        complete: () => neighbourhood().hearsAll,
+        complete: () => neighbourhood().seesWholeFleet,
       },
       demand: ordersRunners ? new Autoscaler(made.parts) : undefined,
       eligible: () => neighbourhood().mayLead,
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -362,7 +362,7 @@
       usage: {
         meter: this.usage,
         timing: { windowMs: WINDOW_MS, delayMs: REPORT_DELAY_MS },
-        complete: () => this.neighbourhood.hearsAll,
+        complete: () => this.neighbourhood.seesWholeFleet,
       },
       demand: undefined,
       eligible: () => this.neighbourhood.mayLead,
