--- a/packages/router/src/connection/neighbourhood.ts
+++ b/packages/router/src/connection/neighbourhood.ts
@@ -143,7 +143,7 @@
 
   /** Whether all daemons are heard of that there were lately. */
   get seesWholeFleet(): boolean {
-    return this.#sharing.hearsAll;
+    return this.#sharing.seesWholeFleet;
   }
 
   /** Others should hear of the leader's lease. */
--- a/packages/router/src/connection/sharing.ts
+++ b/packages/router/src/connection/sharing.ts
@@ -146,7 +146,7 @@
   }
 
   /** Whether all daemons are heard of that there were lately. */
-  get hearsAll(): boolean {
+  get seesWholeFleet(): boolean {
     const { fleet } = this.#counts.sumBy(() => true);
     return fleet >= this.#counts.recent(performance.now()).fleet;
   }
