--- a/packages/router/src/connection/neighbourhood.ts
+++ b/packages/router/src/connection/neighbourhood.ts
@@ -126,7 +126,7 @@
   }
 
   /** Milliseconds in which all daemons know of a request that waits here. */
-  get settleMs(): number {
+  get propagationMs(): number {
     return this.#sharing.settleMs;
   }
 
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -222,7 +222,7 @@
   }
 
   settleMs(): number {
-    return this.#neighbourhood.settleMs;
+    return this.#neighbourhood.propagationMs;
   }
 
   pace(service: string): StreamPace {
