--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -50,7 +50,7 @@
   /** Connections that this daemon may have to one runner of a service. */
   connectionShare(service: Service): number;
   /** Milliseconds in which a change here is known to all other daemons. */
-  settleMs(): number;
+  propagationMs(): number;
   /** A connection to a runner broke while a request was there. */
   connectionBroke(runner: Runner, run: BrokenRun): void;
   /** How fast the runners of a service make tokens. */
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -228,7 +228,7 @@
     until: number,
   ): Promise<void> {
     const { pulse, loads } = this.#daemon;
-    const settleMs = this.#daemon.settleMs();
+    const settleMs = this.#daemon.propagationMs();
     const late = this.#daemon.now() > this.#turn.startBy;
     const spanMs = Math.max(
       reviewMs(loads.waiting, settleMs),
@@ -248,7 +248,7 @@
   #maySend(wait: RoomWait, runner: Runner): boolean {
     return wait.maySend(this.#daemon.loads.of(runner.id), {
       now: this.#daemon.now(),
-      settleMs: this.#daemon.settleMs(),
+      settleMs: this.#daemon.propagationMs(),
     });
   }
 
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -221,7 +221,7 @@
     return Math.max(LEAST_CONNECTIONS, Math.floor(share));
   }
 
-  settleMs(): number {
+  propagationMs(): number {
     return this.#neighbourhood.propagationMs;
   }
 
