--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -22,7 +22,7 @@
 import type { Post, Told } from "./outbox.ts";
 import type { Overlay, Role } from "./overlay.ts";
 import { encodeMessage } from "./peer_link.ts";
-import type { LoadShare, State, Versions } from "./peer_message.ts";
+import type { LoadShare, StateUpdate, Versions } from "./peer_message.ts";
 import type { Peer, Peers } from "./peers.ts";
 
 /** Bytes of a runner's load in a message, about, while requests wait for it. */
@@ -192,7 +192,7 @@
   }
 
   /** All that a peer is to know when it becomes a neighbour, or a link is up. */
-  whole(peer: Peer): State {
+  whole(peer: Peer): StateUpdate {
     const counts = this.#toldTo(peer);
     const silent = this.#sources.overlay.isSpare(peer);
     if (silent) return { ...this.versionsFor(peer), whole: true };
@@ -219,7 +219,7 @@
   }
 
   /** A message that tells a peer versions only. */
-  versionsFor(peer: Peer): State {
+  versionsFor(peer: Peer): StateUpdate {
     return this.#state(NOTHING, [], this.#toldTo(peer));
   }
 
@@ -271,7 +271,7 @@
     { parts, contacts, crashes, limits, usage, lease }: StateNews,
     loads: readonly LoadShare[],
     counts: Neighbours,
-  ): State {
+  ): StateUpdate {
     const now = performance.now();
     const { time, usage: meter } = this.#sources;
     return {
--- a/packages/router/src/connection/peer_encoding.ts
+++ b/packages/router/src/connection/peer_encoding.ts
@@ -21,7 +21,7 @@
   LimitAge,
   LoadShare,
   PeerMessage,
-  State,
+  StateUpdate,
   WaitingNews,
 } from "./peer_message.ts";
 
@@ -183,7 +183,7 @@
   };
 }
 
-function packState(state: State): PackedState {
+function packState(state: StateUpdate): PackedState {
   const { configuration, runners, whole, members } = state;
   const packed = [
     configuration,
@@ -200,7 +200,7 @@
 }
 
 /** The later fields up to the last one that there is. */
-function packLater(state: State): PackedLater {
+function packLater(state: StateUpdate): PackedLater {
   const { crashes, limits, timeMs, usage, lease } = state;
   const later: PackedLater = [
     hasCrashes(crashes) ? packCrashes(crashes) : undefined,
@@ -242,7 +242,7 @@
   return { name, incarnation };
 }
 
-function unpackState(packed: PackedState): State {
+function unpackState(packed: PackedState): StateUpdate {
   const [configuration, runners, whole, loads, parts, fleet, domain] = packed;
   const [, , , , , , , contacts, gone, ...later] = packed;
   const [crashes, limits = [], timeMs, usage = [], lease] = later;
@@ -269,7 +269,7 @@
 
 /** A message that goes with the names of its fields. */
 type PackedNamed =
-  | Exclude<PeerMessage, Give | Hello | State>
+  | Exclude<PeerMessage, Give | Hello | StateUpdate>
   | (Omit<Hello, "known"> & { readonly known: readonly PackedContact[] })
   | PackedGive;
 
--- a/packages/router/src/connection/peer_message.ts
+++ b/packages/router/src/connection/peer_message.ts
@@ -78,7 +78,7 @@
 }
 
 /** What changed since the last one; also the heartbeat of a link. */
-export interface State extends Versions, LoadNews, ContactNews {
+export interface StateUpdate extends Versions, LoadNews, ContactNews {
   readonly kind: "state";
   readonly members: Members;
   /** The time of day as the sender takes it to be, in epoch ms, if it tells. */
@@ -122,4 +122,10 @@
 }
 
 /** A message between daemons. */
-export type PeerMessage = Hello | State | Want | Give | Subscribe | Unneeded;
+export type PeerMessage =
+  | Hello
+  | StateUpdate
+  | Want
+  | Give
+  | Subscribe
+  | Unneeded;
--- a/packages/router/src/connection/sharing.ts
+++ b/packages/router/src/connection/sharing.ts
@@ -15,7 +15,7 @@
 import { Overlay } from "./overlay.ts";
 import type { Role } from "./overlay.ts";
 import { SILENCE_MS } from "./peer_link.ts";
-import type { Members, PeerMessage, State } from "./peer_message.ts";
+import type { Members, PeerMessage, StateUpdate } from "./peer_message.ts";
 import type { Peer, PeerListener, Peers } from "./peers.ts";
 import { StateTimer } from "./state_timer.ts";
 import { periodMs, settleMs } from "./sharing_pace.ts";
@@ -239,7 +239,7 @@
     }
   }
 
-  #takeState(peer: Peer, state: State): void {
+  #takeState(peer: Peer, state: StateUpdate): void {
     this.#takeContacts(state);
     const role = this.#overlay.role(peer.name);
     const { relayed } = this.#overlay;
--- a/packages/router/src/connection/sharing_test.ts
+++ b/packages/router/src/connection/sharing_test.ts
@@ -10,14 +10,14 @@
 import { RunnerDirectory } from "../process/runner_directory.ts";
 import { RunnerLoads } from "../process/runner_loads.ts";
 import { unpackMessage } from "./peer_encoding.ts";
-import type { PeerMessage, State } from "./peer_message.ts";
+import type { PeerMessage, StateUpdate } from "./peer_message.ts";
 import type { Peers } from "./peers.ts";
 import { Sharing } from "./sharing.ts";
 
 /** A daemon with peers that only note when what is told to them. */
 class Told {
   readonly loads = new RunnerLoads();
-  readonly states: { readonly at: number; readonly state: State }[] = [];
+  readonly states: { readonly at: number; readonly state: StateUpdate }[] = [];
   readonly #sharing: Sharing;
   #now = 0;
 
@@ -66,7 +66,7 @@
   #peers(): Peers {
     const broadcast = (message: PeerMessage) => {
       assert.equal(message.kind, "state");
-      this.states.push({ at: this.#now, state: message as State });
+      this.states.push({ at: this.#now, state: message as StateUpdate });
     };
     const sendEncoded = (frame: Buffer) => {
       const item = decodeItem(frame.subarray(LENGTH_BYTES));
--- a/packages/router/src/connection/told_news.ts
+++ b/packages/router/src/connection/told_news.ts
@@ -12,7 +12,7 @@
 import type { UsageMeter } from "../process/usage_meter.ts";
 import { newsOf } from "./crash_ages.ts";
 import type { ToldNews } from "./neighbour_news.ts";
-import type { LoadShare, State } from "./peer_message.ts";
+import type { LoadShare, StateUpdate } from "./peer_message.ts";
 
 /** What daemons tell each other of runners. */
 export interface RunnerKnowledge {
@@ -39,7 +39,7 @@
 export function takeNews(
   known: RunnerKnowledge & LeaderKnowledge,
   neighbour: string,
-  state: State,
+  state: StateUpdate,
 ): ToldNews {
   const { whole, loads, parts, crashes, limits } = state;
   const now = performance.now();
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -10,7 +10,7 @@
 import { text } from "node:stream/consumers";
 import type { TestContext } from "node:test";
 import { NO_CRASHES } from "../src/connection/crash_ages.ts";
-import type { State } from "../src/connection/peer_message.ts";
+import type { StateUpdate } from "../src/connection/peer_message.ts";
 import type { DaemonRegistry } from "../src/process/daemon_registry.ts";
 import type { EventLog } from "../src/process/event_log.ts";
 import { FeedError } from "../src/process/feed.ts";
@@ -136,7 +136,7 @@
 }
 
 /** A message between daemons that tells nothing. */
-export function testState(fields: Partial<State> = {}): State {
+export function testState(fields: Partial<StateUpdate> = {}): StateUpdate {
   return {
     kind: "state",
     configuration: 1,
