--- a/packages/router/src/connection/neighbourhood.ts
+++ b/packages/router/src/connection/neighbourhood.ts
@@ -178,7 +178,7 @@
   }
 
   /** A configuration came in force. */
-  configured(): void {
+  configurationChanged(): void {
     this.#sharing.wake();
     this.#openIfKnown();
   }
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -362,7 +362,7 @@
       source,
       routes: configuration.routes.length,
     });
-    this.#neighbourhood.configured();
+    this.#neighbourhood.configurationChanged();
     this.#surveyOnce();
   }
 
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -466,7 +466,7 @@
   #adopt(configuration: Configuration): void {
     if (configuration.version <= (this.configuration?.version ?? -1)) return;
     this.configuration = configuration;
-    this.neighbourhood.configured();
+    this.neighbourhood.configurationChanged();
   }
 }
 
