--- a/packages/router/src/connection/sharing.ts
+++ b/packages/router/src/connection/sharing.ts
@@ -22,7 +22,7 @@
 import type { SharingMoment } from "./sharing_pace.ts";
 import { watches } from "../process/watch_plan.ts";
 import { takeNews } from "./told_news.ts";
-import type { LeaderKnowledge, RunnerKnowledge } from "./told_news.ts";
+import type { RunnerKnowledge, SharedLeaderState } from "./told_news.ts";
 import { VersionExchange } from "./version_exchange.ts";
 import type { VersionedKnowledge } from "./version_exchange.ts";
 
@@ -45,7 +45,7 @@
 
 /** What is shared, and who takes what peers give. */
 export interface SharedKnowledge
-  extends VersionedKnowledge, RunnerKnowledge, LeaderKnowledge {}
+  extends VersionedKnowledge, RunnerKnowledge, SharedLeaderState {}
 
 /** Whom a daemon shares with. */
 export interface SharingOptions {
--- a/packages/router/src/connection/told_news.ts
+++ b/packages/router/src/connection/told_news.ts
@@ -23,7 +23,7 @@
 }
 
 /** What daemons tell each other so that one of them can act for all. */
-export interface LeaderKnowledge {
+export interface SharedLeaderState {
   readonly time: FleetTime;
   /** Absent where nobody asks for usage. */
   readonly usage: UsageMeter | undefined;
@@ -37,7 +37,7 @@
  * @returns what of it others may lack.
  */
 export function takeNews(
-  known: RunnerKnowledge & LeaderKnowledge,
+  known: RunnerKnowledge & SharedLeaderState,
   neighbour: string,
   state: StateUpdate,
 ): ToldNews {
--- a/packages/router/src/leadership.ts
+++ b/packages/router/src/leadership.ts
@@ -5,7 +5,7 @@
  */
 import { SYSTEM_CLOCK } from "@umbermast/coordination/clock";
 import type { FleetSync } from "./connection/neighbourhood.ts";
-import type { LeaderKnowledge } from "./connection/told_news.ts";
+import type { SharedLeaderState } from "./connection/told_news.ts";
 import { Autoscaler } from "./process/autoscaler.ts";
 import type { AutoscalerSources } from "./process/autoscaler.ts";
 import type { Contact } from "./process/contact.ts";
@@ -41,7 +41,7 @@
  * Counts what the platform is told, and leads in turn. Without an API of the
  * platform it does nothing.
  */
-export class Leadership implements LeaderKnowledge {
+export class Leadership implements SharedLeaderState {
   readonly time = new FleetTime(HOST_CLOCKS);
   readonly usage: UsageMeter | undefined;
   readonly lease: LeaderLease | undefined;
