--- a/packages/router/src/connection/crash_watch.ts
+++ b/packages/router/src/connection/crash_watch.ts
@@ -53,7 +53,7 @@
   }
 
   /** An answer of the runner broke off, and not by this daemon. */
-  brokeOff(runner: Runner, broken: BrokenRun): void {
+  recordBrokenRun(runner: Runner, broken: BrokenRun): void {
     const run = { ...broken, runner: runner.id, endedAt: performance.now() };
     const known = this.#broken.get(runner.id);
     if (known !== undefined) {
--- a/packages/router/src/connection/crash_watch_test.ts
+++ b/packages/router/src/connection/crash_watch_test.ts
@@ -24,8 +24,8 @@
 }
 
 function breakTwo(watch: CrashWatch, { runner }: PlayedRunner): void {
-  watch.brokeOff(runner, { fingerprint: "one", beganAt: 0 });
-  watch.brokeOff(runner, { fingerprint: "two", beganAt: 0 });
+  watch.recordBrokenRun(runner, { fingerprint: "one", beganAt: 0 });
+  watch.recordBrokenRun(runner, { fingerprint: "two", beganAt: 0 });
 }
 
 test("a runner that ended is found out once, with all that was there", async (t) => {
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -230,7 +230,7 @@
   }
 
   connectionBroke(runner: Runner, run: BrokenRun): void {
-    this.#crashWatch.brokeOff(runner, run);
+    this.#crashWatch.recordBrokenRun(runner, run);
     if (this.#table?.service(runner.service)?.engine === undefined) return;
     void this.#restarts.suspect(runner);
   }
