--- a/packages/router/src/connection/crash_watch_test.ts
+++ b/packages/router/src/connection/crash_detector_test.ts
@@ -4,7 +4,7 @@
 import type { PlayedRunner } from "../../tests/fixtures.ts";
 import { CrashRecord } from "../process/crash_record.ts";
 import type { Fields } from "../process/line.ts";
-import { CrashWatch } from "./crash_watch.ts";
+import { CrashWatch } from "./crash_detector.ts";
 
 /** A watch, and what it has found out. */
 function watch(): { readonly watch: CrashWatch; readonly found: Fields[] } {
--- a/packages/router/src/connection/sharing.ts
+++ b/packages/router/src/connection/sharing.ts
@@ -21,8 +21,8 @@
 import { periodMs, settleMs } from "./sharing_pace.ts";
 import type { SharingMoment } from "./sharing_pace.ts";
 import { watches } from "../process/watch_plan.ts";
-import { takeNews } from "./told_news.ts";
-import type { RunnerKnowledge, SharedLeaderState } from "./told_news.ts";
+import { takeNews } from "./apply_update.ts";
+import type { RunnerKnowledge, SharedLeaderState } from "./apply_update.ts";
 import { VersionExchange } from "./version_exchange.ts";
 import type { VersionedKnowledge } from "./version_exchange.ts";
 
--- a/packages/router/src/leadership.ts
+++ b/packages/router/src/leadership.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import { SYSTEM_CLOCK } from "@umbermast/coordination/clock";
-import type { FleetSync } from "./connection/neighbourhood.ts";
-import type { SharedLeaderState } from "./connection/told_news.ts";
+import type { FleetSync } from "./connection/fleet_sync.ts";
+import type { SharedLeaderState } from "./connection/apply_update.ts";
 import { Autoscaler } from "./process/autoscaler.ts";
 import type { AutoscalerSources } from "./process/autoscaler.ts";
 import type { Contact } from "./process/contact.ts";
--- a/packages/router/src/request/answer_relay.ts
+++ b/packages/router/src/request/answer_relay.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { BrokenRun } from "../connection/crash_watch.ts";
+import type { BrokenRun } from "../connection/crash_detector.ts";
 import type { Placed, RunnerLoad } from "../process/runner_load.ts";
 import type { Attempt, Sent } from "./attempt.ts";
 import type { Caller } from "./caller.ts";
--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { BrokenRun } from "../connection/crash_watch.ts";
+import type { BrokenRun } from "../connection/crash_detector.ts";
 import type { RunnerConnections } from "../connection/runner_connections.ts";
 import type { CrashRecord } from "../process/crash_record.ts";
 import type { EventLog } from "../process/event_log.ts";
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -7,10 +7,10 @@
 import { randomBytes } from "node:crypto";
 import { handOver } from "./connection/hand_over.ts";
 import { CallerServer, listen } from "./connection/caller_server.ts";
-import { CrashWatch } from "./connection/crash_watch.ts";
-import type { BrokenRun } from "./connection/crash_watch.ts";
-import { FleetSync } from "./connection/neighbourhood.ts";
-import type { SharedStore } from "./connection/neighbourhood.ts";
+import { CrashWatch } from "./connection/crash_detector.ts";
+import type { BrokenRun } from "./connection/crash_detector.ts";
+import { FleetSync } from "./connection/fleet_sync.ts";
+import type { SharedStore } from "./connection/fleet_sync.ts";
 import { TcpPeerNetwork } from "./connection/peer_network.ts";
 import { RunnerConnections } from "./connection/runner_connections.ts";
 import {
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -6,8 +6,8 @@
 import type { Buffer } from "node:buffer";
 import { decodeItem } from "@umbermast/coordination/codec";
 import { LENGTH_BYTES } from "@umbermast/coordination/frame_bytes";
-import { FleetSync } from "../src/connection/neighbourhood.ts";
-import type { SharedStore } from "../src/connection/neighbourhood.ts";
+import { FleetSync } from "../src/connection/fleet_sync.ts";
+import type { SharedStore } from "../src/connection/fleet_sync.ts";
 import { unpackMessage } from "../src/connection/peer_encoding.ts";
 import { encodeMessage } from "../src/connection/peer_link.ts";
 import type { Link, LinkEvents } from "../src/connection/peer_link.ts";
