--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -321,7 +321,7 @@
   /** Names of daemons that nothing from here reaches. */
   readonly deafTo = new Set<string>();
   accept: ((opening: LinkOpening) => void) | undefined;
-  readonly neighbourhood: FleetSync;
+  readonly fleetSync: FleetSync;
   /** Mbit/s of what it sends on all its links together. */
   readonly #sendMbps: number;
   #sendsUntil = 0;
@@ -341,7 +341,7 @@
       decision() {},
     };
     this.crashes = new CrashRecord(log);
-    this.limits = new RunnerLimits(log, () => this.neighbourhood.sharers);
+    this.limits = new RunnerLimits(log, () => this.fleetSync.sharers);
     this.usage = new UsageMeter({
       life: contact.incarnation,
       windowMs: WINDOW_MS,
@@ -362,18 +362,18 @@
       usage: {
         meter: this.usage,
         timing: { windowMs: WINDOW_MS, delayMs: REPORT_DELAY_MS },
-        complete: () => this.neighbourhood.seesWholeFleet,
+        complete: () => this.fleetSync.seesWholeFleet,
       },
       demand: undefined,
-      eligible: () => this.neighbourhood.mayLead,
-      changed: () => this.neighbourhood.leaseChanged(),
+      eligible: () => this.fleetSync.mayLead,
+      changed: () => this.fleetSync.leaseChanged(),
       now: () => this.time.now(),
       steady: FAKE_CLOCKS.steady,
       random: Math.random,
       log,
       metrics: { term() {}, usageWindow() {}, platformCall() {} },
     });
-    this.neighbourhood = new FleetSync({
+    this.fleetSync = new FleetSync({
       loads: this.loads,
       prefixes: this.prefixes,
       crashes: this.crashes,
@@ -415,8 +415,8 @@
 
   start(seeds: readonly string[]): void {
     this.alive = true;
-    void this.neighbourhood.open({ host: "", port: 0 });
-    this.neighbourhood.start(seeds);
+    void this.fleetSync.open({ host: "", port: 0 });
+    this.fleetSync.start(seeds);
     void this.leader.run();
   }
 
@@ -427,7 +427,7 @@
     this.alive = false;
     this.links.clear();
     this.accept = undefined;
-    this.neighbourhood.stop();
+    this.fleetSync.stop();
     this.leader.stop();
   }
 
@@ -466,7 +466,7 @@
   #adopt(configuration: Configuration): void {
     if (configuration.version <= (this.configuration?.version ?? -1)) return;
     this.configuration = configuration;
-    this.neighbourhood.configurationChanged();
+    this.fleetSync.configurationChanged();
   }
 }
 
--- a/packages/router/tests/sharers_test.ts
+++ b/packages/router/tests/sharers_test.ts
@@ -9,7 +9,7 @@
 /** How many daemons take each runner for theirs to ask. */
 function askersOf(members: readonly Member[]): readonly number[] {
   const askers = Array.from({ length: RUNNERS }, () => 0);
-  for (const { neighbourhood } of members) {
+  for (const { fleetSync: neighbourhood } of members) {
     const { own, names } = neighbourhood.sharers;
     const daemons = new Rendezvous(names);
     askers.forEach((_, index) => {
