--- a/packages/router/src/leadership.ts
+++ b/packages/router/src/leadership.ts
@@ -32,7 +32,7 @@
   readonly own: Contact;
   readonly log: EventLog;
   readonly metrics: LeaderMetrics;
-  readonly neighbourhood: () => FleetSync;
+  readonly fleetSync: () => FleetSync;
   /** In [0, 1). */
   readonly random: () => number;
 }
@@ -97,7 +97,7 @@
     readonly parts: LeadershipParts;
   }): Leader {
     const { leaseMs, ordersRunners, usage: timing } = made.settings;
-    const { own, log, metrics, neighbourhood, random } = made.parts;
+    const { own, log, metrics, fleetSync: neighbourhood, random } = made.parts;
     const meter = this.usage;
     return new Leader({
       name: own.name,
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -140,7 +140,7 @@
       loads: this.loads,
       runners: () => this.#directory.list.runners,
       services: () => this.#configuration?.services ?? [],
-      neighbourhood: () => this.#neighbourhood,
+      fleetSync: () => this.#neighbourhood,
       random: () => this.random(),
     });
     const { time, usage, lease } = this.#leadership;
