--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -6,7 +6,7 @@
 import type { Buffer } from "node:buffer";
 import { Allowance } from "../process/allowance.ts";
 import type { Contact } from "../process/contact.ts";
-import type { ContactBook, ContactNews } from "../process/contact_book.ts";
+import type { ContactBook, ContactUpdates } from "../process/contact_book.ts";
 import type { FleetTime } from "../process/fleet_time.ts";
 import type { LeaderLease, LeaseNews } from "../process/leader_lease.ts";
 import type { UsageCount, UsageMeter } from "../process/usage_meter.ts";
@@ -37,7 +37,7 @@
 /** What a message tells beside loads. */
 interface StateNews {
   readonly parts: readonly PartsNews[];
-  readonly contacts: ContactNews;
+  readonly contacts: ContactUpdates;
   readonly crashes: CrashNews;
   readonly limits: readonly LimitNews[];
   readonly usage: readonly UsageCount[];
@@ -212,7 +212,7 @@
    * A child missed what was told between its link and its subscription. It would
    * lack these contacts for good, and choose other relays than the rest.
    */
-  #contactsFor(peer: Peer): ContactNews {
+  #contactsFor(peer: Peer): ContactUpdates {
     const isChild = this.#sources.overlay.role(peer.name) === "child";
     const contacts = isChild ? this.#sources.knownFor(peer) : [];
     return { contacts, gone: [] };
--- a/packages/router/src/connection/outbox.ts
+++ b/packages/router/src/connection/outbox.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { ContactNews } from "../process/contact_book.ts";
+import type { ContactUpdates } from "../process/contact_book.ts";
 import type { CrashedRun, WholeAnswer } from "../process/crash_entry.ts";
 import type { CrashNews } from "../process/crash_record.ts";
 import type { LimitNews } from "../process/runner_limits.ts";
@@ -48,7 +48,7 @@
   /** Ids of runners whose loads have changed. */
   readonly runners: readonly string[];
   readonly parts: readonly (PartsNews & Told)[];
-  readonly contacts: ContactNews;
+  readonly contacts: ContactUpdates;
   readonly crashes: ToldCrashes;
   readonly limits: readonly (LimitNews & Told)[];
   readonly usage: readonly UsageCount[];
@@ -60,7 +60,7 @@
   readonly #urgent = new Set<string>();
   readonly #calm = new Set<string>();
   #parts: (PartsNews & Told)[] = [];
-  #contacts: ContactNews[] = [];
+  #contacts: ContactUpdates[] = [];
   readonly #crashed: (CrashedRun & Told)[] = [];
   readonly #answers: (WholeAnswer & Told)[] = [];
   /** What each runner said last. */
@@ -88,7 +88,7 @@
     }
   }
 
-  addContacts(news: ContactNews): void {
+  addContacts(news: ContactUpdates): void {
     this.#contacts.push(news);
   }
 
--- a/packages/router/src/connection/peer_message.ts
+++ b/packages/router/src/connection/peer_message.ts
@@ -5,7 +5,7 @@
  */
 import type { CrashAges } from "./crash_ages.ts";
 import type { Contact } from "../process/contact.ts";
-import type { ContactNews } from "../process/contact_book.ts";
+import type { ContactUpdates } from "../process/contact_book.ts";
 import type { LeaseNews } from "../process/leader_lease.ts";
 import type { LimitNews } from "../process/runner_limits.ts";
 import type { PartsNews } from "../process/prefix_record.ts";
@@ -78,7 +78,7 @@
 }
 
 /** What changed since the last one; also the heartbeat of a link. */
-export interface StateUpdate extends Versions, LoadNews, ContactNews {
+export interface StateUpdate extends Versions, LoadNews, ContactUpdates {
   readonly kind: "state";
   readonly members: Members;
   /** The time of day as the sender takes it to be, in epoch ms, if it tells. */
--- a/packages/router/src/connection/sharing.ts
+++ b/packages/router/src/connection/sharing.ts
@@ -6,7 +6,7 @@
 import { contactOf } from "../process/contact.ts";
 import type { Contact } from "../process/contact.ts";
 import { ContactBook } from "../process/contact_book.ts";
-import type { ContactNews } from "../process/contact_book.ts";
+import type { ContactUpdates } from "../process/contact_book.ts";
 import type { EventLog } from "../process/event_log.ts";
 import { knownToAll, toldTo } from "../process/known_daemons.ts";
 import type { Sharers } from "../process/sharers.ts";
@@ -252,7 +252,7 @@
     this.#versions.compare(peer, state, { mayGiveParts });
   }
 
-  #takeContacts({ contacts, gone }: ContactNews): void {
+  #takeContacts({ contacts, gone }: ContactUpdates): void {
     const now = performance.now();
     let changed = false;
     for (const each of contacts) changed = this.#book.add(each, now) || changed;
--- a/packages/router/src/process/contact_book.ts
+++ b/packages/router/src/process/contact_book.ts
@@ -18,7 +18,7 @@
 export type DeadContact = Pick<Contact, "name" | "incarnation">;
 
 /** What changed in a book since the last look. */
-export interface ContactNews {
+export interface ContactUpdates {
   readonly contacts: readonly Contact[];
   readonly gone: readonly DeadContact[];
 }
@@ -108,7 +108,7 @@
   }
 
   /** What changed since the last call, for other daemons. */
-  takeNews(): ContactNews {
+  takeNews(): ContactUpdates {
     const news = {
       contacts: [...this.#news.values()],
       gone: [...this.#gone.values()],
