--- a/packages/router/src/process/contact_book.ts
+++ b/packages/router/src/process/contact_book.ts
@@ -108,7 +108,7 @@
   }
 
   /** What changed since the last call, for other daemons. */
-  takeNews(): ContactUpdates {
+  takeUpdates(): ContactUpdates {
     const news = {
       contacts: [...this.#news.values()],
       gone: [...this.#gone.values()],
@@ -118,7 +118,7 @@
     return news;
   }
 
-  /** Whether {@linkcode takeNews} would give anything. */
+  /** Whether {@linkcode takeUpdates} would give anything. */
   get hasNews(): boolean {
     return this.#news.size > 0 || this.#gone.size > 0;
   }
--- a/packages/router/src/process/contact_book_test.ts
+++ b/packages/router/src/process/contact_book_test.ts
@@ -57,10 +57,10 @@
 test("what did not change a book is not told again", () => {
   const book = new ContactBook(contact("own"), 6);
   book.add(contact("a"), 0);
-  assert.equal(book.takeNews().contacts.length, 1);
+  assert.equal(book.takeUpdates().contacts.length, 1);
   book.add(contact("a"), 1);
   book.add(contact("own"), 1);
   assert.equal(book.hasNews, false);
   book.remove(contact("a"), 2);
-  assert.deepEqual(book.takeNews().gone, [{ name: "a", incarnation: "1" }]);
+  assert.deepEqual(book.takeUpdates().gone, [{ name: "a", incarnation: "1" }]);
 });
