--- a/packages/router/src/connection/peer_message.ts
+++ b/packages/router/src/connection/peer_message.ts
@@ -9,7 +9,7 @@
 import type { LeaseNews } from "../process/leader_lease.ts";
 import type { LimitNews } from "../process/runner_limits.ts";
 import type { PartsNews } from "../process/prefix_record.ts";
-import type { Share } from "../process/share.ts";
+import type { LoadTotals } from "../process/share.ts";
 import type { RunnerNews } from "../process/runner_directory.ts";
 import type { UsageCount } from "../process/usage_meter.ts";
 import type { Configuration } from "../version/configuration.ts";
@@ -32,7 +32,7 @@
 }
 
 /** Load that the sender, and those it speaks for, put on one runner. */
-export interface LoadShare extends Share {
+export interface LoadShare extends LoadTotals {
   readonly runner: string;
   readonly waiting: readonly WaitingNews[];
 }
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -8,7 +8,7 @@
 import { RunnerQueue } from "./runner_queue.ts";
 import type { Neighbours, Waiting } from "./runner_queue.ts";
 import { add, minus, NO_SHARE } from "./share.ts";
-import type { AnswerCounts, Share } from "./share.ts";
+import type { AnswerCounts, LoadTotals } from "./share.ts";
 
 /** Load of a runner as it told with an answer. */
 export interface ReportedLoad {
@@ -48,7 +48,7 @@
   readonly #placed = new Set<Placed>();
   readonly #starting = new Set<Placed>();
   /** Loads of other daemons, by the neighbour that tells their sum. */
-  readonly #others = new Map<string, Share>();
+  readonly #others = new Map<string, LoadTotals>();
   /** Counts of answers as the neighbours told them last. */
   readonly #told = new Map<string, AnswerCounts>();
   readonly #onChange: () => void;
@@ -71,17 +71,17 @@
   }
 
   /** Load of this daemon. */
-  get own(): Share {
+  get own(): LoadTotals {
     return this.#own;
   }
 
   /** Load of all daemons, as far as they have told. */
-  get all(): Share {
+  get all(): LoadTotals {
     return this.#all;
   }
 
   /** Load of this daemon and, as some neighbours told, of others. */
-  sumBy(counts: Neighbours): Share {
+  sumBy(counts: Neighbours): LoadTotals {
     let sum = this.#own;
     for (const [neighbour, share] of this.#others) {
       if (counts(neighbour)) sum = add(sum, share);
@@ -145,7 +145,7 @@
    */
   toldBy(
     neighbour: string,
-    share: Share,
+    share: LoadTotals,
     told: {
       /** Steady milliseconds. */
       readonly now: number;
@@ -189,7 +189,7 @@
    * or go its counts jump; of those that come it is not known when they had
    * their answers, so none counts that was there at the first word.
    */
-  #newAnswers(neighbour: string, share: Share): AnswerCounts {
+  #newAnswers(neighbour: string, share: LoadTotals): AnswerCounts {
     const told = this.#told.get(neighbour) ?? share;
     this.#told.set(neighbour, {
       answered: share.answered,
@@ -268,7 +268,7 @@
     return SILENCE_MS + (begun ? 0 : readMs(this.#all.unreadTokens));
   }
 
-  #change(change: Share): void {
+  #change(change: LoadTotals): void {
     this.#own = add(this.#own, change);
     this.#all = add(this.#all, change);
     this.#onChange();
--- a/packages/router/src/process/runner_load_test.ts
+++ b/packages/router/src/process/runner_load_test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { RunnerLoads } from "./runner_loads.ts";
-import type { Share } from "./share.ts";
+import type { LoadTotals } from "./share.ts";
 
 const PLACED = { unreadTokens: 100, memoryTokens: 120, tight: true };
-const SHARE: Share = {
+const SHARE: LoadTotals = {
   inFlight: 2,
   unreadTokens: 50,
   workTokens: 70,
--- a/packages/router/src/process/share.ts
+++ b/packages/router/src/process/share.ts
@@ -13,7 +13,7 @@
 }
 
 /** Load that one daemon, or some together, put on a runner. */
-export interface Share extends AnswerCounts {
+export interface LoadTotals extends AnswerCounts {
   readonly inFlight: number;
   /** Prompt tokens of requests that have no first event yet. */
   readonly unreadTokens: number;
@@ -26,7 +26,7 @@
 }
 
 /** No load at all. */
-export const NO_SHARE: Share = {
+export const NO_SHARE: LoadTotals = {
   inFlight: 0,
   unreadTokens: 0,
   workTokens: 0,
@@ -37,7 +37,7 @@
 };
 
 /** Two loads together. */
-export function add(one: Share, other: Share): Share {
+export function add(one: LoadTotals, other: LoadTotals): LoadTotals {
   return {
     inFlight: one.inFlight + other.inFlight,
     unreadTokens: one.unreadTokens + other.unreadTokens,
@@ -50,7 +50,7 @@
 }
 
 /** What is left of a load without another one. */
-export function minus(one: Share, other: Share): Share {
+export function minus(one: LoadTotals, other: LoadTotals): LoadTotals {
   return {
     inFlight: one.inFlight - other.inFlight,
     unreadTokens: one.unreadTokens - other.unreadTokens,
