--- a/packages/router/src/connection/peer_link_test.ts
+++ b/packages/router/src/connection/peer_link_test.ts
@@ -10,7 +10,7 @@
 import { testState } from "../../tests/fixtures.ts";
 import type { CrashAges } from "./crash_ages.ts";
 import { encodeMessage, PeerLink, SILENCE_MS } from "./peer_link.ts";
-import { NO_SHARE } from "../process/share.ts";
+import { NO_LOAD } from "../process/share.ts";
 import { PROTOCOL } from "./peer_message.ts";
 import type { PeerMessage } from "./peer_message.ts";
 
@@ -129,7 +129,7 @@
     (message) => received.push(message),
   );
   far.end(encodeMessage(testState({
-    loads: [{ ...NO_SHARE, runner: "r", inFlight: -40, waiting: [] }],
+    loads: [{ ...NO_LOAD, runner: "r", inFlight: -40, waiting: [] }],
   })));
   await closed;
   assert.deepEqual(received, []);
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -7,7 +7,7 @@
 import { readMs } from "./reading.ts";
 import { RunnerQueue } from "./runner_queue.ts";
 import type { Neighbours, Waiting } from "./runner_queue.ts";
-import { add, minus, NO_SHARE } from "./share.ts";
+import { add, minus, NO_LOAD } from "./share.ts";
 import type { AnswerCounts, LoadTotals } from "./share.ts";
 
 /** Load of a runner as it told with an answer. */
@@ -54,8 +54,8 @@
   readonly #onChange: () => void;
   /** Requests that wait until the runner has room, here and elsewhere. */
   readonly queue: RunnerQueue;
-  #own = NO_SHARE;
-  #all = NO_SHARE;
+  #own = NO_LOAD;
+  #all = NO_LOAD;
   #failures = 0;
   readonly #failureRate = new FailureRate();
   #ejectedUntil = 0;
@@ -105,7 +105,7 @@
     this.#placed.add(placed);
     this.#starting.add(placed);
     this.#change({
-      ...NO_SHARE,
+      ...NO_LOAD,
       inFlight: 1,
       unreadTokens: placed.unreadTokens,
       workTokens: placed.unreadTokens,
@@ -117,7 +117,7 @@
   /** Its prompt has been read: the first event came. */
   started(placed: Placed): void {
     if (!this.#starting.delete(placed)) return;
-    this.#change({ ...NO_SHARE, unreadTokens: -placed.unreadTokens });
+    this.#change({ ...NO_LOAD, unreadTokens: -placed.unreadTokens });
   }
 
   /** Something came from the runner, whatever it was. */
@@ -130,7 +130,7 @@
     this.started(placed);
     if (!this.#placed.delete(placed)) return;
     this.#change({
-      ...NO_SHARE,
+      ...NO_LOAD,
       inFlight: -1,
       workTokens: -placed.unreadTokens,
       memoryTokens: -placed.memoryTokens,
@@ -153,7 +153,7 @@
     },
   ): void {
     const { now, waiting = [] } = told;
-    const before = this.#others.get(neighbour) ?? NO_SHARE;
+    const before = this.#others.get(neighbour) ?? NO_LOAD;
     const began = share.unreadTokens < before.unreadTokens &&
       share.inFlight >= before.inFlight;
     if (began) this.heard(now);
@@ -222,7 +222,7 @@
   answered(failed: boolean, now: number): void {
     const count = failed ? 1 : 0;
     this.#failureRate.note(1, count, now);
-    this.#change({ ...NO_SHARE, answered: 1, failed: count });
+    this.#change({ ...NO_LOAD, answered: 1, failed: count });
   }
 
   /** An answer came that shows that the runner works. */
--- a/packages/router/src/process/share.ts
+++ b/packages/router/src/process/share.ts
@@ -26,7 +26,7 @@
 }
 
 /** No load at all. */
-export const NO_SHARE: LoadTotals = {
+export const NO_LOAD: LoadTotals = {
   inFlight: 0,
   unreadTokens: 0,
   workTokens: 0,
