--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -7,7 +7,7 @@
 import { readMs } from "./reading.ts";
 import { RunnerQueue } from "./runner_queue.ts";
 import type { Neighbours, Waiting } from "./runner_queue.ts";
-import { add, minus, NO_LOAD } from "./share.ts";
+import { addLoads, minus, NO_LOAD } from "./share.ts";
 import type { AnswerCounts, LoadTotals } from "./share.ts";
 
 /** Load of a runner as it told with an answer. */
@@ -84,7 +84,7 @@
   sumBy(counts: Neighbours): LoadTotals {
     let sum = this.#own;
     for (const [neighbour, share] of this.#others) {
-      if (counts(neighbour)) sum = add(sum, share);
+      if (counts(neighbour)) sum = addLoads(sum, share);
     }
     return sum;
   }
@@ -166,7 +166,7 @@
     };
     this.#others.set(neighbour, after);
     this.queue.toldBy(neighbour, waiting);
-    this.#all = add(this.#all, minus(after, before));
+    this.#all = addLoads(this.#all, minus(after, before));
   }
 
   /**
@@ -269,8 +269,8 @@
   }
 
   #change(change: LoadTotals): void {
-    this.#own = add(this.#own, change);
-    this.#all = add(this.#all, change);
+    this.#own = addLoads(this.#own, change);
+    this.#all = addLoads(this.#all, change);
     this.#onChange();
   }
 
--- a/packages/router/src/process/share.ts
+++ b/packages/router/src/process/share.ts
@@ -37,7 +37,7 @@
 };
 
 /** Two loads together. */
-export function add(one: LoadTotals, other: LoadTotals): LoadTotals {
+export function addLoads(one: LoadTotals, other: LoadTotals): LoadTotals {
   return {
     inFlight: one.inFlight + other.inFlight,
     unreadTokens: one.unreadTokens + other.unreadTokens,
