--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -7,7 +7,7 @@
 import { readMs } from "./reading.ts";
 import { RunnerQueue } from "./runner_queue.ts";
 import type { Neighbours, Waiting } from "./runner_queue.ts";
-import { addLoads, minus, NO_LOAD } from "./share.ts";
+import { addLoads, NO_LOAD, subtractLoads } from "./share.ts";
 import type { AnswerCounts, LoadTotals } from "./share.ts";
 
 /** Load of a runner as it told with an answer. */
@@ -166,7 +166,7 @@
     };
     this.#others.set(neighbour, after);
     this.queue.toldBy(neighbour, waiting);
-    this.#all = addLoads(this.#all, minus(after, before));
+    this.#all = addLoads(this.#all, subtractLoads(after, before));
   }
 
   /**
@@ -180,7 +180,7 @@
     this.#others.delete(neighbour);
     this.#told.delete(neighbour);
     this.queue.toldBy(neighbour, []);
-    this.#all = minus(this.#all, share);
+    this.#all = subtractLoads(this.#all, share);
     return true;
   }
 
--- a/packages/router/src/process/share.ts
+++ b/packages/router/src/process/share.ts
@@ -50,7 +50,7 @@
 }
 
 /** What is left of a load without another one. */
-export function minus(one: LoadTotals, other: LoadTotals): LoadTotals {
+export function subtractLoads(one: LoadTotals, other: LoadTotals): LoadTotals {
   return {
     inFlight: one.inFlight - other.inFlight,
     unreadTokens: one.unreadTokens - other.unreadTokens,
