--- a/packages/router/src/connection/apply_update.ts
+++ b/packages/router/src/connection/apply_update.ts
@@ -81,5 +81,5 @@
       startBy: now + leftMs,
     }),
   );
-  loads.of(share.runner).toldBy(neighbour, share, { now, waiting });
+  loads.of(share.runner).setNeighbourLoad(neighbour, share, { now, waiting });
 }
--- a/packages/router/src/connection/load_sums_test.ts
+++ b/packages/router/src/connection/load_sums_test.ts
@@ -13,8 +13,8 @@
   const loads = new RunnerLoads();
   const load = loads.of("r");
   load.place({ unreadTokens: 10, memoryTokens: 20, tight: false }, 0);
-  load.toldBy("child-1", { ...NO_LOAD, inFlight: 3 }, { now: 0 });
-  load.toldBy("child-2", { ...NO_LOAD, inFlight: 5 }, { now: 0 });
+  load.setNeighbourLoad("child-1", { ...NO_LOAD, inFlight: 3 }, { now: 0 });
+  load.setNeighbourLoad("child-2", { ...NO_LOAD, inFlight: 5 }, { now: 0 });
   const [told] = new LoadSums(loads).all((name) => name !== "child-1");
   assert.equal(told?.inFlight, 6);
 });
@@ -27,7 +27,7 @@
     { length: 300 },
     (_, index) => waiting(index % 3, index),
   );
-  loads.of("r").toldBy("child", NO_LOAD, { now: 0, waiting: many });
+  loads.of("r").setNeighbourLoad("child", NO_LOAD, { now: 0, waiting: many });
   const [told] = new LoadSums(loads).all(() => true);
   assert.ok(told!.waiting.length <= 12);
   for (const rank of [0, 1, 2]) {
@@ -48,11 +48,17 @@
 test("answers from before a neighbour was known do not count", () => {
   const loads = new RunnerLoads();
   const load = loads.of("r");
-  load.toldBy("child", { ...NO_LOAD, answered: 900, failed: 300 }, { now: 0 });
+  load.setNeighbourLoad("child", { ...NO_LOAD, answered: 900, failed: 300 }, {
+    now: 0,
+  });
   assert.equal(load.failureShare(0), 0);
-  load.toldBy("child", { ...NO_LOAD, answered: 910, failed: 300 }, { now: 1 });
+  load.setNeighbourLoad("child", { ...NO_LOAD, answered: 910, failed: 300 }, {
+    now: 1,
+  });
   const [told] = new LoadSums(loads).all(() => true);
   assert.equal(told?.answered, 10);
-  load.toldBy("child", { ...NO_LOAD, answered: 400, failed: 100 }, { now: 2 });
+  load.setNeighbourLoad("child", { ...NO_LOAD, answered: 400, failed: 100 }, {
+    now: 2,
+  });
   assert.equal(load.all.answered, 10);
 });
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -143,7 +143,7 @@
    * as a neighbour adds it up. A prompt that has been read for another daemon
    * shows that the runner works.
    */
-  toldBy(
+  setNeighbourLoad(
     neighbour: string,
     share: LoadTotals,
     told: {
--- a/packages/router/src/process/runner_load_test.ts
+++ b/packages/router/src/process/runner_load_test.ts
@@ -38,8 +38,10 @@
 // all others away from a runner that is idle.
 test("the load of a daemon that is lost is forgotten", () => {
   const loads = new RunnerLoads();
-  loads.of("r-1").toldBy("host-2", SHARE, { now: 0 });
-  loads.of("r-1").toldBy("host-2", { ...SHARE, inFlight: 3 }, { now: 0 });
+  loads.of("r-1").setNeighbourLoad("host-2", SHARE, { now: 0 });
+  loads.of("r-1").setNeighbourLoad("host-2", { ...SHARE, inFlight: 3 }, {
+    now: 0,
+  });
   assert.equal(loads.of("r-1").all.inFlight, 3);
   loads.forget("host-2");
   assert.equal(loads.of("r-1").all.inFlight, 0);
@@ -82,11 +84,13 @@
 test("a runner that reads a second of prompts first is not taken for dark", () => {
   const load = new RunnerLoads().of("r-1");
   const others = { ...SHARE, unreadTokens: 50_000 };
-  load.toldBy("host-2", others, { now: 0 });
+  load.setNeighbourLoad("host-2", others, { now: 0 });
   load.place(PLACED, 0);
   assert.equal(load.ejected(1_500), false);
   assert.equal(load.ejected(2_500), true);
-  load.toldBy("host-2", { ...others, unreadTokens: 40_000 }, { now: 2_500 });
+  load.setNeighbourLoad("host-2", { ...others, unreadTokens: 40_000 }, {
+    now: 2_500,
+  });
   assert.equal(load.ejected(2_500), false, "it has read one of the prompts");
 });
 
@@ -94,7 +98,9 @@
 // much it has to read beside.
 test("a runner that falls silent in a stream is dark, whatever it has to read", () => {
   const load = new RunnerLoads().of("r-1");
-  load.toldBy("host-2", { ...SHARE, unreadTokens: 50_000 }, { now: 0 });
+  load.setNeighbourLoad("host-2", { ...SHARE, unreadTokens: 50_000 }, {
+    now: 0,
+  });
   load.place(PLACED, 0);
   load.started(PLACED);
   load.heard(100);
@@ -106,9 +112,13 @@
 // seconds; alone, each would send it several requests to find out.
 test("failures that other daemons had count, from when they are known", () => {
   const load = new RunnerLoads().of("r-1");
-  load.toldBy("host-2", { ...SHARE, answered: 900, failed: 300 }, { now: 0 });
+  load.setNeighbourLoad("host-2", { ...SHARE, answered: 900, failed: 300 }, {
+    now: 0,
+  });
   assert.equal(load.failureShare(0), 0, "those may be from hours ago");
-  load.toldBy("host-2", { ...SHARE, answered: 908, failed: 308 }, { now: 9 });
+  load.setNeighbourLoad("host-2", { ...SHARE, answered: 908, failed: 308 }, {
+    now: 9,
+  });
   assert.ok(load.failureShare(9) > 0.5);
   assert.ok(load.failureShare(20_000) < 0.05, "and they are forgotten");
 });
--- a/packages/router/src/request/admission_test.ts
+++ b/packages/router/src/request/admission_test.ts
@@ -53,7 +53,7 @@
 function fleetWith(inFlight: number): Fleet {
   const loads = new RunnerLoads();
   const share = { ...loads.of("r").own, inFlight };
-  loads.of("r").toldBy("elsewhere", share, { now: 0 });
+  loads.of("r").setNeighbourLoad("elsewhere", share, { now: 0 });
   return {
     runners: [RUNNER],
     loads,
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -356,7 +356,7 @@
   for (const { id, name } of fleet.runners) {
     const inFlight = kept.has(name) ? slots - 1 : 5;
     const share = { ...fleet.loads.of(id).own, inFlight };
-    fleet.loads.of(id).toldBy("elsewhere", share, { now: 0 });
+    fleet.loads.of(id).setNeighbourLoad("elsewhere", share, { now: 0 });
     fleet.prefixes.read(id, tightStream("a").prompt, fleet.now);
   }
   const few = chooseRunner(fleet, { ...tightStream("a"), engine }, NONE)!;
--- a/packages/router/src/request/room_wait_test.ts
+++ b/packages/router/src/request/room_wait_test.ts
@@ -34,7 +34,7 @@
     const { own, queue } = from.loads.of("r");
     for (const to of daemons) {
       if (to === from) continue;
-      to.loads.of("r").toldBy(from.name, own, {
+      to.loads.of("r").setNeighbourLoad(from.name, own, {
         now: 0,
         waiting: queue.waiting,
       });
@@ -138,7 +138,7 @@
     { rank: 1, since: 3, startBy: Infinity, requests: 1, unreadTokens: 100 },
     { rank: 0, since: 9, startBy: Infinity, requests: 1, unreadTokens: 1_000 },
   ];
-  load.toldBy("other", share, { now: 0, waiting });
+  load.setNeighbourLoad("other", share, { now: 0, waiting });
   assert.equal(aheadTokens({ rank: 0, since: 1 }), 0);
   assert.equal(aheadTokens({ rank: 1, since: 1 }), 1_000);
   assert.equal(aheadTokens({ rank: 1, since: 4 }), 1_100);
--- a/packages/router/tests/restart_test.ts
+++ b/packages/router/tests/restart_test.ts
@@ -65,7 +65,7 @@
   const told = new LoadSums(lagging).all(() => true);
   const ahead = new RunnerLoads();
   for (const share of told) {
-    ahead.of(share.runner).toldBy("host-2", share, { now: 0 });
+    ahead.of(share.runner).setNeighbourLoad("host-2", share, { now: 0 });
   }
   const prefixes = new PrefixRecord();
   prefixes.take({ runner: runnerId("a", 100), parts: PROMPT, read: true }, 0);
@@ -79,7 +79,7 @@
 test("a load that peers told of a life not yet listed is kept", () => {
   const loads = new RunnerLoads();
   const share = { ...loads.of("b").own, inFlight: 3 };
-  loads.of(runnerId("a", 200)).toldBy("host-2", share, { now: 0 });
+  loads.of(runnerId("a", 200)).setNeighbourLoad("host-2", share, { now: 0 });
   loads.retain(new Set([runnerId("a", 100)]));
   assert.equal(loads.of(runnerId("a", 200)).all.inFlight, 3);
 });
