--- a/packages/router/src/connection/load_sums.ts
+++ b/packages/router/src/connection/load_sums.ts
@@ -43,7 +43,7 @@
   ): readonly LoadShare[] {
     const now = performance.now();
     return loads.map((each) =>
-      this.#loads.of(each.runner).isToldBy(neighbour)
+      this.#loads.of(each.runner).hasLoadFrom(neighbour)
         ? this.#sum(each.runner, (name) => name !== neighbour, now)
         : each
     );
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -90,7 +90,7 @@
   }
 
   /** Whether a neighbour tells of load, now or before. */
-  isToldBy(neighbour: string): boolean {
+  hasLoadFrom(neighbour: string): boolean {
     return this.#others.has(neighbour);
   }
 
