--- a/packages/router/src/connection/load_sums.ts
+++ b/packages/router/src/connection/load_sums.ts
@@ -59,7 +59,7 @@
     const waiting = inFewEntries(load.queue.waitingBy(counts), now);
     return {
       runner,
-      ...load.sumBy(counts),
+      ...load.sumFrom(counts),
       waiting: waiting.map((each) => newsOf(each, now)),
     };
   }
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -81,7 +81,7 @@
   }
 
   /** Load of this daemon and, as some neighbours told, of others. */
-  sumBy(counts: Neighbours): LoadTotals {
+  sumFrom(counts: Neighbours): LoadTotals {
     let sum = this.#own;
     for (const [neighbour, share] of this.#others) {
       if (counts(neighbour)) sum = addLoads(sum, share);
