--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -121,7 +121,7 @@
   }
 
   /** Something came from the runner, whatever it was. */
-  heard(now: number): void {
+  recordActivity(now: number): void {
     this.#heardAt = Math.max(this.#heardAt, now);
   }
 
@@ -156,7 +156,7 @@
     const before = this.#others.get(neighbour) ?? NO_LOAD;
     const began = share.unreadTokens < before.unreadTokens &&
       share.inFlight >= before.inFlight;
-    if (began) this.heard(now);
+    if (began) this.recordActivity(now);
     const { answered, failed } = this.#newAnswers(neighbour, share);
     if (answered > 0) this.#failureRate.note(answered, failed, now);
     const after = {
--- a/packages/router/src/process/runner_load_test.ts
+++ b/packages/router/src/process/runner_load_test.ts
@@ -69,7 +69,7 @@
   load.place(PLACED, 5_000);
   assert.equal(load.ejected(5_500), false);
   assert.equal(load.ejected(6_000), true);
-  load.heard(6_100);
+  load.recordActivity(6_100);
   assert.equal(load.ejected(6_200), false);
   load.release(PLACED);
   assert.equal(load.ejected(60_000), false);
@@ -103,7 +103,7 @@
   });
   load.place(PLACED, 0);
   load.started(PLACED);
-  load.heard(100);
+  load.recordActivity(100);
   assert.equal(load.ejected(900), false);
   assert.equal(load.ejected(1_100), true);
 });
--- a/packages/router/src/request/answer_relay.ts
+++ b/packages/router/src/request/answer_relay.ts
@@ -126,7 +126,7 @@
     let begun = false;
     const end = await stream.relay(incoming, () => {
       const now = this.#daemon.now();
-      parts.load.heard(now);
+      parts.load.recordActivity(now);
       pace(now);
       if (!begun) {
         begun = true;
--- a/packages/router/src/request/runner_tries.ts
+++ b/packages/router/src/request/runner_tries.ts
@@ -139,7 +139,7 @@
     const { load } = parts;
     const now = this.#daemon.now();
     if (sent.kind === "answer" || sent.kind === "not-run") {
-      load.heard(now);
+      load.recordActivity(now);
       this.#hearLimit(sent.head, parts);
     }
     switch (sent.kind) {
