--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -201,7 +201,7 @@
   }
 
   /** Takes the load that the runner told with an answer. */
-  reported(load: ReportedLoad, now: number): void {
+  recordReport(load: ReportedLoad, now: number): void {
     this.#report = load;
     this.#reportedAt = now;
   }
--- a/packages/router/src/request/runner_tries.ts
+++ b/packages/router/src/request/runner_tries.ts
@@ -152,7 +152,9 @@
       case "broken":
         return this.#broke(sent.reason, parts);
       case "not-run":
-        if (sent.head.load !== undefined) load.reported(sent.head.load, now);
+        if (sent.head.load !== undefined) {
+          load.recordReport(sent.head.load, now);
+        }
         if (sent.head.otherRunner) load.failed(now);
         return again(
           "refused by runner",
@@ -160,7 +162,9 @@
         );
       case "answer":
         this.#progress.mayHaveRun = true;
-        if (sent.head.load !== undefined) load.reported(sent.head.load, now);
+        if (sent.head.load !== undefined) {
+          load.recordReport(sent.head.load, now);
+        }
         return this.#ended(
           subject,
           await this.#relay.pass(subject, sent, parts),
