--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -236,7 +236,7 @@
    * for a while: a dark runner would otherwise hold every request of its share
    * until a timeout. The span is short, so a false alarm costs little.
    */
-  failed(now: number): void {
+  recordFailure(now: number): void {
     this.#failures += 1;
     if (this.#failures < FAILURES_TO_EJECT) return;
     const doublings = this.#failures - FAILURES_TO_EJECT;
--- a/packages/router/src/process/runner_load_test.ts
+++ b/packages/router/src/process/runner_load_test.ts
@@ -51,12 +51,12 @@
 // a timeout; with one that never ended, it would stay empty after its return.
 test("a runner that fails twice rests, longer each time, and comes back", () => {
   const load = new RunnerLoads().of("r-1");
-  load.failed(0);
+  load.recordFailure(0);
   assert.equal(load.ejected(1), false);
-  load.failed(0);
+  load.recordFailure(0);
   assert.equal(load.ejected(400), true);
   assert.equal(load.ejected(600), false);
-  load.failed(600);
+  load.recordFailure(600);
   assert.equal(load.ejected(1_500), true);
   load.succeeded();
   assert.equal(load.ejected(1_500), false);
--- a/packages/router/src/request/answer_relay.ts
+++ b/packages/router/src/request/answer_relay.ts
@@ -84,7 +84,7 @@
     const success = status < FIRST_ERROR;
     if (success && (!head.sealed || head.encoded)) {
       parts.attempt.cancel("not the runner's own answer");
-      parts.load.failed(this.#daemon.now());
+      parts.load.recordFailure(this.#daemon.now());
       return Promise.resolve({ kind: "broken", reason: "answer without seal" });
     }
     if (subject.route.streaming && success) {
@@ -180,7 +180,7 @@
   #brokeOff(parts: TryParts, cause: string, reason: string): Passed {
     parts.attempt.cancel(cause);
     if (!this.#endedByUs()) {
-      parts.load.failed(this.#daemon.now());
+      parts.load.recordFailure(this.#daemon.now());
       this.#daemon.connectionBroke(parts.attempt.runner, parts.run);
     }
     return { kind: "broken", reason };
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -256,8 +256,8 @@
 test("when all runners rest, one is tried all the same", () => {
   const fleet = fleetOf(2);
   for (const { id } of fleet.runners) {
-    fleet.loads.of(id).failed(fleet.now);
-    fleet.loads.of(id).failed(fleet.now);
+    fleet.loads.of(id).recordFailure(fleet.now);
+    fleet.loads.of(id).recordFailure(fleet.now);
   }
   assert.notEqual(chooseRunner(fleet, plain(), NONE), undefined);
   assert.equal(
--- a/packages/router/src/request/runner_tries.ts
+++ b/packages/router/src/request/runner_tries.ts
@@ -144,7 +144,7 @@
     }
     switch (sent.kind) {
       case "unsent":
-        if (!this.#progress.over) load.failed(now);
+        if (!this.#progress.over) load.recordFailure(now);
         return again(
           sent.reason,
           () => this.#own.refusal("runner_unreachable"),
@@ -155,7 +155,7 @@
         if (sent.head.load !== undefined) {
           load.recordReport(sent.head.load, now);
         }
-        if (sent.head.otherRunner) load.failed(now);
+        if (sent.head.otherRunner) load.recordFailure(now);
         return again(
           "refused by runner",
           () => this.#own.refusal("runner_full"),
@@ -186,7 +186,7 @@
     // The connection may have gone silent, and its siblings with it.
     if (!this.#caller.left) this.#daemon.connections.dropIdle(attempt.runner);
     if (!this.#progress.over) {
-      load.failed(this.#daemon.now());
+      load.recordFailure(this.#daemon.now());
       this.#daemon.connectionBroke(attempt.runner, run);
     }
     return this.#repeat(reason);
