--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -174,7 +174,7 @@
    *
    * @returns whether it had told anything.
    */
-  forget(neighbour: string): boolean {
+  removeNeighbour(neighbour: string): boolean {
     const share = this.#others.get(neighbour);
     if (share === undefined) return false;
     this.#others.delete(neighbour);
--- a/packages/router/src/process/runner_loads.ts
+++ b/packages/router/src/process/runner_loads.ts
@@ -57,7 +57,7 @@
    * @returns the ids of runners on which it had told load.
    */
   forget(neighbour: string): readonly string[] {
-    return this.known().filter((id) => this.of(id).forget(neighbour));
+    return this.known().filter((id) => this.of(id).removeNeighbour(neighbour));
   }
 
   /**
--- a/packages/router/src/request/room_wait_test.ts
+++ b/packages/router/src/request/room_wait_test.ts
@@ -144,7 +144,7 @@
   assert.equal(aheadTokens({ rank: 1, since: 4 }), 1_100);
   assert.equal(aheadTokens({ rank: 2, since: 0 }), 1_110);
   assert.equal(ahead({ rank: 2, since: 0 }).requests, 3);
-  load.forget("other");
+  load.removeNeighbour("other");
   assert.equal(aheadTokens({ rank: 2, since: 0 }), 10);
 });
 
