--- a/packages/router/src/connection/load_sums.ts
+++ b/packages/router/src/connection/load_sums.ts
@@ -51,7 +51,7 @@
 
   /** All loads that there are. */
   all(counts: Neighbours): readonly LoadShare[] {
-    return this.of(this.#loads.known(), counts).filter(isLoaded);
+    return this.of(this.#loads.ids(), counts).filter(isLoaded);
   }
 
   #sum(runner: string, counts: Neighbours, now: number): LoadShare {
--- a/packages/router/src/process/runner_loads.ts
+++ b/packages/router/src/process/runner_loads.ts
@@ -47,7 +47,7 @@
   }
 
   /** Ids of all runners with any load that is known. */
-  known(): readonly string[] {
+  ids(): readonly string[] {
     return [...this.#loads.keys()];
   }
 
@@ -57,7 +57,7 @@
    * @returns the ids of runners on which it had told load.
    */
   forget(neighbour: string): readonly string[] {
-    return this.known().filter((id) => this.of(id).removeNeighbour(neighbour));
+    return this.ids().filter((id) => this.of(id).removeNeighbour(neighbour));
   }
 
   /**
