--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -136,7 +136,7 @@
     const contacts = book.hasNews ? book.takeUpdates() : undefined;
     const outboxes = overlay.relays ? [this.#near, this.#all] : [this.#near];
     for (const outbox of outboxes) {
-      outbox.addRunners(changed, loads.waits);
+      outbox.addRunners(changed, loads.hasWaiting);
       outbox.addParts(parts);
       outbox.addCrashes(crashNews);
       outbox.addLimits(limitNews);
--- a/packages/router/src/connection/sharing.ts
+++ b/packages/router/src/connection/sharing.ts
@@ -305,7 +305,7 @@
       relayed: this.#overlay.relayed,
       domainSize: this.#counts.recent(performance.now()).domain,
       newer: this.#versions.news,
-      waits: this.#news.urgent || this.#known.loads.waits,
+      waits: this.#news.urgent || this.#known.loads.hasWaiting,
     };
   }
 
--- a/packages/router/src/process/runner_loads.ts
+++ b/packages/router/src/process/runner_loads.ts
@@ -28,7 +28,7 @@
   }
 
   /** Whether any request of this daemon waits for a runner to have room. */
-  get waits(): boolean {
+  get hasWaiting(): boolean {
     return this.#awaited.size > 0;
   }
 
