--- a/packages/router/src/process/runner_loads.ts
+++ b/packages/router/src/process/runner_loads.ts
@@ -33,7 +33,7 @@
   }
 
   /** How many requests of this daemon wait. */
-  get waiting(): number {
+  get waitingCount(): number {
     let count = 0;
     for (const id of this.#awaited) count += this.of(id).queue.waiting.length;
     return count;
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -231,7 +231,7 @@
     const settleMs = this.#daemon.propagationMs();
     const late = this.#daemon.now() > this.#turn.startBy;
     const spanMs = Math.max(
-      reviewMs(loads.waiting, settleMs),
+      reviewMs(loads.waitingCount, settleMs),
       late ? LATE_REVIEW_MS : 0,
     );
     const reviewAt = Math.min(until, this.#daemon.now() + spanMs);
