--- a/packages/router/src/process/runner_loads.ts
+++ b/packages/router/src/process/runner_loads.ts
@@ -73,7 +73,7 @@
 
   #noteChange(id: string): void {
     this.#changed.add(id);
-    if (this.#loads.get(id)?.queue.holdsOwn) this.#awaited.add(id);
+    if (this.#loads.get(id)?.queue.hasOwn) this.#awaited.add(id);
     else this.#awaited.delete(id);
     for (const listener of this.#listeners) listener();
   }
--- a/packages/router/src/process/runner_queue.ts
+++ b/packages/router/src/process/runner_queue.ts
@@ -64,7 +64,7 @@
   }
 
   /** Whether requests of this daemon wait for room. */
-  get holdsOwn(): boolean {
+  get hasOwn(): boolean {
     return this.#own.size > 0;
   }
 
