--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -18,7 +18,7 @@
 }
 
 /** A request of this daemon that is at a runner. */
-export interface Placed {
+export interface PlacedRequest {
   /** Prompt tokens that the runner has to read, as estimated. */
   readonly unreadTokens: number;
   /** Tokens of its prompt and of the longest answer. */
@@ -45,8 +45,8 @@
 
 /** One runner as this daemon sees it. */
 export class RunnerLoad {
-  readonly #placed = new Set<Placed>();
-  readonly #starting = new Set<Placed>();
+  readonly #placed = new Set<PlacedRequest>();
+  readonly #starting = new Set<PlacedRequest>();
   /** Loads of other daemons, by the neighbour that tells their sum. */
   readonly #others = new Map<string, LoadTotals>();
   /** Counts of answers as the neighbours told them last. */
@@ -100,7 +100,7 @@
   }
 
   /** Counts a request that is about to be sent. */
-  place(placed: Placed, now: number): void {
+  place(placed: PlacedRequest, now: number): void {
     if (this.#own.inFlight === 0) this.#heardAt = now;
     this.#placed.add(placed);
     this.#starting.add(placed);
@@ -115,7 +115,7 @@
   }
 
   /** Its prompt has been read: the first event came. */
-  started(placed: Placed): void {
+  started(placed: PlacedRequest): void {
     if (!this.#starting.delete(placed)) return;
     this.#change({ ...NO_LOAD, unreadTokens: -placed.unreadTokens });
   }
@@ -126,7 +126,7 @@
   }
 
   /** It is no longer at the runner. */
-  release(placed: Placed): void {
+  release(placed: PlacedRequest): void {
     this.started(placed);
     if (!this.#placed.delete(placed)) return;
     this.#change({
--- a/packages/router/src/request/answer_relay.ts
+++ b/packages/router/src/request/answer_relay.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { BrokenRun } from "../connection/crash_detector.ts";
-import type { Placed, RunnerLoad } from "../process/runner_load.ts";
+import type { PlacedRequest, RunnerLoad } from "../process/runner_load.ts";
 import type { Attempt, Sent } from "./attempt.ts";
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
@@ -26,7 +26,7 @@
 /** What belongs to one try. */
 export interface TryParts {
   readonly load: RunnerLoad;
-  readonly placed: Placed;
+  readonly placed: PlacedRequest;
   readonly attempt: Attempt;
   readonly silence: Silence;
   /** Steady ms. */
--- a/packages/router/src/request/room_wait_test.ts
+++ b/packages/router/src/request/room_wait_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { RunnerLoads } from "../process/runner_loads.ts";
-import type { Placed } from "../process/runner_load.ts";
+import type { PlacedRequest } from "../process/runner_load.ts";
 import type { Turn } from "../process/runner_queue.ts";
 import { RoomWait } from "./room_wait.ts";
 
@@ -46,7 +46,7 @@
 function sendWhatFits(daemon: Daemon, options: {
   readonly now: number;
   readonly settleMs: number;
-  readonly sent: { readonly daemon: Daemon; readonly placed: Placed }[];
+  readonly sent: { readonly daemon: Daemon; readonly placed: PlacedRequest }[];
 }): void {
   const { now, settleMs, sent } = options;
   const load = daemon.loads.of("r");
@@ -77,7 +77,8 @@
     { length: DAEMONS },
     (_, index) => daemonWith(`d-${index}`, 4, index * 4),
   );
-  const unread: { readonly daemon: Daemon; readonly placed: Placed }[] = [];
+  const unread: { readonly daemon: Daemon; readonly placed: PlacedRequest }[] =
+    [];
   let budget = 0;
   let mostTokens = 0;
   // The requests waited elsewhere, and all see at once that this one is free.
--- a/packages/router/src/request/runner_tries.ts
+++ b/packages/router/src/request/runner_tries.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Buffer } from "node:buffer";
-import type { Placed } from "../process/runner_load.ts";
+import type { PlacedRequest } from "../process/runner_load.ts";
 import { AnswerRelay } from "./answer_relay.ts";
 import type { Passed, TryParts } from "./answer_relay.ts";
 import type { Attempt, Sent } from "./attempt.ts";
@@ -73,7 +73,7 @@
     const { runner } = choice;
     const { fingerprint, leftMs } = this.#progress;
     const load = this.#daemon.loads.of(runner.id);
-    const placed: Placed = {
+    const placed: PlacedRequest = {
       unreadTokens: choice.unreadTokens,
       memoryTokens: call.promptTokens + call.answerTokens,
       tight: choice.tight,
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -37,7 +37,7 @@
 import { RunnerDirectory } from "../src/process/runner_directory.ts";
 import { RunnerLimits } from "../src/process/runner_limits.ts";
 import { RunnerLoads } from "../src/process/runner_loads.ts";
-import type { Placed } from "../src/process/runner_load.ts";
+import type { PlacedRequest } from "../src/process/runner_load.ts";
 import { UsageMeter } from "../src/process/usage_meter.ts";
 import type { Configuration } from "../src/version/configuration.ts";
 import type { TestContext } from "node:test";
@@ -452,7 +452,7 @@
     };
   }
 
-  place(runner: string): Placed {
+  place(runner: string): PlacedRequest {
     const placed = { ...ROOM };
     this.loads.of(runner).place(placed, performance.now());
     return placed;
