--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -115,7 +115,7 @@
   }
 
   /** Its prompt has been read: the first event came. */
-  started(placed: PlacedRequest): void {
+  recordFirstEvent(placed: PlacedRequest): void {
     if (!this.#starting.delete(placed)) return;
     this.#change({ ...NO_LOAD, unreadTokens: -placed.unreadTokens });
   }
@@ -127,7 +127,7 @@
 
   /** It is no longer at the runner. */
   release(placed: PlacedRequest): void {
-    this.started(placed);
+    this.recordFirstEvent(placed);
     if (!this.#placed.delete(placed)) return;
     this.#change({
       ...NO_LOAD,
--- a/packages/router/src/process/runner_load_test.ts
+++ b/packages/router/src/process/runner_load_test.ts
@@ -26,7 +26,7 @@
     answered: 0,
     failed: 0,
   });
-  load.started(PLACED);
+  load.recordFirstEvent(PLACED);
   assert.equal(load.all.unreadTokens, 0);
   assert.equal(load.all.workTokens, 100);
   load.release(PLACED);
@@ -102,7 +102,7 @@
     now: 0,
   });
   load.place(PLACED, 0);
-  load.started(PLACED);
+  load.recordFirstEvent(PLACED);
   load.recordActivity(100);
   assert.equal(load.ejected(900), false);
   assert.equal(load.ejected(1_100), true);
--- a/packages/router/src/request/answer_relay.ts
+++ b/packages/router/src/request/answer_relay.ts
@@ -170,7 +170,7 @@
   #begin(subject: Subject, sent: Answer, parts: TryParts): void {
     const { load, placed, attempt } = parts;
     this.#daemon.began(subject);
-    load.started(placed);
+    load.recordFirstEvent(placed);
     load.succeeded();
     const { prompt } = subject.call;
     this.#daemon.prefixes.read(attempt.runner.id, prompt, this.#daemon.now());
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -160,7 +160,7 @@
     };
     const load = fleet.loads.of(choice.runner.id);
     load.place(placed, fleet.now);
-    if (options.read) load.started(placed);
+    if (options.read) load.recordFirstEvent(placed);
   }
   return started;
 }
