--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -226,7 +226,7 @@
   }
 
   /** An answer came that shows that the runner works. */
-  succeeded(): void {
+  recordSuccess(): void {
     this.#failures = 0;
     this.#ejectedUntil = 0;
   }
--- a/packages/router/src/process/runner_load_test.ts
+++ b/packages/router/src/process/runner_load_test.ts
@@ -58,7 +58,7 @@
   assert.equal(load.ejected(600), false);
   load.recordFailure(600);
   assert.equal(load.ejected(1_500), true);
-  load.succeeded();
+  load.recordSuccess();
   assert.equal(load.ejected(1_500), false);
 });
 
--- a/packages/router/src/request/answer_relay.ts
+++ b/packages/router/src/request/answer_relay.ts
@@ -104,7 +104,7 @@
     if (whole.kind !== "whole") {
       return this.#brokeOff(parts, "answer broke off", whole.kind);
     }
-    parts.load.succeeded();
+    parts.load.recordSuccess();
     const failed = status >= FIRST_SERVER_ERROR;
     parts.load.recordAnswer(failed, this.#daemon.now());
     const answer = () =>
@@ -171,7 +171,7 @@
     const { load, placed, attempt } = parts;
     this.#daemon.began(subject);
     load.recordFirstEvent(placed);
-    load.succeeded();
+    load.recordSuccess();
     const { prompt } = subject.call;
     this.#daemon.prefixes.read(attempt.runner.id, prompt, this.#daemon.now());
     this.#caller.beginStream(sent.status, sent.incoming.rawHeaders);
