--- a/packages/router/src/connection/load_sums_test.ts
+++ b/packages/router/src/connection/load_sums_test.ts
@@ -60,5 +60,5 @@
   load.setNeighbourLoad("child", { ...NO_LOAD, answered: 400, failed: 100 }, {
     now: 2,
   });
-  assert.equal(load.all.answered, 10);
+  assert.equal(load.total.answered, 10);
 });
--- a/packages/router/src/process/autoscaler.ts
+++ b/packages/router/src/process/autoscaler.ts
@@ -188,7 +188,7 @@
   /** How many runners' worth of work there is at this moment. */
   #busy({ engine }: ScaledService, ready: readonly Runner[]): number {
     return ready.reduce((sum, { id, slots }) => {
-      const { inFlight, unreadTokens } = this.#sources.loads.of(id).all;
+      const { inFlight, unreadTokens } = this.#sources.loads.of(id).total;
       const reads = engine !== undefined && unreadTokens > 0;
       return sum + (reads ? 1 : Math.min(1, inFlight / slots));
     }, 0);
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -76,7 +76,7 @@
   }
 
   /** Load of all daemons, as far as they have told. */
-  get all(): LoadTotals {
+  get total(): LoadTotals {
     return this.#all;
   }
 
--- a/packages/router/src/process/runner_load_test.ts
+++ b/packages/router/src/process/runner_load_test.ts
@@ -17,7 +17,7 @@
 test("load ends in steps: the prompt is read, then the request is over", () => {
   const load = new RunnerLoads().of("r-1");
   load.place(PLACED, 0);
-  assert.deepEqual(load.all, {
+  assert.deepEqual(load.total, {
     inFlight: 1,
     unreadTokens: 100,
     workTokens: 100,
@@ -27,11 +27,11 @@
     failed: 0,
   });
   load.recordFirstEvent(PLACED);
-  assert.equal(load.all.unreadTokens, 0);
-  assert.equal(load.all.workTokens, 100);
+  assert.equal(load.total.unreadTokens, 0);
+  assert.equal(load.total.workTokens, 100);
   load.release(PLACED);
   load.release(PLACED);
-  assert.deepEqual(Object.values(load.all), [0, 0, 0, 0, 0, 0, 0]);
+  assert.deepEqual(Object.values(load.total), [0, 0, 0, 0, 0, 0, 0]);
 });
 
 // A daemon dies with requests at a runner. Counted for ever, they would keep
@@ -42,9 +42,9 @@
   loads.of("r-1").setNeighbourLoad("host-2", { ...SHARE, inFlight: 3 }, {
     now: 0,
   });
-  assert.equal(loads.of("r-1").all.inFlight, 3);
+  assert.equal(loads.of("r-1").total.inFlight, 3);
   loads.forget("host-2");
-  assert.equal(loads.of("r-1").all.inFlight, 0);
+  assert.equal(loads.of("r-1").total.inFlight, 0);
 });
 
 // A runner goes dark. Without a pause, each request of its share would wait for
--- a/packages/router/src/process/runner_loads.ts
+++ b/packages/router/src/process/runner_loads.ts
@@ -66,7 +66,7 @@
    */
   retain(ids: ReadonlySet<string>): void {
     for (const [id, load] of this.#loads) {
-      if (ids.has(id) || load.all.inFlight > 0) continue;
+      if (ids.has(id) || load.total.inFlight > 0) continue;
       if (load.queue.waiting.length === 0) this.#loads.delete(id);
     }
   }
--- a/packages/router/src/request/admission.ts
+++ b/packages/router/src/request/admission.ts
@@ -54,7 +54,7 @@
   runner: Runner,
 ): boolean {
   const load = fleet.loads.of(runner.id);
-  const { workTokens, unreadTokens, inFlight, memoryTokens } = load.all;
+  const { workTokens, unreadTokens, inFlight, memoryTokens } = load.total;
   const ahead = load.queue.ahead(demand.turn, fleet.now);
   const { engine, ranksBelow } = demand;
   const above = Math.min(MAX_STEPS, ranksBelow);
@@ -78,7 +78,7 @@
   demand: Demand,
   runner: Runner,
 ): boolean {
-  const { tight, unreadTokens } = fleet.loads.of(runner.id).all;
+  const { tight, unreadTokens } = fleet.loads.of(runner.id).total;
   if (tight === 0) return false;
   const { prompt, promptTokens } = demand;
   const cached = fleet.prefixes.cachedTokens(runner.id, prompt, fleet.now);
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -23,7 +23,7 @@
   const { choice, waitedMs, inTime } = overload;
   const pace = daemon.pace(subject.service.name)
     .msPerToken(choice.runner.id, daemon.now());
-  const { all } = daemon.loads.of(choice.runner.id);
+  const { total: all } = daemon.loads.of(choice.runner.id);
   daemon.log.decision("overload_found", subject.call.id, {
     service: subject.service.name,
     runner: choice.runner.id,
@@ -75,8 +75,8 @@
     runner: runner.id,
     rank: subject.rank,
     candidates,
-    in_flight: load.all.inFlight,
-    backlog_tokens: load.all.unreadTokens,
+    in_flight: load.total.inFlight,
+    backlog_tokens: load.total.unreadTokens,
     ahead_tokens: load.queue.ahead(wait.turn, daemon.now()).unreadTokens,
     unread_tokens: unreadTokens,
     runners_age_ms: Math.round(daemon.runnersAgeMs()),
@@ -120,11 +120,11 @@
     runner: choice.runner.id,
     reason: choice.reason,
     candidates: choice.candidates,
-    in_flight: load.all.inFlight,
+    in_flight: load.total.inFlight,
     reported: load.requests(daemon.now()),
     limit_per_s: daemon.limits.of(choice.runner.id),
     failed_percent: Math.round(100 * load.failureShare(daemon.now())),
-    backlog_tokens: load.all.unreadTokens,
+    backlog_tokens: load.total.unreadTokens,
     unread_tokens: choice.unreadTokens,
     fetch_from: choice.fetchFrom?.id,
     prompt_tokens: call.promptTokens,
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -181,7 +181,7 @@
   const fleet = fleetOf(4);
   startBurst(fleet, { read: false });
   const urgent = chooseRunner(fleet, tightStream("y"), NONE)!;
-  const { unreadTokens } = fleet.loads.of(urgent.runner.id).all;
+  const { unreadTokens } = fleet.loads.of(urgent.runner.id).total;
   assert.ok(unreadTokens / 50 < 1_000, `${unreadTokens} tokens ahead`);
 });
 
@@ -194,9 +194,9 @@
   const kept = new Set(
     placeAll(fleet, replies.map(tightStream)).map(({ runner }) => runner.id),
   );
-  const before = [...kept].map((id) => fleet.loads.of(id).all.unreadTokens);
+  const before = [...kept].map((id) => fleet.loads.of(id).total.unreadTokens);
   assert.ok(startBurst(fleet, { read: false }) < 100);
-  const after = [...kept].map((id) => fleet.loads.of(id).all.unreadTokens);
+  const after = [...kept].map((id) => fleet.loads.of(id).total.unreadTokens);
   assert.deepEqual(after, before);
 });
 
--- a/packages/router/src/request/room_wait_test.ts
+++ b/packages/router/src/request/room_wait_test.ts
@@ -52,7 +52,7 @@
   const load = daemon.loads.of("r");
   for (const request of [...daemon.held]) {
     const turn = { rank: 0, since: request.since, startBy: Infinity };
-    const ahead = load.all.unreadTokens +
+    const ahead = load.total.unreadTokens +
       load.queue.ahead(turn, now).unreadTokens;
     const room = ahead <= FULL_TOKENS;
     if (room && request.wait.maySend(load, { now, settleMs })) {
--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -145,17 +145,17 @@
   const againMs = readMs(Math.max(0, promisedTokens - held));
   const tight = isTight(demand);
   const waitMs = readMs(
-    load.all.unreadTokens +
+    load.total.unreadTokens +
       load.queue.ahead(demand.turn, fleet.now).unreadTokens,
   );
   const ownMs = readMs(unreadTokens) + (fetches ? fetchMs + FETCH_MS : 0);
   const away = atHome ? 0 : holder === undefined ? AWAY_UNKNOWN_MS : AWAY_MS;
   const misplaced = misplacedMs(demand, kept);
   const harm = !tight && waitMs + ownMs > BEARABLE_MS
-    ? TIGHT_STREAM_MS * load.all.tight
+    ? TIGHT_STREAM_MS * load.total.tight
     : 0;
-  const fill = load.all.inFlight / demand.engine!.slots;
-  const batch = load.all.inFlight * BESIDE_MS + CROWD_MS * fill ** 2;
+  const fill = load.total.inFlight / demand.engine!.slots;
+  const batch = load.total.inFlight * BESIDE_MS + CROWD_MS * fill ** 2;
   const slow = runner.warmUpMs > 0 ? WARM_UP_FACTOR : 1;
   const stays = demand.waitsFor === runner.id ? STAY_MS : 0;
   const costMs = slow * (waitMs + WORK_WEIGHT * ownMs) +
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -460,7 +460,7 @@
 
   /** Requests of all daemons at a runner, as this one believes. */
   believes(runner: string): number {
-    return this.loads.of(runner).all.inFlight;
+    return this.loads.of(runner).total.inFlight;
   }
 
   #adopt(configuration: Configuration): void {
--- a/packages/router/tests/restart_test.ts
+++ b/packages/router/tests/restart_test.ts
@@ -70,7 +70,7 @@
   const prefixes = new PrefixRecord();
   prefixes.take({ runner: runnerId("a", 100), parts: PROMPT, read: true }, 0);
   const after = runnerId("a", 200);
-  assert.equal(ahead.of(after).all.inFlight, 0);
+  assert.equal(ahead.of(after).total.inFlight, 0);
   assert.equal(prefixes.cachedTokens(after, PROMPT, 1), 0);
 });
 
@@ -81,7 +81,7 @@
   const share = { ...loads.of("b").own, inFlight: 3 };
   loads.of(runnerId("a", 200)).setNeighbourLoad("host-2", share, { now: 0 });
   loads.retain(new Set([runnerId("a", 100)]));
-  assert.equal(loads.of(runnerId("a", 200)).all.inFlight, 3);
+  assert.equal(loads.of(runnerId("a", 200)).total.inFlight, 3);
 });
 
 // A runner is gone and its address belongs to another service by now, under
