--- a/packages/router/src/connection/load_sums_test.ts
+++ b/packages/router/src/connection/load_sums_test.ts
@@ -51,7 +51,7 @@
   load.setNeighbourLoad("child", { ...NO_LOAD, answered: 900, failed: 300 }, {
     now: 0,
   });
-  assert.equal(load.failureShare(0), 0);
+  assert.equal(load.failureRate(0), 0);
   load.setNeighbourLoad("child", { ...NO_LOAD, answered: 910, failed: 300 }, {
     now: 1,
   });
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -214,7 +214,7 @@
   }
 
   /** Part of the whole answers to all daemons that were failures lately. */
-  failureShare(now: number): number {
+  failureRate(now: number): number {
     return this.#failureRate.share(now);
   }
 
--- a/packages/router/src/process/runner_load_test.ts
+++ b/packages/router/src/process/runner_load_test.ts
@@ -115,10 +115,10 @@
   load.setNeighbourLoad("host-2", { ...SHARE, answered: 900, failed: 300 }, {
     now: 0,
   });
-  assert.equal(load.failureShare(0), 0, "those may be from hours ago");
+  assert.equal(load.failureRate(0), 0, "those may be from hours ago");
   load.setNeighbourLoad("host-2", { ...SHARE, answered: 908, failed: 308 }, {
     now: 9,
   });
-  assert.ok(load.failureShare(9) > 0.5);
-  assert.ok(load.failureShare(20_000) < 0.05, "and they are forgotten");
+  assert.ok(load.failureRate(9) > 0.5);
+  assert.ok(load.failureRate(20_000) < 0.05, "and they are forgotten");
 });
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -123,7 +123,7 @@
     in_flight: load.total.inFlight,
     reported: load.requests(daemon.now()),
     limit_per_s: daemon.limits.of(choice.runner.id),
-    failed_percent: Math.round(100 * load.failureShare(daemon.now())),
+    failed_percent: Math.round(100 * load.failureRate(daemon.now())),
     backlog_tokens: load.total.unreadTokens,
     unread_tokens: choice.unreadTokens,
     fetch_from: choice.fetchFrom?.id,
