--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -252,7 +252,7 @@
    * nothing on all that is there. What is there goes on, as silence alone is no
    * reason to break it off; but more requests would only wait beside it.
    */
-  ejected(now: number): boolean {
+  isEjected(now: number): boolean {
     if (now < this.#ejectedUntil) return true;
     return this.#own.inFlight > 0 && now - this.#heardAt > this.#silenceMs();
   }
--- a/packages/router/src/process/runner_load_test.ts
+++ b/packages/router/src/process/runner_load_test.ts
@@ -52,14 +52,14 @@
 test("a runner that fails twice rests, longer each time, and comes back", () => {
   const load = new RunnerLoads().of("r-1");
   load.recordFailure(0);
-  assert.equal(load.ejected(1), false);
+  assert.equal(load.isEjected(1), false);
   load.recordFailure(0);
-  assert.equal(load.ejected(400), true);
-  assert.equal(load.ejected(600), false);
+  assert.equal(load.isEjected(400), true);
+  assert.equal(load.isEjected(600), false);
   load.recordFailure(600);
-  assert.equal(load.ejected(1_500), true);
+  assert.equal(load.isEjected(1_500), true);
   load.recordSuccess();
-  assert.equal(load.ejected(1_500), false);
+  assert.equal(load.isEjected(1_500), false);
 });
 
 // A runner goes dark with kept connections open: requests that are sent on them
@@ -67,14 +67,14 @@
 test("a runner that says nothing on all it has gets no more", () => {
   const load = new RunnerLoads().of("r-1");
   load.place(PLACED, 5_000);
-  assert.equal(load.ejected(5_500), false);
-  assert.equal(load.ejected(6_000), true);
+  assert.equal(load.isEjected(5_500), false);
+  assert.equal(load.isEjected(6_000), true);
   load.recordActivity(6_100);
-  assert.equal(load.ejected(6_200), false);
+  assert.equal(load.isEjected(6_200), false);
   load.release(PLACED);
-  assert.equal(load.ejected(60_000), false);
+  assert.equal(load.isEjected(60_000), false);
   load.place(PLACED, 60_000);
-  assert.equal(load.ejected(60_100), false);
+  assert.equal(load.isEjected(60_100), false);
 });
 
 // In a burst callers wait for prompts that were read before and are read again.
@@ -86,12 +86,12 @@
   const others = { ...SHARE, unreadTokens: 50_000 };
   load.setNeighbourLoad("host-2", others, { now: 0 });
   load.place(PLACED, 0);
-  assert.equal(load.ejected(1_500), false);
-  assert.equal(load.ejected(2_500), true);
+  assert.equal(load.isEjected(1_500), false);
+  assert.equal(load.isEjected(2_500), true);
   load.setNeighbourLoad("host-2", { ...others, unreadTokens: 40_000 }, {
     now: 2_500,
   });
-  assert.equal(load.ejected(2_500), false, "it has read one of the prompts");
+  assert.equal(load.isEjected(2_500), false, "it has read one of the prompts");
 });
 
 // The same runner has begun to answer: now it owes an event each 250 ms, however
@@ -104,8 +104,8 @@
   load.place(PLACED, 0);
   load.recordFirstEvent(PLACED);
   load.recordActivity(100);
-  assert.equal(load.ejected(900), false);
-  assert.equal(load.ejected(1_100), true);
+  assert.equal(load.isEjected(900), false);
+  assert.equal(load.isEjected(1_100), true);
 });
 
 // One of three runners begins to fail. Each daemon has an answer of it every two
--- a/packages/router/src/request/placement.ts
+++ b/packages/router/src/request/placement.ts
@@ -51,7 +51,9 @@
   const left = fleet.runners.filter(({ id }) =>
     !excluded.has(id) && (!limits.any || limits.mayTake(id, now))
   );
-  const sound = left.filter(({ id }) => !fleet.loads.of(id).ejected(fleet.now));
+  const sound = left.filter(({ id }) =>
+    !fleet.loads.of(id).isEjected(fleet.now)
+  );
   // All at once look dead mostly when this daemon is cut off, or wrong.
   return sound.length > 0 ? sound : left;
 }
--- a/packages/router/tests/restart_test.ts
+++ b/packages/router/tests/restart_test.ts
@@ -43,7 +43,7 @@
   await until(() => router.ready);
   for (let tries = 0; tries < 2; tries++) await call(router);
   const before = runnerId("a", 100);
-  assert.ok(router.loads.of(before).ejected(router.now()));
+  assert.ok(router.loads.of(before).isEjected(router.now()));
   broken = false;
   runners.set([lifeOf(played, 200)]);
   const after = runnerId("a", 200);
