--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -207,7 +207,7 @@
   }
 
   /** Requests at the runner, as far as known. */
-  requests(now: number): number {
+  requestCount(now: number): number {
     const report = this.#freshReport(now);
     if (report === undefined) return this.#all.inFlight;
     return Math.max(this.#all.inFlight, report.running + report.waiting);
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -121,7 +121,7 @@
     reason: choice.reason,
     candidates: choice.candidates,
     in_flight: load.total.inFlight,
-    reported: load.requests(daemon.now()),
+    reported: load.requestCount(daemon.now()),
     limit_per_s: daemon.limits.of(choice.runner.id),
     failed_percent: Math.round(100 * load.failureRate(daemon.now())),
     backlog_tokens: load.total.unreadTokens,
--- a/packages/router/src/request/placement.ts
+++ b/packages/router/src/request/placement.ts
@@ -64,7 +64,7 @@
     const far = runner.failureDomain === fleet.failureDomain
       ? 0
       : DOMAIN_PENALTY;
-    const requests = load.requests(fleet.now);
+    const requests = load.requestCount(fleet.now);
     const slow = runner.warmUpMs > 0 ? WARM_UP_FACTOR : 1;
     const vain = 1 + FAILED_WEIGHT * load.failureRate(fleet.now);
     return slow * vain * (1 + requests + far + load.failures) /
