--- a/packages/router/src/connection/apply_update.ts
+++ b/packages/router/src/connection/apply_update.ts
@@ -48,7 +48,7 @@
   if (lease !== undefined) {
     known.lease?.hear({ ...lease, at: now - lease.agoMs });
   }
-  const changed = new Set(whole ? known.loads.forget(neighbour) : []);
+  const changed = new Set(whole ? known.loads.removeNeighbour(neighbour) : []);
   for (const share of loads) {
     changed.add(share.runner);
     takeLoad(known.loads, neighbour, { share, now });
--- a/packages/router/src/connection/sharing.ts
+++ b/packages/router/src/connection/sharing.ts
@@ -287,7 +287,7 @@
 
   /** Forgets what a neighbour told, and has others forget it. */
   #forget(peer: Peer, role?: Role): void {
-    const changed = this.#known.loads.forget(peer.name);
+    const changed = this.#known.loads.removeNeighbour(peer.name);
     this.#known.time.forget(peer.name);
     this.#counts.forget(peer.name);
     this.#countsChanged ||= this.#overlay.relayed;
--- a/packages/router/src/process/runner_load_test.ts
+++ b/packages/router/src/process/runner_load_test.ts
@@ -43,7 +43,7 @@
     now: 0,
   });
   assert.equal(loads.of("r-1").total.inFlight, 3);
-  loads.forget("host-2");
+  loads.removeNeighbour("host-2");
   assert.equal(loads.of("r-1").total.inFlight, 0);
 });
 
--- a/packages/router/src/process/runner_loads.ts
+++ b/packages/router/src/process/runner_loads.ts
@@ -56,7 +56,7 @@
    *
    * @returns the ids of runners on which it had told load.
    */
-  forget(neighbour: string): readonly string[] {
+  removeNeighbour(neighbour: string): readonly string[] {
     return this.ids().filter((id) => this.of(id).removeNeighbour(neighbour));
   }
 
