--- a/packages/router/src/process/limit_waits.ts
+++ b/packages/router/src/process/limit_waits.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { goesBefore } from "./runner_queue.ts";
-import type { Turn } from "./runner_queue.ts";
+import type { QueueKey } from "./runner_queue.ts";
 
 /**
  * The requests of this daemon that wait for runners of one service, all of which
@@ -12,19 +12,19 @@
  * without an order a less urgent one would get it.
  */
 export class LimitWaits {
-  readonly #turns = new Set<Turn>();
+  readonly #turns = new Set<QueueKey>();
 
   /** Waits from now on; {@linkcode leave} ends it. */
-  join(turn: Turn): void {
+  join(turn: QueueKey): void {
     this.#turns.add(turn);
   }
 
-  leave(turn: Turn): void {
+  leave(turn: QueueKey): void {
     this.#turns.delete(turn);
   }
 
   /** Whether no request that waits goes before this one. */
-  isFirst(turn: Turn, now: number): boolean {
+  isFirst(turn: QueueKey, now: number): boolean {
     for (const each of this.#turns) {
       if (each !== turn && goesBefore(each, turn, now)) return false;
     }
--- a/packages/router/src/process/runner_queue.ts
+++ b/packages/router/src/process/runner_queue.ts
@@ -5,7 +5,7 @@
  */
 
 /** Order of requests that wait for the same runner. */
-export interface Turn {
+export interface QueueKey {
   /** 0 is the most urgent and goes first. */
   readonly rank: number;
   /** When the request came, in steady ms of this daemon; the oldest goes first. */
@@ -18,7 +18,7 @@
 }
 
 /** A request that waits until a runner has room, or a few that are told as one. */
-export interface Waiting extends Turn {
+export interface Waiting extends QueueKey {
   /** How many requests it stands for. */
   readonly requests: number;
   /** Prompt tokens that the runner will have to read for them. */
@@ -37,7 +37,11 @@
  * in a burst that engines cannot serve whole: each is sent when its own target
  * has passed, and half of what is served is of little use to its caller.
  */
-export function goesBefore(one: Turn, other: Turn, now: number): boolean {
+export function goesBefore(
+  one: QueueKey,
+  other: QueueKey,
+  now: number,
+): boolean {
   if (one.rank !== other.rank) return one.rank < other.rank;
   const late = one.startBy < now;
   if (late !== other.startBy < now) return !late;
@@ -96,7 +100,7 @@
    * that holds a request would send it at the moment when the runner has room:
    * ten prompts at once, then none for seconds.
    */
-  ahead(turn: Turn, now: number): Ahead {
+  ahead(turn: QueueKey, now: number): Ahead {
     let requests = 0;
     let unreadTokens = 0;
     for (const list of [this.#own, ...this.#others.values()]) {
--- a/packages/router/src/request/admission_test.ts
+++ b/packages/router/src/request/admission_test.ts
@@ -3,7 +3,7 @@
 import { noLimits } from "../../tests/fixtures.ts";
 import { PrefixRecord } from "../process/prefix_record.ts";
 import type { Runner } from "../process/runner.ts";
-import type { Turn } from "../process/runner_queue.ts";
+import type { QueueKey } from "../process/runner_queue.ts";
 import { RunnerLoads } from "../process/runner_loads.ts";
 import { isOverloaded } from "./admission.ts";
 import type { Demand, Fleet } from "./demand.ts";
@@ -23,7 +23,7 @@
   warmUpMs: 0,
 };
 
-function turnOf(rank: number, since: number, startBy = Infinity): Turn {
+function turnOf(rank: number, since: number, startBy = Infinity): QueueKey {
   return { rank, since, startBy };
 }
 
@@ -106,7 +106,7 @@
   for (const turn of [late, onTime]) {
     queue.join({ ...turn, requests: 1, unreadTokens: 300 });
   }
-  const admits = (turn: Turn) =>
+  const admits = (turn: QueueKey) =>
     !isOverloaded(fleet, demandOf({ turn }), RUNNER);
   assert.equal(admits(late), false);
   assert.equal(admits(onTime), true);
--- a/packages/router/src/request/demand.ts
+++ b/packages/router/src/request/demand.ts
@@ -7,7 +7,7 @@
 import type { Runner } from "../process/runner.ts";
 import type { RunnerLimits } from "../process/runner_limits.ts";
 import type { RunnerLoads } from "../process/runner_loads.ts";
-import type { Turn } from "../process/runner_queue.ts";
+import type { QueueKey } from "../process/runner_queue.ts";
 import type { Engine } from "../version/configuration.ts";
 
 /** What a request asks of a runner. */
@@ -23,7 +23,7 @@
   readonly targetMs: number;
   readonly gapTargetMs: number | undefined;
   /** Where it stands among requests that wait for the same runner. */
-  readonly turn: Turn;
+  readonly turn: QueueKey;
   /** Id of the runner that it waits for. */
   readonly waitsFor: string | undefined;
   /** Kinds of requests that are less urgent. */
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Quarantine } from "../process/crash_record.ts";
-import type { Turn } from "../process/runner_queue.ts";
+import type { QueueKey } from "../process/runner_queue.ts";
 import type { Daemon } from "./daemon.ts";
 import type { Choice } from "./placement.ts";
 import type { Subject } from "./subject.ts";
@@ -66,7 +66,7 @@
 export function logWait(
   daemon: Daemon,
   subject: Subject,
-  wait: { readonly choice: Choice; readonly turn: Turn },
+  wait: { readonly choice: Choice; readonly turn: QueueKey },
 ): void {
   const { runner, candidates, unreadTokens } = wait.choice;
   const load = daemon.loads.of(runner.id);
--- a/packages/router/src/request/room_wait.ts
+++ b/packages/router/src/request/room_wait.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { RunnerLoad } from "../process/runner_load.ts";
-import type { Turn, Waiting } from "../process/runner_queue.ts";
+import type { QueueKey, Waiting } from "../process/runner_queue.ts";
 
 interface Place {
   readonly runner: string;
@@ -23,10 +23,10 @@
  * while its streams get a token each 40 ms and run into their timeouts.
  */
 export class RoomWait {
-  readonly #turn: Turn;
+  readonly #turn: QueueKey;
   #place: Place | undefined;
 
-  constructor(turn: Turn) {
+  constructor(turn: QueueKey) {
     this.#turn = turn;
   }
 
--- a/packages/router/src/request/room_wait_test.ts
+++ b/packages/router/src/request/room_wait_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { RunnerLoads } from "../process/runner_loads.ts";
 import type { PlacedRequest } from "../process/runner_load.ts";
-import type { Turn } from "../process/runner_queue.ts";
+import type { QueueKey } from "../process/runner_queue.ts";
 import { RoomWait } from "./room_wait.ts";
 
 const DAEMONS = 8;
@@ -124,9 +124,10 @@
 
 test("the oldest of the most urgent goes first, whatever daemon it is at", () => {
   const load = new RunnerLoads().of("r");
-  const ahead = (turn: Omit<Turn, "startBy">) =>
+  const ahead = (turn: Omit<QueueKey, "startBy">) =>
     load.queue.ahead({ ...turn, startBy: Infinity }, 0);
-  const aheadTokens = (turn: Omit<Turn, "startBy">) => ahead(turn).unreadTokens;
+  const aheadTokens = (turn: Omit<QueueKey, "startBy">) =>
+    ahead(turn).unreadTokens;
   load.queue.join({
     rank: 1,
     since: 5,
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -5,7 +5,7 @@
  */
 import type { LimitWaits } from "../process/limit_waits.ts";
 import type { Runner } from "../process/runner.ts";
-import type { Turn } from "../process/runner_queue.ts";
+import type { QueueKey } from "../process/runner_queue.ts";
 import type { Daemon } from "./daemon.ts";
 import type { Demand } from "./demand.ts";
 import { logLimited, logOverload, logWait } from "./exchange_log.ts";
@@ -75,7 +75,7 @@
   readonly #daemon: Daemon;
   readonly #subject: Subject;
   readonly #limits: SearchLimits;
-  readonly #turn: Turn;
+  readonly #turn: QueueKey;
 
   constructor(daemon: Daemon, subject: Subject, limits: SearchLimits) {
     this.#daemon = daemon;
