--- a/packages/router/src/connection/load_sums.ts
+++ b/packages/router/src/connection/load_sums.ts
@@ -6,7 +6,7 @@
 import { groupBy } from "../process/group.ts";
 import type { RunnerLoads } from "../process/runner_loads.ts";
 import { goesBefore } from "../process/runner_queue.ts";
-import type { Neighbours, Waiting } from "../process/runner_queue.ts";
+import type { Neighbours, WaitingEntry } from "../process/runner_queue.ts";
 import type { LoadShare, WaitingNews } from "./peer_message.ts";
 
 /** Milliseconds told of a request without target. */
@@ -69,7 +69,7 @@
   return inFlight > 0 || answered > 0 || waiting.length > 0;
 }
 
-function newsOf(waiting: Waiting, now: number): WaitingNews {
+function newsOf(waiting: WaitingEntry, now: number): WaitingNews {
   const { rank, since, startBy, requests, unreadTokens } = waiting;
   return {
     rank,
@@ -82,9 +82,9 @@
 
 /** The same requests in few entries: the first ones, then one for each rank. */
 function inFewEntries(
-  waiting: readonly Waiting[],
+  waiting: readonly WaitingEntry[],
   now: number,
-): readonly Waiting[] {
+): readonly WaitingEntry[] {
   if (waiting.length <= TOLD_SINGLY) return waiting;
   const ordered = [...waiting].sort((one, other) =>
     goesBefore(one, other, now) ? -1 : 1
@@ -97,7 +97,7 @@
 }
 
 /** Some requests of one rank as one entry, of their mean age. */
-function joined(waiting: readonly Waiting[]): Waiting {
+function joined(waiting: readonly WaitingEntry[]): WaitingEntry {
   const [first] = waiting;
   if (waiting.length === 1) return first!;
   let requests = 0;
--- a/packages/router/src/connection/load_sums_test.ts
+++ b/packages/router/src/connection/load_sums_test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { RunnerLoads } from "../process/runner_loads.ts";
-import type { Waiting } from "../process/runner_queue.ts";
+import type { WaitingEntry } from "../process/runner_queue.ts";
 import { NO_LOAD } from "../process/share.ts";
 import { LoadSums } from "./load_sums.ts";
 
-function waiting(rank: number, since: number): Waiting {
+function waiting(rank: number, since: number): WaitingEntry {
   return { rank, since, startBy: since + 500, requests: 1, unreadTokens: 100 };
 }
 
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -6,7 +6,7 @@
 import { FailureRate } from "./failure_rate.ts";
 import { readMs } from "./reading.ts";
 import { RunnerQueue } from "./runner_queue.ts";
-import type { Neighbours, Waiting } from "./runner_queue.ts";
+import type { Neighbours, WaitingEntry } from "./runner_queue.ts";
 import { addLoads, NO_LOAD, subtractLoads } from "./share.ts";
 import type { AnswerCounts, LoadTotals } from "./share.ts";
 
@@ -149,7 +149,7 @@
     told: {
       /** Steady milliseconds. */
       readonly now: number;
-      readonly waiting?: readonly Waiting[];
+      readonly waiting?: readonly WaitingEntry[];
     },
   ): void {
     const { now, waiting = [] } = told;
--- a/packages/router/src/process/runner_queue.ts
+++ b/packages/router/src/process/runner_queue.ts
@@ -18,7 +18,7 @@
 }
 
 /** A request that waits until a runner has room, or a few that are told as one. */
-export interface Waiting extends QueueKey {
+export interface WaitingEntry extends QueueKey {
   /** How many requests it stands for. */
   readonly requests: number;
   /** Prompt tokens that the runner will have to read for them. */
@@ -53,8 +53,8 @@
 
 /** The requests that wait for one runner, as far as neighbours have told. */
 export class RunnerQueue {
-  readonly #own = new Set<Waiting>();
-  readonly #others = new Map<string, readonly Waiting[]>();
+  readonly #own = new Set<WaitingEntry>();
+  readonly #others = new Map<string, readonly WaitingEntry[]>();
   readonly #onChange: () => void;
 
   /** @param onChange called when what waits at this daemon changes. */
@@ -63,7 +63,7 @@
   }
 
   /** Requests of this daemon that wait for room. */
-  get waiting(): readonly Waiting[] {
+  get waiting(): readonly WaitingEntry[] {
     return [...this.#own];
   }
 
@@ -73,24 +73,24 @@
   }
 
   /** Requests that wait at this daemon and, as some neighbours told, elsewhere. */
-  waitingBy(counts: Neighbours): readonly Waiting[] {
+  waitingBy(counts: Neighbours): readonly WaitingEntry[] {
     const told = [...this.#others].filter(([name]) => counts(name));
     return [...this.#own, ...told.flatMap(([, waiting]) => waiting)];
   }
 
   /** Counts a request that waits here until the runner has room. */
-  join(waiting: Waiting): void {
+  join(waiting: WaitingEntry): void {
     this.#own.add(waiting);
     this.#onChange();
   }
 
   /** It was sent, or waits no more. */
-  leave(waiting: Waiting): void {
+  leave(waiting: WaitingEntry): void {
     if (this.#own.delete(waiting)) this.#onChange();
   }
 
   /** Takes what a neighbour tells to wait elsewhere. */
-  toldBy(neighbour: string, waiting: readonly Waiting[]): void {
+  toldBy(neighbour: string, waiting: readonly WaitingEntry[]): void {
     if (waiting.length > 0) this.#others.set(neighbour, waiting);
     else this.#others.delete(neighbour);
   }
--- a/packages/router/src/request/room_wait.ts
+++ b/packages/router/src/request/room_wait.ts
@@ -4,12 +4,12 @@
  * @module
  */
 import type { RunnerLoad } from "../process/runner_load.ts";
-import type { QueueKey, Waiting } from "../process/runner_queue.ts";
+import type { QueueKey, WaitingEntry } from "../process/runner_queue.ts";
 
 interface Place {
   readonly runner: string;
   readonly load: RunnerLoad;
-  readonly waiting: Waiting;
+  readonly waiting: WaitingEntry;
   readonly since: number;
 }
 
