--- a/packages/router/src/process/runner_queue.ts
+++ b/packages/router/src/process/runner_queue.ts
@@ -26,7 +26,7 @@
 }
 
 /** What goes before a request that waits. */
-export interface Ahead {
+export interface WorkAhead {
   readonly requests: number;
   /** Prompt tokens that the runner will have to read for them. */
   readonly unreadTokens: number;
@@ -100,7 +100,7 @@
    * that holds a request would send it at the moment when the runner has room:
    * ten prompts at once, then none for seconds.
    */
-  ahead(turn: QueueKey, now: number): Ahead {
+  ahead(turn: QueueKey, now: number): WorkAhead {
     let requests = 0;
     let unreadTokens = 0;
     for (const list of [this.#own, ...this.#others.values()]) {
