--- a/packages/router/src/connection/load_sums.ts
+++ b/packages/router/src/connection/load_sums.ts
@@ -5,7 +5,7 @@
  */
 import { groupBy } from "../process/group.ts";
 import type { RunnerLoads } from "../process/runner_loads.ts";
-import { goesBefore } from "../process/runner_queue.ts";
+import { precedes } from "../process/runner_queue.ts";
 import type { Neighbours, WaitingEntry } from "../process/runner_queue.ts";
 import type { LoadShare, WaitingNews } from "./peer_message.ts";
 
@@ -87,7 +87,7 @@
 ): readonly WaitingEntry[] {
   if (waiting.length <= TOLD_SINGLY) return waiting;
   const ordered = [...waiting].sort((one, other) =>
-    goesBefore(one, other, now) ? -1 : 1
+    precedes(one, other, now) ? -1 : 1
   );
   const others = groupBy(ordered.slice(TOLD_SINGLY), ({ rank }) => rank);
   return [
--- a/packages/router/src/process/limit_waits.ts
+++ b/packages/router/src/process/limit_waits.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { goesBefore } from "./runner_queue.ts";
+import { precedes } from "./runner_queue.ts";
 import type { QueueKey } from "./runner_queue.ts";
 
 /**
@@ -26,7 +26,7 @@
   /** Whether no request that waits goes before this one. */
   isFirst(turn: QueueKey, now: number): boolean {
     for (const each of this.#turns) {
-      if (each !== turn && goesBefore(each, turn, now)) return false;
+      if (each !== turn && precedes(each, turn, now)) return false;
     }
     return true;
   }
--- a/packages/router/src/process/runner_queue.ts
+++ b/packages/router/src/process/runner_queue.ts
@@ -37,7 +37,7 @@
  * in a burst that engines cannot serve whole: each is sent when its own target
  * has passed, and half of what is served is of little use to its caller.
  */
-export function goesBefore(
+export function precedes(
   one: QueueKey,
   other: QueueKey,
   now: number,
@@ -105,7 +105,7 @@
     let unreadTokens = 0;
     for (const list of [this.#own, ...this.#others.values()]) {
       for (const each of list) {
-        if (!goesBefore(each, turn, now)) continue;
+        if (!precedes(each, turn, now)) continue;
         requests += each.requests;
         unreadTokens += each.unreadTokens;
       }
