--- a/packages/router/src/connection/load_sums.ts
+++ b/packages/router/src/connection/load_sums.ts
@@ -6,7 +6,7 @@
 import { groupBy } from "../process/group.ts";
 import type { RunnerLoads } from "../process/runner_loads.ts";
 import { precedes } from "../process/runner_queue.ts";
-import type { Neighbours, WaitingEntry } from "../process/runner_queue.ts";
+import type { NeighbourFilter, WaitingEntry } from "../process/runner_queue.ts";
 import type { LoadShare, WaitingNews } from "./peer_message.ts";
 
 /** Milliseconds told of a request without target. */
@@ -31,7 +31,7 @@
    * The loads on some runners, of this daemon and of those that some neighbours
    * told of. Nobody is told what came from itself.
    */
-  of(runners: Iterable<string>, counts: Neighbours): readonly LoadShare[] {
+  of(runners: Iterable<string>, counts: NeighbourFilter): readonly LoadShare[] {
     const now = performance.now();
     return [...runners].map((runner) => this.#sum(runner, counts, now));
   }
@@ -50,11 +50,11 @@
   }
 
   /** All loads that there are. */
-  all(counts: Neighbours): readonly LoadShare[] {
+  all(counts: NeighbourFilter): readonly LoadShare[] {
     return this.of(this.#loads.ids(), counts).filter(isLoaded);
   }
 
-  #sum(runner: string, counts: Neighbours, now: number): LoadShare {
+  #sum(runner: string, counts: NeighbourFilter, now: number): LoadShare {
     const load = this.#loads.of(runner);
     const waiting = inFewEntries(load.queue.waitingBy(counts), now);
     return {
--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -14,7 +14,7 @@
 import type { PartsNews, PrefixRecord } from "../process/prefix_record.ts";
 import type { LimitNews, RunnerLimits } from "../process/runner_limits.ts";
 import type { RunnerLoads } from "../process/runner_loads.ts";
-import type { Neighbours } from "../process/runner_queue.ts";
+import type { NeighbourFilter } from "../process/runner_queue.ts";
 import { ageOf, agesOf } from "./crash_ages.ts";
 import { LoadSums } from "./load_sums.ts";
 import type { MembershipCounts } from "./membership_counts.ts";
@@ -254,7 +254,7 @@
     post: Post,
     everything: readonly LoadShare[],
   ): Buffer {
-    const others: Neighbours = (name) => name !== child;
+    const others: NeighbourFilter = (name) => name !== child;
     const loads = this.#sums.without(child, everything);
     const isOthers = ({ from }: Told) => from !== child;
     const parts = post.parts.filter(isOthers);
@@ -270,7 +270,7 @@
   #state(
     { parts, contacts, crashes, limits, usage, lease }: StateNews,
     loads: readonly LoadShare[],
-    counts: Neighbours,
+    counts: NeighbourFilter,
   ): StateUpdate {
     const now = performance.now();
     const { time, usage: meter } = this.#sources;
@@ -300,11 +300,11 @@
   }
 
   /** Whose loads and number a peer is told, beside those of this daemon. */
-  #toldTo({ name }: Peer): Neighbours {
+  #toldTo({ name }: Peer): NeighbourFilter {
     if (this.#sources.overlay.role(name) !== "child") return this.#isChild;
     return (other) => other !== name;
   }
 
-  readonly #isChild: Neighbours = (name) =>
+  readonly #isChild: NeighbourFilter = (name) =>
     this.#sources.overlay.role(name) === "child";
 }
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -6,7 +6,7 @@
 import { FailureRate } from "./failure_rate.ts";
 import { readMs } from "./reading.ts";
 import { RunnerQueue } from "./runner_queue.ts";
-import type { Neighbours, WaitingEntry } from "./runner_queue.ts";
+import type { NeighbourFilter, WaitingEntry } from "./runner_queue.ts";
 import { addLoads, NO_LOAD, subtractLoads } from "./share.ts";
 import type { AnswerCounts, LoadTotals } from "./share.ts";
 
@@ -81,7 +81,7 @@
   }
 
   /** Load of this daemon and, as some neighbours told, of others. */
-  sumFrom(counts: Neighbours): LoadTotals {
+  sumFrom(counts: NeighbourFilter): LoadTotals {
     let sum = this.#own;
     for (const [neighbour, share] of this.#others) {
       if (counts(neighbour)) sum = addLoads(sum, share);
--- a/packages/router/src/process/runner_queue.ts
+++ b/packages/router/src/process/runner_queue.ts
@@ -49,7 +49,7 @@
 }
 
 /** Whether what a neighbour told counts, by the neighbour's name. */
-export type Neighbours = (name: string) => boolean;
+export type NeighbourFilter = (name: string) => boolean;
 
 /** The requests that wait for one runner, as far as neighbours have told. */
 export class RunnerQueue {
@@ -73,7 +73,7 @@
   }
 
   /** Requests that wait at this daemon and, as some neighbours told, elsewhere. */
-  waitingBy(counts: Neighbours): readonly WaitingEntry[] {
+  waitingBy(counts: NeighbourFilter): readonly WaitingEntry[] {
     const told = [...this.#others].filter(([name]) => counts(name));
     return [...this.#own, ...told.flatMap(([, waiting]) => waiting)];
   }
