--- a/packages/router/src/process/runner_loads.ts
+++ b/packages/router/src/process/runner_loads.ts
@@ -35,7 +35,9 @@
   /** How many requests of this daemon wait. */
   get waitingCount(): number {
     let count = 0;
-    for (const id of this.#awaited) count += this.of(id).queue.waiting.length;
+    for (const id of this.#awaited) {
+      count += this.of(id).queue.ownEntries.length;
+    }
     return count;
   }
 
@@ -67,7 +69,7 @@
   retain(ids: ReadonlySet<string>): void {
     for (const [id, load] of this.#loads) {
       if (ids.has(id) || load.total.inFlight > 0) continue;
-      if (load.queue.waiting.length === 0) this.#loads.delete(id);
+      if (load.queue.ownEntries.length === 0) this.#loads.delete(id);
     }
   }
 
--- a/packages/router/src/process/runner_queue.ts
+++ b/packages/router/src/process/runner_queue.ts
@@ -63,7 +63,7 @@
   }
 
   /** Requests of this daemon that wait for room. */
-  get waiting(): readonly WaitingEntry[] {
+  get ownEntries(): readonly WaitingEntry[] {
     return [...this.#own];
   }
 
--- a/packages/router/src/request/room_wait_test.ts
+++ b/packages/router/src/request/room_wait_test.ts
@@ -36,7 +36,7 @@
       if (to === from) continue;
       to.loads.of("r").setNeighbourLoad(from.name, own, {
         now: 0,
-        waiting: queue.waiting,
+        waiting: queue.ownEntries,
       });
     }
   }
@@ -158,5 +158,5 @@
   assert.equal(wait.maySend(load, { now: 90, settleMs: 90 }), false);
   assert.equal(wait.maySend(load, { now: 91, settleMs: 90 }), true);
   wait.end();
-  assert.deepEqual(load.queue.waiting, []);
+  assert.deepEqual(load.queue.ownEntries, []);
 });
