--- a/packages/router/src/connection/load_sums.ts
+++ b/packages/router/src/connection/load_sums.ts
@@ -56,7 +56,7 @@
 
   #sum(runner: string, counts: NeighbourFilter, now: number): LoadShare {
     const load = this.#loads.of(runner);
-    const waiting = inFewEntries(load.queue.waitingBy(counts), now);
+    const waiting = inFewEntries(load.queue.entriesFrom(counts), now);
     return {
       runner,
       ...load.sumFrom(counts),
--- a/packages/router/src/process/runner_queue.ts
+++ b/packages/router/src/process/runner_queue.ts
@@ -73,7 +73,7 @@
   }
 
   /** Requests that wait at this daemon and, as some neighbours told, elsewhere. */
-  waitingBy(counts: NeighbourFilter): readonly WaitingEntry[] {
+  entriesFrom(counts: NeighbourFilter): readonly WaitingEntry[] {
     const told = [...this.#others].filter(([name]) => counts(name));
     return [...this.#own, ...told.flatMap(([, waiting]) => waiting)];
   }
