--- a/packages/router/src/process/runner_queue.ts
+++ b/packages/router/src/process/runner_queue.ts
@@ -79,7 +79,7 @@
   }
 
   /** Counts a request that waits here until the runner has room. */
-  join(waiting: WaitingEntry): void {
+  add(waiting: WaitingEntry): void {
     this.#own.add(waiting);
     this.#onChange();
   }
--- a/packages/router/src/request/admission_test.ts
+++ b/packages/router/src/request/admission_test.ts
@@ -78,7 +78,7 @@
     const fleet = fleetWith(SLOTS - 1);
     const { queue } = fleet.loads.of("r");
     for (const each of turns) {
-      queue.join({ ...each, requests: 1, unreadTokens: 300 });
+      queue.add({ ...each, requests: 1, unreadTokens: 300 });
     }
     return !isOverloaded(fleet, demandOf({ turn }), RUNNER);
   });
@@ -89,7 +89,7 @@
   const fleet = fleetWith(SLOTS - 1);
   const { queue } = fleet.loads.of("r");
   for (let since = 0; since < 9; since++) {
-    queue.join({ ...turnOf(2, since), requests: 1, unreadTokens: 300 });
+    queue.add({ ...turnOf(2, since), requests: 1, unreadTokens: 300 });
   }
   const turn = turnOf(0, 50);
   assert.equal(isOverloaded(fleet, demandOf({ turn }), RUNNER), false);
@@ -104,12 +104,12 @@
   const late = turnOf(1, 0, 900);
   const onTime = turnOf(1, 500, 1_400);
   for (const turn of [late, onTime]) {
-    queue.join({ ...turn, requests: 1, unreadTokens: 300 });
+    queue.add({ ...turn, requests: 1, unreadTokens: 300 });
   }
   const admits = (turn: QueueKey) =>
     !isOverloaded(fleet, demandOf({ turn }), RUNNER);
   assert.equal(admits(late), false);
   assert.equal(admits(onTime), true);
-  queue.join({ ...turnOf(0, 0, 900), requests: 1, unreadTokens: 300 });
+  queue.add({ ...turnOf(0, 0, 900), requests: 1, unreadTokens: 300 });
   assert.equal(admits(onTime), false);
 });
--- a/packages/router/src/request/room_wait.ts
+++ b/packages/router/src/request/room_wait.ts
@@ -46,7 +46,7 @@
     const { runner, unreadTokens, now } = options;
     const waiting = { ...this.#turn, requests: 1, unreadTokens };
     this.#place = { runner, load, waiting, since: now };
-    load.queue.join(waiting);
+    load.queue.add(waiting);
     return true;
   }
 
--- a/packages/router/src/request/room_wait_test.ts
+++ b/packages/router/src/request/room_wait_test.ts
@@ -128,7 +128,7 @@
     load.queue.ahead({ ...turn, startBy: Infinity }, 0);
   const aheadTokens = (turn: Omit<QueueKey, "startBy">) =>
     ahead(turn).unreadTokens;
-  load.queue.join({
+  load.queue.add({
     rank: 1,
     since: 5,
     startBy: Infinity,
--- a/packages/router/tests/fleet_counts_test.ts
+++ b/packages/router/tests/fleet_counts_test.ts
@@ -86,7 +86,7 @@
   const rest = phaseOf(fleet.members);
   fleet.resetCounts();
   const load = fleet.members[5]!.loads.of("r-1");
-  load.queue.join({
+  load.queue.add({
     rank: 0,
     since: clock.now,
     startBy: clock.now + 1_000,
