--- a/packages/router/src/process/runner_queue.ts
+++ b/packages/router/src/process/runner_queue.ts
@@ -85,7 +85,7 @@
   }
 
   /** It was sent, or waits no more. */
-  leave(waiting: WaitingEntry): void {
+  remove(waiting: WaitingEntry): void {
     if (this.#own.delete(waiting)) this.#onChange();
   }
 
--- a/packages/router/src/request/room_wait.ts
+++ b/packages/router/src/request/room_wait.ts
@@ -71,7 +71,7 @@
 
   /** Waits no more. */
   end(): void {
-    this.#place?.load.queue.leave(this.#place.waiting);
+    this.#place?.load.queue.remove(this.#place.waiting);
     this.#place = undefined;
   }
 }
