--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -165,7 +165,7 @@
       failed: before.failed + failed,
     };
     this.#others.set(neighbour, after);
-    this.queue.toldBy(neighbour, waiting);
+    this.queue.setNeighbourEntries(neighbour, waiting);
     this.#all = addLoads(this.#all, subtractLoads(after, before));
   }
 
@@ -179,7 +179,7 @@
     if (share === undefined) return false;
     this.#others.delete(neighbour);
     this.#told.delete(neighbour);
-    this.queue.toldBy(neighbour, []);
+    this.queue.setNeighbourEntries(neighbour, []);
     this.#all = subtractLoads(this.#all, share);
     return true;
   }
--- a/packages/router/src/process/runner_queue.ts
+++ b/packages/router/src/process/runner_queue.ts
@@ -90,7 +90,10 @@
   }
 
   /** Takes what a neighbour tells to wait elsewhere. */
-  toldBy(neighbour: string, waiting: readonly WaitingEntry[]): void {
+  setNeighbourEntries(
+    neighbour: string,
+    waiting: readonly WaitingEntry[],
+  ): void {
     if (waiting.length > 0) this.#others.set(neighbour, waiting);
     else this.#others.delete(neighbour);
   }
