--- a/packages/router/src/process/runner_queue.ts
+++ b/packages/router/src/process/runner_queue.ts
@@ -103,7 +103,7 @@
    * that holds a request would send it at the moment when the runner has room:
    * ten prompts at once, then none for seconds.
    */
-  ahead(turn: QueueKey, now: number): WorkAhead {
+  workAhead(turn: QueueKey, now: number): WorkAhead {
     let requests = 0;
     let unreadTokens = 0;
     for (const list of [this.#own, ...this.#others.values()]) {
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -77,7 +77,7 @@
     candidates,
     in_flight: load.total.inFlight,
     backlog_tokens: load.total.unreadTokens,
-    ahead_tokens: load.queue.ahead(wait.turn, daemon.now()).unreadTokens,
+    ahead_tokens: load.queue.workAhead(wait.turn, daemon.now()).unreadTokens,
     unread_tokens: unreadTokens,
     runners_age_ms: Math.round(daemon.runnersAgeMs()),
   });
--- a/packages/router/src/request/room_wait_test.ts
+++ b/packages/router/src/request/room_wait_test.ts
@@ -53,7 +53,7 @@
   for (const request of [...daemon.held]) {
     const turn = { rank: 0, since: request.since, startBy: Infinity };
     const ahead = load.total.unreadTokens +
-      load.queue.ahead(turn, now).unreadTokens;
+      load.queue.workAhead(turn, now).unreadTokens;
     const room = ahead <= FULL_TOKENS;
     if (room && request.wait.maySend(load, { now, settleMs })) {
       request.wait.end();
@@ -125,7 +125,7 @@
 test("the oldest of the most urgent goes first, whatever daemon it is at", () => {
   const load = new RunnerLoads().of("r");
   const ahead = (turn: Omit<QueueKey, "startBy">) =>
-    load.queue.ahead({ ...turn, startBy: Infinity }, 0);
+    load.queue.workAhead({ ...turn, startBy: Infinity }, 0);
   const aheadTokens = (turn: Omit<QueueKey, "startBy">) =>
     ahead(turn).unreadTokens;
   load.queue.add({
--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -146,7 +146,7 @@
   const tight = isTight(demand);
   const waitMs = readMs(
     load.total.unreadTokens +
-      load.queue.ahead(demand.turn, fleet.now).unreadTokens,
+      load.queue.workAhead(demand.turn, fleet.now).unreadTokens,
   );
   const ownMs = readMs(unreadTokens) + (fetches ? fetchMs + FETCH_MS : 0);
   const away = atHome ? 0 : holder === undefined ? AWAY_UNKNOWN_MS : AWAY_MS;
--- a/packages/router/tests/fleet_counts_test.ts
+++ b/packages/router/tests/fleet_counts_test.ts
@@ -97,7 +97,10 @@
   const waiting = phaseOf(fleet.members);
   assert.ok(
     fleet.members.every(({ loads }) =>
-      loads.of("r-1").queue.ahead({ rank: 9, since: 0, startBy: 0 }, clock.now)
+      loads.of("r-1").queue.workAhead(
+        { rank: 9, since: 0, startBy: 0 },
+        clock.now,
+      )
         .requests === 1
     ),
   );
