--- a/packages/router/src/connection/apply_update.ts
+++ b/packages/router/src/connection/apply_update.ts
@@ -77,7 +77,7 @@
       rank,
       requests,
       unreadTokens,
-      since: now - ageMs,
+      arrivedAt: now - ageMs,
       startBy: now + leftMs,
     }),
   );
--- a/packages/router/src/connection/load_sums.ts
+++ b/packages/router/src/connection/load_sums.ts
@@ -70,7 +70,7 @@
 }
 
 function newsOf(waiting: WaitingEntry, now: number): WaitingNews {
-  const { rank, since, startBy, requests, unreadTokens } = waiting;
+  const { rank, arrivedAt: since, startBy, requests, unreadTokens } = waiting;
   return {
     rank,
     requests,
@@ -107,14 +107,14 @@
   for (const each of waiting) {
     requests += each.requests;
     unreadTokens += each.unreadTokens;
-    since += each.since * each.requests;
+    since += each.arrivedAt * each.requests;
     startBy += each.startBy * each.requests;
   }
   return {
     rank: first!.rank,
     requests,
     unreadTokens,
-    since: since / requests,
+    arrivedAt: since / requests,
     startBy: startBy / requests,
   };
 }
--- a/packages/router/src/connection/load_sums_test.ts
+++ b/packages/router/src/connection/load_sums_test.ts
@@ -6,7 +6,13 @@
 import { LoadSums } from "./load_sums.ts";
 
 function waiting(rank: number, since: number): WaitingEntry {
-  return { rank, since, startBy: since + 500, requests: 1, unreadTokens: 100 };
+  return {
+    rank,
+    arrivedAt: since,
+    startBy: since + 500,
+    requests: 1,
+    unreadTokens: 100,
+  };
 }
 
 test("nobody is told what came from itself", () => {
--- a/packages/router/src/process/runner_queue.ts
+++ b/packages/router/src/process/runner_queue.ts
@@ -9,7 +9,7 @@
   /** 0 is the most urgent and goes first. */
   readonly rank: number;
   /** When the request came, in steady ms of this daemon; the oldest goes first. */
-  readonly since: number;
+  readonly arrivedAt: number;
   /**
    * Until when it can be sent and still begin on time, in steady ms of this
    * daemon. Afterwards it goes behind all of its rank that still can.
@@ -45,7 +45,7 @@
   if (one.rank !== other.rank) return one.rank < other.rank;
   const late = one.startBy < now;
   if (late !== other.startBy < now) return !late;
-  return one.since < other.since;
+  return one.arrivedAt < other.arrivedAt;
 }
 
 /** Whether what a neighbour told counts, by the neighbour's name. */
--- a/packages/router/src/request/admission_test.ts
+++ b/packages/router/src/request/admission_test.ts
@@ -24,7 +24,7 @@
 };
 
 function turnOf(rank: number, since: number, startBy = Infinity): QueueKey {
-  return { rank, since, startBy };
+  return { rank, arrivedAt: since, startBy };
 }
 
 function demandOf(fields: Partial<Demand> = {}): Demand {
--- a/packages/router/src/request/room_wait_test.ts
+++ b/packages/router/src/request/room_wait_test.ts
@@ -24,7 +24,10 @@
 function daemonWith(name: string, count: number, first: number): Daemon {
   const held = Array.from({ length: count }, (_, index) => {
     const since = first + index;
-    return { since, wait: new RoomWait({ rank: 0, since, startBy: Infinity }) };
+    return {
+      since,
+      wait: new RoomWait({ rank: 0, arrivedAt: since, startBy: Infinity }),
+    };
   });
   return { name, loads: new RunnerLoads(), held };
 }
@@ -51,7 +54,7 @@
   const { now, settleMs, sent } = options;
   const load = daemon.loads.of("r");
   for (const request of [...daemon.held]) {
-    const turn = { rank: 0, since: request.since, startBy: Infinity };
+    const turn = { rank: 0, arrivedAt: request.since, startBy: Infinity };
     const ahead = load.total.unreadTokens +
       load.queue.workAhead(turn, now).unreadTokens;
     const room = ahead <= FULL_TOKENS;
@@ -130,29 +133,29 @@
     ahead(turn).unreadTokens;
   load.queue.add({
     rank: 1,
-    since: 5,
+    arrivedAt: 5,
     startBy: Infinity,
     requests: 1,
     unreadTokens: 10,
   });
   const share = load.own;
   const waiting = [
-    { rank: 1, since: 3, startBy: Infinity, requests: 1, unreadTokens: 100 },
-    { rank: 0, since: 9, startBy: Infinity, requests: 1, unreadTokens: 1_000 },
+    { rank: 1, arrivedAt: 3, startBy: Infinity, requests: 1, unreadTokens: 100 },
+    { rank: 0, arrivedAt: 9, startBy: Infinity, requests: 1, unreadTokens: 1_000 },
   ];
   load.setNeighbourLoad("other", share, { now: 0, waiting });
-  assert.equal(aheadTokens({ rank: 0, since: 1 }), 0);
-  assert.equal(aheadTokens({ rank: 1, since: 1 }), 1_000);
-  assert.equal(aheadTokens({ rank: 1, since: 4 }), 1_100);
-  assert.equal(aheadTokens({ rank: 2, since: 0 }), 1_110);
-  assert.equal(ahead({ rank: 2, since: 0 }).requests, 3);
+  assert.equal(aheadTokens({ rank: 0, arrivedAt: 1 }), 0);
+  assert.equal(aheadTokens({ rank: 1, arrivedAt: 1 }), 1_000);
+  assert.equal(aheadTokens({ rank: 1, arrivedAt: 4 }), 1_100);
+  assert.equal(aheadTokens({ rank: 2, arrivedAt: 0 }), 1_110);
+  assert.equal(ahead({ rank: 2, arrivedAt: 0 }).requests, 3);
   load.removeNeighbour("other");
-  assert.equal(aheadTokens({ rank: 2, since: 0 }), 10);
+  assert.equal(aheadTokens({ rank: 2, arrivedAt: 0 }), 10);
 });
 
 test("a request that has not waited is sent at once", () => {
   const load = new RunnerLoads().of("r");
-  const wait = new RoomWait({ rank: 0, since: 0, startBy: Infinity });
+  const wait = new RoomWait({ rank: 0, arrivedAt: 0, startBy: Infinity });
   assert.equal(wait.maySend(load, { now: 0, settleMs: 90 }), true);
   wait.at(load, { runner: "r", unreadTokens: 5, now: 0 });
   assert.equal(wait.maySend(load, { now: 90, settleMs: 90 }), false);
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -84,7 +84,7 @@
     const { targetMs } = subject.route;
     this.#turn = {
       rank: subject.rank,
-      since: limits.since,
+      arrivedAt: limits.since,
       startBy: limits.since + START_SHARE * targetMs,
     };
   }
--- a/packages/router/tests/fleet_counts_test.ts
+++ b/packages/router/tests/fleet_counts_test.ts
@@ -88,7 +88,7 @@
   const load = fleet.members[5]!.loads.of("r-1");
   load.queue.add({
     rank: 0,
-    since: clock.now,
+    arrivedAt: clock.now,
     startBy: clock.now + 1_000,
     requests: 1,
     unreadTokens: 5_000,
@@ -98,7 +98,7 @@
   assert.ok(
     fleet.members.every(({ loads }) =>
       loads.of("r-1").queue.workAhead(
-        { rank: 9, since: 0, startBy: 0 },
+        { rank: 9, arrivedAt: 0, startBy: 0 },
         clock.now,
       )
         .requests === 1
