--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -133,7 +133,7 @@
     const limitNews = limits.takeNews();
     this.#near.addUsage(this.#sources.usage?.takeNews() ?? []);
     this.#collectLease();
-    const contacts = book.hasNews ? book.takeUpdates() : undefined;
+    const contacts = book.hasUpdates ? book.takeUpdates() : undefined;
     const outboxes = overlay.relays ? [this.#near, this.#all] : [this.#near];
     for (const outbox of outboxes) {
       outbox.addRunners(changed, loads.hasWaiting);
--- a/packages/router/src/process/contact_book.ts
+++ b/packages/router/src/process/contact_book.ts
@@ -119,7 +119,7 @@
   }
 
   /** Whether {@linkcode takeUpdates} would give anything. */
-  get hasNews(): boolean {
+  get hasUpdates(): boolean {
     return this.#news.size > 0 || this.#gone.size > 0;
   }
 
--- a/packages/router/src/process/contact_book_test.ts
+++ b/packages/router/src/process/contact_book_test.ts
@@ -60,7 +60,7 @@
   assert.equal(book.takeUpdates().contacts.length, 1);
   book.add(contact("a"), 1);
   book.add(contact("own"), 1);
-  assert.equal(book.hasNews, false);
+  assert.equal(book.hasUpdates, false);
   book.remove(contact("a"), 2);
   assert.deepEqual(book.takeUpdates().gone, [{ name: "a", incarnation: "1" }]);
 });
