--- a/packages/router/src/connection/sharing.ts
+++ b/packages/router/src/connection/sharing.ts
@@ -202,7 +202,7 @@
   }
 
   joined(peer: Peer, known: readonly Contact[]): void {
-    this.#book.met(contactOf(peer));
+    this.#book.addReachable(contactOf(peer));
     for (const each of known) this.#book.add(each, performance.now());
     this.#overlay.joined(peer);
     this.#allowSilence();
--- a/packages/router/src/process/contact_book.ts
+++ b/packages/router/src/process/contact_book.ts
@@ -85,7 +85,7 @@
    *
    * @returns whether the book holds something new.
    */
-  met(contact: Contact): boolean {
+  addReachable(contact: Contact): boolean {
     this.#dead.delete(contact.name);
     return this.#enter(contact);
   }
--- a/packages/router/src/process/contact_book_test.ts
+++ b/packages/router/src/process/contact_book_test.ts
@@ -50,7 +50,7 @@
   const book = new ContactBook(contact("own"), 6);
   book.add(contact("a"), 0);
   book.remove(contact("a"), 0);
-  assert.equal(book.met(contact("a")), true);
+  assert.equal(book.addReachable(contact("a")), true);
   assert.deepEqual(namesIn(book), ["a"]);
 });
 
