--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -8,7 +8,7 @@
 import type { Contact } from "../process/contact.ts";
 import type { ContactBook, ContactUpdates } from "../process/contact_book.ts";
 import type { FleetTime } from "../process/fleet_time.ts";
-import type { LeaderLease, LeaseNews } from "../process/leader_lease.ts";
+import type { LeaderLease, LeaseObservation } from "../process/leader_lease.ts";
 import type { UsageCount, UsageMeter } from "../process/usage_meter.ts";
 import type { CrashNews, CrashRecord } from "../process/crash_record.ts";
 import type { PartsNews, PrefixRecord } from "../process/prefix_record.ts";
@@ -41,7 +41,7 @@
   readonly crashes: CrashNews;
   readonly limits: readonly LimitNews[];
   readonly usage: readonly UsageCount[];
-  readonly lease: LeaseNews | undefined;
+  readonly lease: LeaseObservation | undefined;
 }
 
 /** A message without news. */
--- a/packages/router/src/connection/outbox.ts
+++ b/packages/router/src/connection/outbox.ts
@@ -7,7 +7,7 @@
 import type { CrashedRun, WholeAnswer } from "../process/crash_entry.ts";
 import type { CrashNews } from "../process/crash_record.ts";
 import type { LimitNews } from "../process/runner_limits.ts";
-import type { LeaseNews } from "../process/leader_lease.ts";
+import type { LeaseObservation } from "../process/leader_lease.ts";
 import type { UsageCount } from "../process/usage_meter.ts";
 import type { PartsNews } from "../process/prefix_record.ts";
 
@@ -52,7 +52,7 @@
   readonly crashes: ToldCrashes;
   readonly limits: readonly (LimitNews & Told)[];
   readonly usage: readonly UsageCount[];
-  readonly lease: LeaseNews | undefined;
+  readonly lease: LeaseObservation | undefined;
 }
 
 /** Collects what has changed until it is sent to one group of neighbours. */
@@ -67,7 +67,7 @@
   readonly #limits = new Map<string, LimitNews & Told>();
   /** By life and window, what was counted last for each workspace. */
   readonly #usage = new Map<string, UsageCount>();
-  #lease: LeaseNews | undefined;
+  #lease: LeaseObservation | undefined;
 
   /** Notes changed loads; urgent ones, where requests wait, go first. */
   addRunners(runners: Iterable<string>, urgent: boolean): void {
@@ -114,7 +114,7 @@
   }
 
   /** Notes a renewal, which has time; that nobody leads goes out by itself. */
-  addLease(lease: LeaseNews): void {
+  addLease(lease: LeaseObservation): void {
     this.#lease = lease;
   }
 
--- a/packages/router/src/connection/peer_message.ts
+++ b/packages/router/src/connection/peer_message.ts
@@ -6,7 +6,7 @@
 import type { CrashAges } from "./crash_ages.ts";
 import type { Contact } from "../process/contact.ts";
 import type { ContactUpdates } from "../process/contact_book.ts";
-import type { LeaseNews } from "../process/leader_lease.ts";
+import type { LeaseObservation } from "../process/leader_lease.ts";
 import type { LimitNews } from "../process/runner_limits.ts";
 import type { PartsNews } from "../process/prefix_record.ts";
 import type { LoadTotals } from "../process/share.ts";
@@ -64,7 +64,9 @@
 export type LimitAge = Omit<LimitNews, "at"> & { readonly agoMs: number };
 
 /** What was seen of the leader's lease, in ms before the message. */
-export type LeaseAge = Omit<LeaseNews, "at"> & { readonly agoMs: number };
+export type LeaseAge = Omit<LeaseObservation, "at"> & {
+  readonly agoMs: number;
+};
 
 /** What changed on runners, put together from one daemon or many. */
 export interface LoadNews {
--- a/packages/router/src/process/leader_lease.ts
+++ b/packages/router/src/process/leader_lease.ts
@@ -25,7 +25,7 @@
 const SETTLE_MS = 200;
 
 /** What other daemons are told of the lease, so that they need not read it. */
-export interface LeaseNews {
+export interface LeaseObservation {
   readonly revision: number;
   readonly holderId: string;
   /** Steady ms at which the revision was there. */
@@ -126,7 +126,7 @@
   }
 
   /** What others may be told; none before anything was seen. */
-  get news(): LeaseNews | undefined {
+  get news(): LeaseObservation | undefined {
     const { version: revision, since: at } = this.#sight;
     if (revision === 0) return undefined;
     return { revision, holderId: this.#holderId, at };
@@ -148,7 +148,7 @@
   }
 
   /** Takes what a neighbour told. */
-  hear({ revision, holderId, at }: LeaseNews): void {
+  hear({ revision, holderId, at }: LeaseObservation): void {
     if (revision <= this.#sight.version) return;
     this.#sight.see(revision, at);
     this.#holderId = holderId;
