--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -147,7 +147,7 @@
   /** Who holds the lease tells of it; those that may take it hear of it. */
   #collectLease(): void {
     const { lease } = this.#sources;
-    const news = lease?.news;
+    const news = lease?.observation;
     if (news === undefined || news.revision === this.#leaseTold) return;
     this.#leaseTold = news.revision;
     if (lease!.isOwn) this.#near.addLease(news);
@@ -203,7 +203,7 @@
     const loads = this.#sums.all(counts);
     const isChild = this.#sources.overlay.role(peer.name) === "child";
     const usage = isChild ? [] : this.#sources.usage?.all() ?? [];
-    const lease = this.#sources.lease?.news;
+    const lease = this.#sources.lease?.observation;
     const news = { ...NOTHING, contacts, crashes, limits, usage, lease };
     return { ...this.#state(news, loads, counts), whole: true };
   }
--- a/packages/router/src/process/leader_lease.ts
+++ b/packages/router/src/process/leader_lease.ts
@@ -126,7 +126,7 @@
   }
 
   /** What others may be told; none before anything was seen. */
-  get news(): LeaseObservation | undefined {
+  get observation(): LeaseObservation | undefined {
     const { version: revision, since: at } = this.#sight;
     if (revision === 0) return undefined;
     return { revision, holderId: this.#holderId, at };
