--- a/packages/router/src/request/answer_relay.ts
+++ b/packages/router/src/request/answer_relay.ts
@@ -99,7 +99,7 @@
     parts: TryParts,
   ): Promise<Passed> {
     const { status, incoming } = sent;
-    if (sent.head.sealed) this.#daemon.began(subject);
+    if (sent.head.sealed) this.#daemon.requestStarted(subject);
     const whole = await readWhole(incoming, MAX_ANSWER_BYTES);
     if (whole.kind !== "whole") {
       return this.#brokeOff(parts, "answer broke off", whole.kind);
@@ -169,7 +169,7 @@
   /** The first event came: the prompt has been read. */
   #begin(subject: Subject, sent: Answer, parts: TryParts): void {
     const { load, placed, attempt } = parts;
-    this.#daemon.began(subject);
+    this.#daemon.requestStarted(subject);
     load.recordFirstEvent(placed);
     load.recordSuccess();
     const { prompt } = subject.call;
--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -58,7 +58,7 @@
   /** Requests that wait until runners of a service take more. */
   limitWaits(service: string): LimitWaits;
   /** A runner has begun a request. */
-  began(subject: { readonly workspace: Workspace | undefined }): void;
+  requestStarted(subject: { readonly workspace: Workspace | undefined }): void;
   /** Repeats that may be sent to a service. */
   budget(service: string): RetryBudget;
 }
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -235,7 +235,9 @@
     void this.#restarts.suspect(runner);
   }
 
-  began({ workspace }: { readonly workspace: Workspace | undefined }): void {
+  requestStarted(
+    { workspace }: { readonly workspace: Workspace | undefined },
+  ): void {
     if (workspace !== undefined) this.#leadership.began(workspace.name);
   }
 
