--- a/packages/router/src/request/answer_relay.ts
+++ b/packages/router/src/request/answer_relay.ts
@@ -181,7 +181,7 @@
     parts.attempt.cancel(cause);
     if (!this.#endedByUs()) {
       parts.load.recordFailure(this.#daemon.now());
-      this.#daemon.connectionBroke(parts.attempt.runner, parts.run);
+      this.#daemon.reportBrokenConnection(parts.attempt.runner, parts.run);
     }
     return { kind: "broken", reason };
   }
--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -52,7 +52,7 @@
   /** Milliseconds in which a change here is known to all other daemons. */
   propagationMs(): number;
   /** A connection to a runner broke while a request was there. */
-  connectionBroke(runner: Runner, run: BrokenRun): void;
+  reportBrokenConnection(runner: Runner, run: BrokenRun): void;
   /** How fast the runners of a service make tokens. */
   pace(service: string): StreamPace;
   /** Requests that wait until runners of a service take more. */
--- a/packages/router/src/request/runner_tries.ts
+++ b/packages/router/src/request/runner_tries.ts
@@ -187,7 +187,7 @@
     if (!this.#caller.left) this.#daemon.connections.dropIdle(attempt.runner);
     if (!this.#progress.over) {
       load.recordFailure(this.#daemon.now());
-      this.#daemon.connectionBroke(attempt.runner, run);
+      this.#daemon.reportBrokenConnection(attempt.runner, run);
     }
     return this.#repeat(reason);
   }
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -229,7 +229,7 @@
     return this.#paces.of(service);
   }
 
-  connectionBroke(runner: Runner, run: BrokenRun): void {
+  reportBrokenConnection(runner: Runner, run: BrokenRun): void {
     this.#crashWatch.recordBrokenRun(runner, run);
     if (this.#table?.service(runner.service)?.engine === undefined) return;
     void this.#restarts.suspect(runner);
