--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -60,5 +60,5 @@
   /** A runner has begun a request. */
   requestStarted(subject: { readonly workspace: Workspace | undefined }): void;
   /** Repeats that may be sent to a service. */
-  budget(service: string): RetryBudget;
+  retryBudget(service: string): RetryBudget;
 }
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -89,7 +89,7 @@
       return { kind: "refused", refusal };
     }
     this.#progress.fingerprint = this.#fingerprintOf(subject, whole.body);
-    this.#daemon.budget(subject.service.name).request(this.#daemon.now());
+    this.#daemon.retryBudget(subject.service.name).request(this.#daemon.now());
     const quarantine = this.#quarantine();
     if (quarantine !== undefined) return this.#refuse(subject, quarantine);
     return await this.#tryRunners(subject, whole.body);
@@ -152,7 +152,7 @@
     if (mayHaveRun && route.repetition === "never") return false;
     // What never left for a runner is no repeat.
     if (attempts === 0) return tried.size < MAX_UNSENT;
-    return this.#daemon.budget(service.name).take(this.#daemon.now());
+    return this.#daemon.retryBudget(service.name).take(this.#daemon.now());
   }
 
   /** Whether the request must not be sent, as runners end that run it. */
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -245,7 +245,7 @@
     return this.#limitWaits.of(service);
   }
 
-  budget(service: string): RetryBudget {
+  retryBudget(service: string): RetryBudget {
     return this.#budgets.of(service);
   }
 
