--- a/packages/router/src/connection/apply_update.ts
+++ b/packages/router/src/connection/apply_update.ts
@@ -46,7 +46,7 @@
   const { timeMs, lease } = state;
   if (timeMs !== undefined) known.time.toldBy(neighbour, timeMs);
   if (lease !== undefined) {
-    known.lease?.hear({ ...lease, at: now - lease.agoMs });
+    known.lease?.observe({ ...lease, at: now - lease.agoMs });
   }
   const changed = new Set(whole ? known.loads.removeNeighbour(neighbour) : []);
   for (const share of loads) {
--- a/packages/router/src/process/leader_lease.ts
+++ b/packages/router/src/process/leader_lease.ts
@@ -148,7 +148,7 @@
   }
 
   /** Takes what a neighbour told. */
-  hear({ revision, holderId, at }: LeaseObservation): void {
+  observe({ revision, holderId, at }: LeaseObservation): void {
     if (revision <= this.#sight.version) return;
     this.#sight.see(revision, at);
     this.#holderId = holderId;
