--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -42,7 +42,7 @@
   /** In [0, 1). */
   random(): number;
   /** The newest configuration; absent until there is one. */
-  table(): RoutingTable | undefined;
+  routingTable(): RoutingTable | undefined;
   /** Runners of a service and what is known of them. */
   fleet(service: string): Fleet;
   /** Milliseconds since the list of runners was last confirmed. */
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -79,7 +79,7 @@
   }
 
   async #serve(subject: Subject): Promise<Outcome> {
-    const limits = this.#daemon.table()!.limits;
+    const limits = this.#daemon.routingTable()!.limits;
     this.#reading = true;
     const whole = await readWhole(this.#caller.request, limits.maxBodyBytes);
     this.#reading = false;
@@ -187,7 +187,7 @@
       attempts,
       events: this.#tries.events,
       elapsed_ms: Math.round(elapsedMs),
-      config: subject?.version ?? this.#daemon.table()?.version,
+      config: subject?.version ?? this.#daemon.routingTable()?.version,
     });
   }
 }
--- a/packages/router/src/request/subject.ts
+++ b/packages/router/src/request/subject.ts
@@ -36,7 +36,7 @@
   request: IncomingMessage,
   call: CallHead,
 ): Subject | Refusal {
-  const table = daemon.table();
+  const table = daemon.routingTable();
   if (daemon.closed) {
     return { status: 503, code: "leaving", retryAfterMs: 0, close: true };
   }
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -196,7 +196,7 @@
     return Math.random();
   }
 
-  table(): RoutingTable | undefined {
+  routingTable(): RoutingTable | undefined {
     return this.#table;
   }
 
--- a/packages/router/tests/hand_over_test.ts
+++ b/packages/router/tests/hand_over_test.ts
@@ -63,6 +63,6 @@
   });
   await until(() => alone.ready);
   configurations.set([testConfiguration([], { version: 2 })]);
-  await until(() => alone.table()?.version === 2);
+  await until(() => alone.routingTable()?.version === 2);
   assert.equal((await call(alone)).status, 404);
 });
