--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -150,7 +150,7 @@
     const news = lease?.observation;
     if (news === undefined || news.revision === this.#leaseTold) return;
     this.#leaseTold = news.revision;
-    if (lease!.isOwn) this.#near.addLease(news);
+    if (lease!.isOwnWrite) this.#near.addLease(news);
   }
 
   /**
--- a/packages/router/src/process/leader_lease.ts
+++ b/packages/router/src/process/leader_lease.ts
@@ -133,7 +133,7 @@
   }
 
   /** Whether what was seen last was written by this daemon. */
-  get isOwn(): boolean {
+  get isOwnWrite(): boolean {
     return this.#writtenHere;
   }
 
