--- a/packages/router/src/request/admission.ts
+++ b/packages/router/src/request/admission.ts
@@ -6,7 +6,7 @@
 import type { Runner } from "../process/runner.ts";
 import { readMs } from "../process/reading.ts";
 import { BEARABLE_MS } from "./demand.ts";
-import type { Demand, Fleet } from "./demand.ts";
+import type { Demand, RunnerFleet } from "./demand.ts";
 
 /** Work in ms that a runner may have in flight when the least urgent start. */
 const MAX_WORK_MS = 4_000;
@@ -49,7 +49,7 @@
  * otherwise wait for streams of seconds to end, or preempt them.
  */
 export function isOverloaded(
-  fleet: Fleet,
+  fleet: RunnerFleet,
   demand: Demand,
   runner: Runner,
 ): boolean {
@@ -74,7 +74,7 @@
  * for seconds behind them.
  */
 export function disturbsTight(
-  fleet: Fleet,
+  fleet: RunnerFleet,
   demand: Demand,
   runner: Runner,
 ): boolean {
--- a/packages/router/src/request/admission_test.ts
+++ b/packages/router/src/request/admission_test.ts
@@ -6,7 +6,7 @@
 import type { QueueKey } from "../process/runner_queue.ts";
 import { RunnerLoads } from "../process/runner_loads.ts";
 import { isOverloaded } from "./admission.ts";
-import type { Demand, Fleet } from "./demand.ts";
+import type { Demand, RunnerFleet } from "./demand.ts";
 
 const SLOTS = 16;
 
@@ -50,7 +50,7 @@
 }
 
 /** A daemon that knows of `inFlight` requests at the runner. */
-function fleetWith(inFlight: number): Fleet {
+function fleetWith(inFlight: number): RunnerFleet {
   const loads = new RunnerLoads();
   const share = { ...loads.of("r").own, inFlight };
   loads.of("r").setNeighbourLoad("elsewhere", share, { now: 0 });
--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -19,7 +19,7 @@
 import type { Service, Workspace } from "../version/configuration.ts";
 import type { RoutingTable } from "../version/routing_table.ts";
 import type { Dialect } from "./call.ts";
-import type { Fleet } from "./demand.ts";
+import type { RunnerFleet } from "./demand.ts";
 
 /** Parts that live as long as the process. */
 export interface Daemon {
@@ -44,7 +44,7 @@
   /** The newest configuration; absent until there is one. */
   routingTable(): RoutingTable | undefined;
   /** Runners of a service and what is known of them. */
-  fleet(service: string): Fleet;
+  fleet(service: string): RunnerFleet;
   /** Milliseconds since the list of runners was last confirmed. */
   runnersAgeMs(): number;
   /** Connections that this daemon may have to one runner of a service. */
--- a/packages/router/src/request/demand.ts
+++ b/packages/router/src/request/demand.ts
@@ -33,7 +33,7 @@
 }
 
 /** What a choice is made from. */
-export interface Fleet {
+export interface RunnerFleet {
   readonly runners: readonly Runner[];
   readonly loads: RunnerLoads;
   readonly prefixes: PrefixRecord;
--- a/packages/router/src/request/placement.ts
+++ b/packages/router/src/request/placement.ts
@@ -7,7 +7,7 @@
 import type { Runner } from "../process/runner.ts";
 import { disturbsTight, isOverloaded } from "./admission.ts";
 import { isTight } from "./demand.ts";
-import type { Demand, Fleet } from "./demand.ts";
+import type { Demand, RunnerFleet } from "./demand.ts";
 import { holdingsOf, quoteOf, WARM_UP_FACTOR } from "./runner_cost.ts";
 import type { Quote } from "./runner_cost.ts";
 import { poolsOf } from "./runner_pools.ts";
@@ -44,7 +44,7 @@
 }
 
 function usable(
-  fleet: Fleet,
+  fleet: RunnerFleet,
   excluded: ReadonlySet<string>,
 ): readonly Runner[] {
   const { limits, now } = fleet;
@@ -58,7 +58,7 @@
   return sound.length > 0 ? sound : left;
 }
 
-function leastLoaded(fleet: Fleet, runners: readonly Runner[]): Choice {
+function leastLoaded(fleet: RunnerFleet, runners: readonly Runner[]): Choice {
   const cost = (runner: Runner) => {
     const load = fleet.loads.of(runner.id);
     const far = runner.failureDomain === fleet.failureDomain
@@ -90,7 +90,7 @@
  * prompt no tight streams that it would make late.
  */
 export function hasRoom(
-  fleet: Fleet,
+  fleet: RunnerFleet,
   demand: Demand,
   runner: Runner,
 ): boolean {
@@ -98,13 +98,17 @@
     isBearable(fleet, demand, runner);
 }
 
-function isBearable(fleet: Fleet, demand: Demand, runner: Runner): boolean {
+function isBearable(
+  fleet: RunnerFleet,
+  demand: Demand,
+  runner: Runner,
+): boolean {
   return isTight(demand) || !poolsOf(fleet.runners).kept.has(runner.name) ||
     !disturbsTight(fleet, demand, runner);
 }
 
 function byPrefix(
-  fleet: Fleet,
+  fleet: RunnerFleet,
   demand: Demand,
   runners: readonly Runner[],
 ): Choice {
@@ -150,7 +154,7 @@
  * token beside it.
  */
 export function chooseRunner(
-  fleet: Fleet,
+  fleet: RunnerFleet,
   demand: Demand,
   excluded: ReadonlySet<string>,
 ): Choice | undefined {
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -6,7 +6,7 @@
 import { RunnerLoads } from "../process/runner_loads.ts";
 import { chooseRunner } from "./placement.ts";
 import { poolsOf } from "./runner_pools.ts";
-import type { Demand, Fleet } from "./demand.ts";
+import type { Demand, RunnerFleet } from "./demand.ts";
 
 const ENGINE = {
   slots: 64,
@@ -15,7 +15,7 @@
   fetchMsPerToken: 0.0012,
 };
 
-function fleetOf(count: number): Fleet {
+function fleetOf(count: number): RunnerFleet {
   const runners: Runner[] = Array.from({ length: count }, (_, index) => ({
     id: `r-${index}`,
     name: `r-${index}`,
@@ -79,7 +79,7 @@
 const NONE: ReadonlySet<string> = new Set();
 
 /** Chooses for demands in turn, all of which stay in flight. */
-function placeAll(fleet: Fleet, demands: readonly Demand[]) {
+function placeAll(fleet: RunnerFleet, demands: readonly Demand[]) {
   return demands.map((demand) => {
     const choice = chooseRunner(fleet, demand, NONE)!;
     fleet.loads.of(choice.runner.id).place({
@@ -146,7 +146,10 @@
 });
 
 /** Offers 500 long prompts at once; tells how many started. */
-function startBurst(fleet: Fleet, options: { readonly read: boolean }): number {
+function startBurst(
+  fleet: RunnerFleet,
+  options: { readonly read: boolean },
+): number {
   let started = 0;
   for (let offered = 0; offered < 500; offered += 1) {
     const demand = longPrompt(`s-${offered}`);
@@ -224,7 +227,7 @@
 test("a lost runner moves only its own prompts", () => {
   const all = fleetOf(8);
   const subjects = Array.from({ length: 60 }, (_, index) => `s-${index}`);
-  const homeOf = (fleet: Fleet, subject: string) =>
+  const homeOf = (fleet: RunnerFleet, subject: string) =>
     chooseRunner(fleet, longPrompt(subject), NONE)!.runner.id;
   const before = subjects.map((subject) => homeOf(all, subject));
   const lost = before[0]!;
--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -6,7 +6,7 @@
 import type { Runner } from "../process/runner.ts";
 import { readMs } from "../process/reading.ts";
 import { BEARABLE_MS, isLongAnswer, isTight } from "./demand.ts";
-import type { Demand, Fleet } from "./demand.ts";
+import type { Demand, RunnerFleet } from "./demand.ts";
 
 /**
  * What a ms of reading counts against a ms of waiting. Reading a prompt twice
@@ -82,7 +82,11 @@
   readonly tokens: number;
 }
 
-function cachedTokens(fleet: Fleet, demand: Demand, runner: Runner): number {
+function cachedTokens(
+  fleet: RunnerFleet,
+  demand: Demand,
+  runner: Runner,
+): number {
   return fleet.prefixes.cachedTokens(runner.id, demand.prompt, fleet.now);
 }
 
@@ -96,7 +100,7 @@
 
 /** Finds what runners hold of a prompt. */
 export function holdingsOf(
-  fleet: Fleet,
+  fleet: RunnerFleet,
   demand: Demand,
   runners: readonly Runner[],
 ): Holdings {
@@ -122,7 +126,7 @@
 
 /** What a runner would cost a request. */
 export function quoteOf(
-  fleet: Fleet,
+  fleet: RunnerFleet,
   demand: Demand,
   place: {
     readonly runner: Runner;
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -41,7 +41,7 @@
 import { Caller } from "./request/caller.ts";
 import type { Daemon } from "./request/daemon.ts";
 import { Exchange } from "./request/exchange.ts";
-import type { Fleet } from "./request/demand.ts";
+import type { RunnerFleet } from "./request/demand.ts";
 import type {
   Configuration,
   Service,
@@ -200,7 +200,7 @@
     return this.#table;
   }
 
-  fleet(service: string): Fleet {
+  fleet(service: string): RunnerFleet {
     return {
       runners: this.#directory.ready(service),
       loads: this.loads,
