--- a/packages/router/src/request/caller.ts
+++ b/packages/router/src/request/caller.ts
@@ -106,7 +106,7 @@
    * Ends an answer that cannot be whole, by closing the connection: without the
    * last chunk it does not look complete.
    */
-  breakOff(): void {
+  abort(): void {
     this.response.destroy();
   }
 
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -171,7 +171,7 @@
     const gone = this.#caller.left && ended.kind !== "answered";
     const outcome: Outcome = gone ? { kind: "left" } : ended;
     if (outcome.kind === "refused") this.#caller.refuse(outcome.refusal);
-    if (outcome.kind === "broken") this.#caller.breakOff();
+    if (outcome.kind === "broken") this.#caller.abort();
     const { startedAt, attempts } = this.#progress;
     const elapsedMs = this.#daemon.now() - startedAt;
     const result = outcomeName(outcome);
