--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -115,7 +115,7 @@
       over: () => progress.over || this.#quarantine() !== undefined,
     });
     for (;;) {
-      if (this.#caller.left) return { kind: "left" };
+      if (this.#caller.disconnected) return { kind: "left" };
       const over = progress.expired || progress.leftMs < LEAST_TIME_MS;
       if (over) return fallback?.() ?? this.#own.timeout();
       const choice = await search.find({
@@ -168,7 +168,7 @@
   }
 
   #end(call: CallHead, ended: Outcome, subject?: Subject): void {
-    const gone = this.#caller.left && ended.kind !== "answered";
+    const gone = this.#caller.disconnected && ended.kind !== "answered";
     const outcome: Outcome = gone ? { kind: "left" } : ended;
     if (outcome.kind === "refused") this.#caller.refuse(outcome.refusal);
     if (outcome.kind === "broken") this.#caller.abort();
--- a/packages/router/src/request/progress.ts
+++ b/packages/router/src/request/progress.ts
@@ -34,7 +34,7 @@
 
   /** Whether nobody waits for a runner's answer any more. */
   get over(): boolean {
-    return this.expired || this.withdrawn || this.#caller.left;
+    return this.expired || this.withdrawn || this.#caller.disconnected;
   }
 
   /** Milliseconds until the final answer is due. */
--- a/packages/router/src/request/runner_tries.ts
+++ b/packages/router/src/request/runner_tries.ts
@@ -184,7 +184,9 @@
   #broke(reason: string, { attempt, load, run }: TryParts): Tried {
     this.#progress.mayHaveRun = true;
     // The connection may have gone silent, and its siblings with it.
-    if (!this.#caller.left) this.#daemon.connections.dropIdle(attempt.runner);
+    if (!this.#caller.disconnected) {
+      this.#daemon.connections.dropIdle(attempt.runner);
+    }
     if (!this.#progress.over) {
       load.recordFailure(this.#daemon.now());
       this.#daemon.reportBrokenConnection(attempt.runner, run);
