--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -131,7 +131,7 @@
     metrics.term(lease.fencing ?? 0);
     if (lease.held) return await this.#lead();
     if (!eligible()) return;
-    const look = lease.isGivenUp ||
+    const look = lease.isReleased ||
       lease.unchangedMs >= LOOK_PART * this.#options.leaseMs;
     if (!look) return;
     await lease.tryTake();
--- a/packages/router/src/process/leader_lease.ts
+++ b/packages/router/src/process/leader_lease.ts
@@ -143,7 +143,7 @@
   }
 
   /** Whether the lease was given up, as far as seen. */
-  get isGivenUp(): boolean {
+  get isReleased(): boolean {
     return this.#sight.version > 0 && this.#holderId === "";
   }
 
