--- a/packages/router/src/request/caller.ts
+++ b/packages/router/src/request/caller.ts
@@ -51,7 +51,7 @@
   }
 
   /** Whether the head of an answer is out. */
-  get answered(): boolean {
+  get headersSent(): boolean {
     return this.response.headersSent;
   }
 
@@ -62,7 +62,7 @@
 
   /** Answers with a refusal, unless an answer is already out. */
   refuse(refusal: Refusal): void {
-    if (this.answered || this.disconnected) return;
+    if (this.headersSent || this.disconnected) return;
     const body = Buffer.from(JSON.stringify({ error: refusal.code }));
     const headers = ["Content-Type", "application/json"];
     if (refusal.retryAfterMs !== undefined) {
@@ -78,7 +78,7 @@
 
   /** Passes on a runner's whole answer. */
   answer(status: number, headers: RawHeaders, body: Buffer): void {
-    if (this.answered || this.disconnected) return;
+    if (this.headersSent || this.disconnected) return;
     const framed = isFramed(headers);
     this.#head(status, endToEndHeaders(headers, OWN_ANSWER_HEADERS), {
       length: framed ? body.length : undefined,
@@ -90,7 +90,7 @@
 
   /** Passes on the head of a runner's stream. */
   beginStream(status: number, headers: RawHeaders): void {
-    if (this.answered || this.disconnected) return;
+    if (this.headersSent || this.disconnected) return;
     this.#head(status, endToEndHeaders(headers, OWN_ANSWER_HEADERS), {
       length: undefined,
       close: !isFramed(headers),
--- a/packages/router/src/request/own_outcomes.ts
+++ b/packages/router/src/request/own_outcomes.ts
@@ -44,13 +44,13 @@
 
   /** It may have run, and there is no whole answer. */
   failure(reason: string): Outcome {
-    if (this.#caller.answered) return { kind: "broken", reason };
+    if (this.#caller.headersSent) return { kind: "broken", reason };
     return { kind: "refused", refusal: { status: 502, code: "runner_failed" } };
   }
 
   /** Its time is over. */
   timeout(): Outcome {
-    if (this.#caller.answered) return { kind: "broken", reason: "timeout" };
+    if (this.#caller.headersSent) return { kind: "broken", reason: "timeout" };
     const { mayHaveRun, attempts } = this.#progress;
     if (!mayHaveRun && attempts === 0) return this.refusal("timeout");
     return { kind: "refused", refusal: { status: 504, code: "timeout" } };
