--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -136,7 +136,7 @@
    * @param times steady ms; an answer to a request that was sent before the
    * runner named its limit does not end it.
    */
-  heard(
+  recordStated(
     runner: string,
     stated: StatedLimit | undefined,
     times: { readonly sentAt: number; readonly now: number },
--- a/packages/router/src/process/runner_limits_test.ts
+++ b/packages/router/src/process/runner_limits_test.ts
@@ -25,7 +25,7 @@
   const limit = typeof stated === "number"
     ? { kind: "limit", perS: stated } as const
     : stated;
-  limits.heard("r", limit, { sentAt: now - 1, now });
+  limits.recordStated("r", limit, { sentAt: now - 1, now });
 }
 
 /** Requests that a daemon sends which always has one more, in steps of ms. */
@@ -86,9 +86,9 @@
 test("an answer to a request sent before does not end a limit", () => {
   const { limits } = limitsWithLog();
   hear(limits, 1.4, 100);
-  limits.heard("r", undefined, { sentAt: 90, now: 110 });
+  limits.recordStated("r", undefined, { sentAt: 90, now: 110 });
   assert.equal(limits.of("r"), 1.4);
-  limits.heard("r", undefined, { sentAt: 101, now: 120 });
+  limits.recordStated("r", undefined, { sentAt: 101, now: 120 });
   assert.equal(limits.of("r"), undefined);
 });
 
--- a/packages/router/src/request/runner_tries.ts
+++ b/packages/router/src/request/runner_tries.ts
@@ -177,7 +177,7 @@
     const silent = head.limit === undefined && !head.sealed;
     if (silent || head.otherRunner) return;
     const times = { sentAt, now: this.#daemon.now() };
-    this.#daemon.limits.heard(attempt.runner.id, head.limit, times);
+    this.#daemon.limits.recordStated(attempt.runner.id, head.limit, times);
   }
 
   /** The connection broke before the head of an answer. */
--- a/packages/router/tests/limit_news_test.ts
+++ b/packages/router/tests/limit_news_test.ts
@@ -19,7 +19,7 @@
   const stated = perS === undefined
     ? undefined
     : { kind: "limit", perS } as const;
-  limits.heard(RUNNER, stated, { sentAt: now, now });
+  limits.recordStated(RUNNER, stated, { sentAt: now, now });
 }
 
 function holders(members: readonly Member[]): readonly Member[] {
--- a/packages/router/tests/limited_runner_test.ts
+++ b/packages/router/tests/limited_runner_test.ts
@@ -139,7 +139,7 @@
   const router = await linked.add();
   const now = router.now();
   const stated = { kind: "limit", perS: 1 } as const;
-  router.limits.heard("limited", stated, { sentAt: now, now });
+  router.limits.recordStated("limited", stated, { sentAt: now, now });
   assert.equal((await linked.send("work")).status, 500);
   assert.equal(limited.requests.length, 0);
 });
@@ -182,7 +182,10 @@
   linked.runners.set([only.runner]);
   const router = await linked.add();
   const now = router.now();
-  router.limits.heard("only", { kind: "limit", perS: 4 }, { sentAt: now, now });
+  router.limits.recordStated("only", { kind: "limit", perS: 4 }, {
+    sentAt: now,
+    now,
+  });
   const calm = Array.from(
     { length: 6 },
     () => linked.send("work", { path: "/calm/" }),
