--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -93,7 +93,7 @@
   }
 
   /** Calls `listener` whenever something is heard here that others lack. */
-  onNews(listener: () => void): void {
+  onUpdate(listener: () => void): void {
     this.#listeners.push(listener);
   }
 
