--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -98,7 +98,7 @@
   }
 
   /** Whether any runner has named a limit. */
-  get any(): boolean {
+  get hasLimits(): boolean {
     return this.#limits.size > 0;
   }
 
