--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -115,7 +115,7 @@
   }
 
   /** Whether a request may be sent to a runner now. */
-  mayTake(runner: string, now: number): boolean {
+  allowsRequest(runner: string, now: number): boolean {
     const limit = this.#limits.get(runner);
     if (limit?.perS === undefined) return true;
     this.#partOf(runner, limit, now);
--- a/packages/router/src/process/runner_limits_test.ts
+++ b/packages/router/src/process/runner_limits_test.ts
@@ -32,7 +32,7 @@
 function sentBy(limits: RunnerLimits, from: number, to: number): number[] {
   const sent = [];
   for (let now = from; now < to; now += 20) {
-    if (!limits.mayTake("r", now)) continue;
+    if (!limits.allowsRequest("r", now)) continue;
     limits.take("r", now);
     sent.push(now);
   }
--- a/packages/router/src/request/placement.ts
+++ b/packages/router/src/request/placement.ts
@@ -49,7 +49,7 @@
 ): readonly Runner[] {
   const { limits, now } = fleet;
   const left = fleet.runners.filter(({ id }) =>
-    !excluded.has(id) && (!limits.hasLimits || limits.mayTake(id, now))
+    !excluded.has(id) && (!limits.hasLimits || limits.allowsRequest(id, now))
   );
   const sound = left.filter(({ id }) =>
     !fleet.loads.of(id).isEjected(fleet.now)
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -332,7 +332,7 @@
   /** What daemons ask a runner counts among what it takes. */
   #mayAsk(id: string): boolean {
     const now = this.now();
-    if (!this.limits.mayTake(id, now)) return false;
+    if (!this.limits.allowsRequest(id, now)) return false;
     this.limits.take(id, now);
     return true;
   }
