--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -123,7 +123,7 @@
   }
 
   /** Counts a request that is sent to a runner. */
-  take(runner: string, now: number): void {
+  recordRequest(runner: string, now: number): void {
     const limit = this.#limits.get(runner);
     if (limit?.perS === undefined) return;
     this.#partOf(runner, limit, now);
--- a/packages/router/src/process/runner_limits_test.ts
+++ b/packages/router/src/process/runner_limits_test.ts
@@ -33,7 +33,7 @@
   const sent = [];
   for (let now = from; now < to; now += 20) {
     if (!limits.allowsRequest("r", now)) continue;
-    limits.take("r", now);
+    limits.recordRequest("r", now);
     sent.push(now);
   }
   return sent;
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -155,7 +155,7 @@
    */
   #taken(choice: Choice | undefined): Choice | undefined {
     if (choice === undefined) return undefined;
-    this.#daemon.limits.take(choice.runner.id, this.#daemon.now());
+    this.#daemon.limits.recordRequest(choice.runner.id, this.#daemon.now());
     return choice;
   }
 
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -333,7 +333,7 @@
   #mayAsk(id: string): boolean {
     const now = this.now();
     if (!this.limits.allowsRequest(id, now)) return false;
-    this.limits.take(id, now);
+    this.limits.recordRequest(id, now);
     return true;
   }
 
