--- a/packages/router/src/connection/crash_ages.ts
+++ b/packages/router/src/connection/crash_ages.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { CrashedRun, WholeAnswer } from "../process/crash_entry.ts";
+import type { CompleteAnswer, CrashedRun } from "../process/crash_entry.ts";
 import type { CrashNews } from "../process/crash_record.ts";
 import { groupBy } from "../process/group.ts";
 
@@ -74,7 +74,7 @@
         endedAt: now - endedAgoMs,
       }))
     ),
-    answers: answers.map(({ fingerprint, agoMs }): WholeAnswer => ({
+    answers: answers.map(({ fingerprint, agoMs }): CompleteAnswer => ({
       fingerprint,
       at: now - agoMs,
     })),
--- a/packages/router/src/connection/outbox.ts
+++ b/packages/router/src/connection/outbox.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { ContactUpdates } from "../process/contact_book.ts";
-import type { CrashedRun, WholeAnswer } from "../process/crash_entry.ts";
+import type { CompleteAnswer, CrashedRun } from "../process/crash_entry.ts";
 import type { CrashNews } from "../process/crash_record.ts";
 import type { LimitNews } from "../process/runner_limits.ts";
 import type { LeaseObservation } from "../process/leader_lease.ts";
@@ -40,7 +40,7 @@
 /** Requests at runners that ended, with the neighbours that told of them. */
 export interface ToldCrashes {
   readonly crashed: readonly (CrashedRun & Told)[];
-  readonly answers: readonly (WholeAnswer & Told)[];
+  readonly answers: readonly (CompleteAnswer & Told)[];
 }
 
 /** What goes out with the next messages. */
@@ -62,7 +62,7 @@
   #parts: (PartsNews & Told)[] = [];
   #contacts: ContactUpdates[] = [];
   readonly #crashed: (CrashedRun & Told)[] = [];
-  readonly #answers: (WholeAnswer & Told)[] = [];
+  readonly #answers: (CompleteAnswer & Told)[] = [];
   /** What each runner said last. */
   readonly #limits = new Map<string, LimitNews & Told>();
   /** By life and window, what was counted last for each workspace. */
--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -5,14 +5,14 @@
  * @module
  */
 import { isBlamed, NO_ENDS, withAnswer, withRun } from "./crash_entry.ts";
-import type { CrashedRun, CrashEntry, WholeAnswer } from "./crash_entry.ts";
+import type { CompleteAnswer, CrashedRun, CrashEntry } from "./crash_entry.ts";
 import type { EventLog } from "./event_log.ts";
 
 /** What is to be told to other daemons, or was told by one. */
 export interface CrashNews {
   readonly crashed: readonly CrashedRun[];
   /** Runs of requests that were at runners which ended before or after. */
-  readonly answers: readonly WholeAnswer[];
+  readonly answers: readonly CompleteAnswer[];
 }
 
 /** Why a request is not sent. */
@@ -71,7 +71,7 @@
   /** Called when a request is quarantined, by its fingerprint. */
   readonly #watchers = new Map<string, Set<() => void>>();
   #crashedNews: CrashedRun[] = [];
-  #answerNews: WholeAnswer[] = [];
+  #answerNews: CompleteAnswer[] = [];
 
   constructor(log: EventLog) {
     this.#log = log;
@@ -152,7 +152,7 @@
     const blamed = entries.filter(([, entry]) => isBlamed(entry));
     const others = entries.filter(([, entry]) => !isBlamed(entry));
     const crashed: CrashedRun[] = [];
-    const answers: WholeAnswer[] = [];
+    const answers: CompleteAnswer[] = [];
     for (const [fingerprint, { runs, answeredAt }] of [...blamed, ...others]) {
       if (crashed.length + runs.length > MAX_TOLD) break;
       crashed.push(...runs);
@@ -184,13 +184,13 @@
   }
 
   /** Has it known here and elsewhere that a request does not end runners. */
-  #vouch(run: WholeAnswer): void {
+  #vouch(run: CompleteAnswer): void {
     if (!this.#clear(run)) return;
     this.#answerNews.push(run);
     this.#tell();
   }
 
-  #takeAnswer(run: WholeAnswer): boolean {
+  #takeAnswer(run: CompleteAnswer): boolean {
     const known = this.#answers.get(run.fingerprint) ?? -Infinity;
     if (run.at - known <= SAME_ANSWER_MS) return false;
     this.#remember(run);
@@ -199,7 +199,7 @@
   }
 
   /** @returns whether it changes what is known. */
-  #clear({ fingerprint, at }: WholeAnswer): boolean {
+  #clear({ fingerprint, at }: CompleteAnswer): boolean {
     const entry = this.#entries.get(fingerprint);
     if (entry === undefined) return false;
     if (entry.answeredAt !== undefined && at <= entry.answeredAt) return false;
@@ -207,7 +207,7 @@
     return true;
   }
 
-  #remember({ fingerprint, at }: WholeAnswer): void {
+  #remember({ fingerprint, at }: CompleteAnswer): void {
     this.#answers.delete(fingerprint);
     this.#answers.set(fingerprint, at);
     for (const [oldest, since] of this.#answers) {
