--- a/packages/router/src/connection/crash_detector.ts
+++ b/packages/router/src/connection/crash_detector.ts
@@ -72,7 +72,7 @@
     this.#seen.add(runner.id);
     setTimeout(() => this.#seen.delete(runner.id), LOOK_AGAIN_MS).unref();
     if (ended) this.#metrics.runnerEnded(runner.service);
-    if (ended) this.#record.crashed(runs, performance.now());
+    if (ended) this.#record.recordCrashes(runs, performance.now());
     const named = runs.slice(0, MAX_NAMED).map((each) => each.fingerprint);
     this.#log.event("runner_looked_at", {
       runner: runner.id,
--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -107,7 +107,7 @@
   }
 
   /** Notes requests of this daemon that were at a runner when it ended. */
-  crashed(runs: readonly CrashedRun[], now: number): void {
+  recordCrashes(runs: readonly CrashedRun[], now: number): void {
     const news = runs.filter((run) => this.#add(run, now));
     if (news.length === 0) return;
     this.#crashedNews.push(...news);
--- a/packages/router/src/process/crash_record_test.ts
+++ b/packages/router/src/process/crash_record_test.ts
@@ -46,7 +46,7 @@
   const { count, from = 0, fingerprint = "bad" } = options;
   for (let index = 0; index < count; index++) {
     const run = runAt(from + 100 * index, { fingerprint });
-    record.crashed([run], run.endedAt);
+    record.recordCrashes([run], run.endedAt);
   }
 }
 
@@ -65,7 +65,7 @@
   const { record } = recordWithLog();
   for (const at of [0, 100, 200]) {
     const victim = `victim-${at}`;
-    record.crashed([runAt(at), runAt(at, { fingerprint: victim })], at);
+    record.recordCrashes([runAt(at), runAt(at, { fingerprint: victim })], at);
     assert.equal(isRefused(record, victim, at), false);
   }
   assert.equal(isRefused(record, "bad", 300), true);
@@ -86,7 +86,7 @@
   const runs = [0, 1, 2, 3, 4].map((index) =>
     runAt(index, { endedAt: 100 + index })
   );
-  record.crashed(runs, 200);
+  record.recordCrashes(runs, 200);
   assert.equal(isRefused(record, "bad", 200), false);
 });
 
@@ -171,7 +171,10 @@
   endRunners(record, { count: 3 });
   for (let index = 0; index < 10_000; index++) {
     const fingerprint = `varied-${index}`;
-    record.crashed([runAt(1_000 + index, { fingerprint })], 1_100 + index);
+    record.recordCrashes(
+      [runAt(1_000 + index, { fingerprint })],
+      1_100 + index,
+    );
     record.answered(`answered-${index}`, 1_100 + index);
   }
   assert.equal(isRefused(record, "bad", 20_000), true);
--- a/packages/router/tests/crash_news_test.ts
+++ b/packages/router/tests/crash_news_test.ts
@@ -19,7 +19,7 @@
 ): void {
   const now = performance.now();
   const run = { ...options, beganAt: now - RUN_MS, endedAt: now };
-  member.crashes.crashed([run], now);
+  member.crashes.recordCrashes([run], now);
 }
 
 /** Three runners end under one request that goes from daemon to daemon. */
