--- a/packages/router/src/request/runner_tries.ts
+++ b/packages/router/src/request/runner_tries.ts
@@ -197,7 +197,7 @@
   #ended(subject: Subject, passed: Passed): Tried {
     if (passed.kind === "broken") return this.#repeat(passed.reason);
     const { fingerprint, over } = this.#progress;
-    this.#daemon.crashes.answered(fingerprint, this.#daemon.now());
+    this.#daemon.crashes.recordAnswer(fingerprint, this.#daemon.now());
     const { status } = passed;
     const outcome: Outcome = { kind: "answered", status };
     if (passed.kind === "answered") return { kind: "done", outcome };
