--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -78,7 +78,7 @@
   }
 
   /** Calls `listener` whenever something is noted here that others lack. */
-  onNews(listener: () => void): void {
+  onUpdate(listener: () => void): void {
     this.#listeners.push(listener);
   }
 
