--- a/packages/router/src/process/memory_survey.ts
+++ b/packages/router/src/process/memory_survey.ts
@@ -91,7 +91,7 @@
       const { startedAtMs, parts } = await this.#memory.held(runner);
       // The runner may have started again since it was listed.
       const id = runnerId(runner.name, startedAtMs ?? runner.startedAtMs);
-      this.#prefixes.found(id, parts, performance.now());
+      this.#prefixes.recordHeld(id, parts, performance.now());
       this.#log.event("memory_surveyed", {
         runner: id,
         parts: parts.length,
--- a/packages/router/src/process/prefix_record.ts
+++ b/packages/router/src/process/prefix_record.ts
@@ -65,7 +65,7 @@
   }
 
   /** Notes what a runner said that it holds. */
-  found(runner: string, parts: readonly PromptPart[], now: number): void {
+  recordHeld(runner: string, parts: readonly PromptPart[], now: number): void {
     this.#tell({ runner, parts, read: true }, now);
   }
 
