--- a/packages/router/src/connection/sharing.ts
+++ b/packages/router/src/connection/sharing.ts
@@ -128,7 +128,7 @@
 
   start(): void {
     this.#known.loads.onChange(() => this.wake());
-    this.#known.prefixes.onNews(() => this.wake());
+    this.#known.prefixes.onUpdate(() => this.wake());
     this.#known.crashes.onUpdate(() => this.wake());
     this.#known.limits.onUpdate(() => this.wake());
     this.#known.directory.onChange(() => this.wake());
--- a/packages/router/src/process/prefix_record.ts
+++ b/packages/router/src/process/prefix_record.ts
@@ -50,7 +50,7 @@
   #news: PartsNews[] = [];
 
   /** Calls `listener` whenever something is noted here that others lack. */
-  onNews(listener: () => void): void {
+  onUpdate(listener: () => void): void {
     this.#listeners.push(listener);
   }
 
