--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -12,7 +12,7 @@
 import type { UsageCount, UsageMeter } from "../process/usage_meter.ts";
 import type { CrashNews, CrashRecord } from "../process/crash_record.ts";
 import type { PartsNews, PrefixRecord } from "../process/prefix_record.ts";
-import type { LimitNews, RunnerLimits } from "../process/runner_limits.ts";
+import type { LimitUpdate, RunnerLimits } from "../process/runner_limits.ts";
 import type { RunnerLoads } from "../process/runner_loads.ts";
 import type { NeighbourFilter } from "../process/runner_queue.ts";
 import { ageOf, agesOf } from "./crash_ages.ts";
@@ -39,7 +39,7 @@
   readonly parts: readonly PartsNews[];
   readonly contacts: ContactUpdates;
   readonly crashes: CrashNews;
-  readonly limits: readonly LimitNews[];
+  readonly limits: readonly LimitUpdate[];
   readonly usage: readonly UsageCount[];
   readonly lease: LeaseObservation | undefined;
 }
@@ -82,7 +82,7 @@
   readonly parts: readonly PartsNews[];
   /** What of it was not known here. */
   readonly crashes: CrashNews;
-  readonly limits: readonly LimitNews[];
+  readonly limits: readonly LimitUpdate[];
   readonly usage: readonly UsageCount[];
   /** Whether requests wait for the runners. */
   readonly urgent: boolean;
--- a/packages/router/src/connection/outbox.ts
+++ b/packages/router/src/connection/outbox.ts
@@ -6,7 +6,7 @@
 import type { ContactUpdates } from "../process/contact_book.ts";
 import type { CompleteAnswer, CrashedRun } from "../process/crash_entry.ts";
 import type { CrashNews } from "../process/crash_record.ts";
-import type { LimitNews } from "../process/runner_limits.ts";
+import type { LimitUpdate } from "../process/runner_limits.ts";
 import type { LeaseObservation } from "../process/leader_lease.ts";
 import type { UsageCount } from "../process/usage_meter.ts";
 import type { PartsNews } from "../process/prefix_record.ts";
@@ -50,7 +50,7 @@
   readonly parts: readonly (PartsNews & Told)[];
   readonly contacts: ContactUpdates;
   readonly crashes: ToldCrashes;
-  readonly limits: readonly (LimitNews & Told)[];
+  readonly limits: readonly (LimitUpdate & Told)[];
   readonly usage: readonly UsageCount[];
   readonly lease: LeaseObservation | undefined;
 }
@@ -64,7 +64,7 @@
   readonly #crashed: (CrashedRun & Told)[] = [];
   readonly #answers: (CompleteAnswer & Told)[] = [];
   /** What each runner said last. */
-  readonly #limits = new Map<string, LimitNews & Told>();
+  readonly #limits = new Map<string, LimitUpdate & Told>();
   /** By life and window, what was counted last for each workspace. */
   readonly #usage = new Map<string, UsageCount>();
   #lease: LeaseObservation | undefined;
@@ -97,7 +97,7 @@
     wait(this.#answers, answers, from);
   }
 
-  addLimits(limits: readonly LimitNews[], from?: string): void {
+  addLimits(limits: readonly LimitUpdate[], from?: string): void {
     for (const news of limits) this.#limits.set(news.runner, { ...news, from });
   }
 
--- a/packages/router/src/connection/peer_message.ts
+++ b/packages/router/src/connection/peer_message.ts
@@ -7,7 +7,7 @@
 import type { Contact } from "../process/contact.ts";
 import type { ContactUpdates } from "../process/contact_book.ts";
 import type { LeaseObservation } from "../process/leader_lease.ts";
-import type { LimitNews } from "../process/runner_limits.ts";
+import type { LimitUpdate } from "../process/runner_limits.ts";
 import type { PartsNews } from "../process/prefix_record.ts";
 import type { LoadTotals } from "../process/share.ts";
 import type { RunnerNews } from "../process/runner_directory.ts";
@@ -61,7 +61,7 @@
 }
 
 /** What a runner said of its limit, in ms before the message. */
-export type LimitAge = Omit<LimitNews, "at"> & { readonly agoMs: number };
+export type LimitAge = Omit<LimitUpdate, "at"> & { readonly agoMs: number };
 
 /** What was seen of the leader's lease, in ms before the message. */
 export type LeaseAge = Omit<LeaseObservation, "at"> & {
--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -18,7 +18,7 @@
   | { readonly kind: "unreadable"; readonly text: string };
 
 /** What a runner said last, here or to another daemon. */
-export interface LimitNews {
+export interface LimitUpdate {
   /** Id of the runner's life. */
   readonly runner: string;
   /** Requests a second; none when it does not name a limit any more. */
@@ -162,19 +162,19 @@
    *
    * @returns what was not known here, to be passed on.
    */
-  takeAll(news: readonly LimitNews[], now: number): readonly LimitNews[] {
+  takeAll(news: readonly LimitUpdate[], now: number): readonly LimitUpdate[] {
     return news.filter((each) => this.#isNew(each) && this.#set(each, now));
   }
 
   /** What was heard here since the last call. */
-  takeNews(): readonly LimitNews[] {
+  takeNews(): readonly LimitUpdate[] {
     const news = [...this.#news];
     this.#news = new Set();
     return news.flatMap((runner) => this.#newsOf(runner));
   }
 
   /** All that a daemon needs to know that has just been met. */
-  all(now: number): readonly LimitNews[] {
+  all(now: number): readonly LimitUpdate[] {
     return [...this.#limits.keys()]
       .flatMap((runner) => this.#newsOf(runner))
       .filter(({ perS, at }) => perS !== undefined || now - at < ENDED_MS);
@@ -189,13 +189,13 @@
     }
   }
 
-  #newsOf(runner: string): readonly LimitNews[] {
+  #newsOf(runner: string): readonly LimitUpdate[] {
     const limit = this.#limits.get(runner);
     if (limit === undefined) return [];
     return [{ runner, perS: limit.perS, at: limit.at }];
   }
 
-  #isNew({ runner, perS, at }: LimitNews): boolean {
+  #isNew({ runner, perS, at }: LimitUpdate): boolean {
     const known = this.#limits.get(runner);
     if (known === undefined) return perS !== undefined;
     if (at <= known.at) return false;
@@ -204,13 +204,13 @@
   }
 
   /** Notes what was heard here, and tells others. */
-  #note(news: LimitNews, now: number): void {
+  #note(news: LimitUpdate, now: number): void {
     this.#set(news, now);
     this.#news.add(news.runner);
     for (const listener of this.#listeners) listener();
   }
 
-  #set({ runner, perS, at }: LimitNews, now: number): true {
+  #set({ runner, perS, at }: LimitUpdate, now: number): true {
     const known = this.#limits.get(runner);
     const limit = known ?? unlimited();
     this.#limits.set(runner, limit);
