--- a/packages/router/src/connection/apply_update.ts
+++ b/packages/router/src/connection/apply_update.ts
@@ -58,7 +58,7 @@
     changed,
     parts,
     crashes: known.crashes.take(newsOf(crashes, now), now),
-    limits: known.limits.takeAll(
+    limits: known.limits.applyUpdates(
       limits.map(({ agoMs, ...news }) => ({ ...news, at: now - agoMs })),
       now,
     ),
--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -162,7 +162,10 @@
    *
    * @returns what was not known here, to be passed on.
    */
-  takeAll(news: readonly LimitUpdate[], now: number): readonly LimitUpdate[] {
+  applyUpdates(
+    news: readonly LimitUpdate[],
+    now: number,
+  ): readonly LimitUpdate[] {
     return news.filter((each) => this.#isNew(each) && this.#set(each, now));
   }
 
--- a/packages/router/src/process/runner_limits_test.ts
+++ b/packages/router/src/process/runner_limits_test.ts
@@ -95,12 +95,12 @@
 test("what others heard counts unless something newer is known", () => {
   const { limits } = limitsWithLog();
   const news = { runner: "r", perS: 1.4, at: 100 };
-  assert.deepEqual(limits.takeAll([news], 150), [news]);
-  assert.deepEqual(limits.takeAll([news], 160), []);
+  assert.deepEqual(limits.applyUpdates([news], 150), [news]);
+  assert.deepEqual(limits.applyUpdates([news], 160), []);
   hear(limits, undefined, 200);
-  assert.deepEqual(limits.takeAll([{ ...news, at: 190 }], 210), []);
+  assert.deepEqual(limits.applyUpdates([{ ...news, at: 190 }], 210), []);
   assert.equal(limits.of("r"), undefined);
-  limits.takeAll([{ ...news, at: 250 }], 260);
+  limits.applyUpdates([{ ...news, at: 250 }], 260);
   assert.equal(limits.of("r"), 1.4);
 });
 
@@ -133,10 +133,10 @@
       const names = all.slice(0, known);
       const sent = all.flatMap((own) => {
         const { limits } = limitsWithLog({ own, names, fleetSize: daemons });
-        limits.takeAll([{ runner: "r", perS, at: 0 }], 0);
+        limits.applyUpdates([{ runner: "r", perS, at: 0 }], 0);
         const each: number[] = [];
         for (let now = 0; now < SPAN_MS; now += 4_000) {
-          limits.takeAll([{ runner: "r", perS, at: now }], now);
+          limits.applyUpdates([{ runner: "r", perS, at: now }], now);
           each.push(...sentBy(limits, now, now + 4_000));
         }
         return each;
@@ -162,7 +162,7 @@
   const holders = (now: number) =>
     names.filter((own) => {
       const { limits } = limitsWithLog({ own, names, fleetSize: names.length });
-      limits.takeAll([{ runner: "r", perS: 0.2, at: 0 }], 0);
+      limits.applyUpdates([{ runner: "r", perS: 0.2, at: 0 }], 0);
       return limits.hasPart("r", now);
     });
   assert.equal(holders(1_000).length, 3);
