--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -130,7 +130,7 @@
     const changed = loads.takeChanged();
     const parts = prefixes.takeNews();
     const crashNews = crashes.takeNews();
-    const limitNews = limits.takeNews();
+    const limitNews = limits.takeUpdates();
     this.#near.addUsage(this.#sources.usage?.takeNews() ?? []);
     this.#collectLease();
     const contacts = book.hasUpdates ? book.takeUpdates() : undefined;
--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -170,7 +170,7 @@
   }
 
   /** What was heard here since the last call. */
-  takeNews(): readonly LimitUpdate[] {
+  takeUpdates(): readonly LimitUpdate[] {
     const news = [...this.#news];
     this.#news = new Set();
     return news.flatMap((runner) => this.#newsOf(runner));
--- a/packages/router/src/process/runner_limits_test.ts
+++ b/packages/router/src/process/runner_limits_test.ts
@@ -109,7 +109,7 @@
   let told = 0;
   for (let now = 0; now <= 10_000; now += 100) {
     hear(limits, 1.4, now);
-    told += limits.takeNews().length;
+    told += limits.takeUpdates().length;
   }
   assert.equal(told, 3);
 });
