--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -198,7 +198,7 @@
     if (silent) return { ...this.versionsFor(peer), whole: true };
     const now = performance.now();
     const crashes = this.#sources.crashes.all(now);
-    const limits = this.#sources.limits.all(now);
+    const limits = this.#sources.limits.snapshot(now);
     const contacts = this.#contactsFor(peer);
     const loads = this.#sums.all(counts);
     const isChild = this.#sources.overlay.role(peer.name) === "child";
--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -177,7 +177,7 @@
   }
 
   /** All that a daemon needs to know that has just been met. */
-  all(now: number): readonly LimitUpdate[] {
+  snapshot(now: number): readonly LimitUpdate[] {
     return [...this.#limits.keys()]
       .flatMap((runner) => this.#newsOf(runner))
       .filter(({ perS, at }) => perS !== undefined || now - at < ENDED_MS);
