--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -108,7 +108,7 @@
   }
 
   /** Whether this daemon has a part of a runner's limit, or there is none. */
-  hasPart(runner: string, now: number): boolean {
+  hasShare(runner: string, now: number): boolean {
     const limit = this.#limits.get(runner);
     if (limit?.perS === undefined) return true;
     return this.#partOf(runner, limit, now).perSecond > 0;
--- a/packages/router/src/process/runner_limits_test.ts
+++ b/packages/router/src/process/runner_limits_test.ts
@@ -163,7 +163,7 @@
     names.filter((own) => {
       const { limits } = limitsWithLog({ own, names, fleetSize: names.length });
       limits.applyUpdates([{ runner: "r", perS: 0.2, at: 0 }], 0);
-      return limits.hasPart("r", now);
+      return limits.hasShare("r", now);
     });
   assert.equal(holders(1_000).length, 3);
   assert.deepEqual(holders(14_000), holders(1_000));
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -182,7 +182,7 @@
   #mayAwait(limited: readonly Runner[], until: number): boolean {
     const now = this.#daemon.now();
     const { limits } = this.#daemon;
-    const hope = limited.some(({ id }) => limits.hasPart(id, now));
+    const hope = limited.some(({ id }) => limits.hasShare(id, now));
     if (hope && now <= until && !this.#limits.over()) return true;
     logLimited(this.#daemon, this.#subject, {
       limited: limited.length,
--- a/packages/router/tests/limit_news_test.ts
+++ b/packages/router/tests/limit_news_test.ts
@@ -24,7 +24,7 @@
 
 function holders(members: readonly Member[]): readonly Member[] {
   return members.filter(({ limits }) =>
-    limits.hasPart(RUNNER, performance.now())
+    limits.hasShare(RUNNER, performance.now())
   );
 }
 
