--- a/packages/router/src/connection/crash_ages.ts
+++ b/packages/router/src/connection/crash_ages.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { CompleteAnswer, CrashedRun } from "../process/crash_entry.ts";
-import type { CrashNews } from "../process/crash_record.ts";
+import type { CrashUpdate } from "../process/crash_record.ts";
 import { groupBy } from "../process/group.ts";
 
 /** Requests that were at one runner when it ended. */
@@ -40,7 +40,7 @@
 
 /** Puts news in ages, for a message that is sent now. */
 export function agesOf(
-  { crashed, answers }: CrashNews,
+  { crashed, answers }: CrashUpdate,
   now: number,
 ): CrashAges {
   const byRunner = groupBy(crashed, ({ runner }) => runner);
@@ -64,7 +64,7 @@
 export function newsOf(
   { crashed, answers }: CrashAges,
   now: number,
-): CrashNews {
+): CrashUpdate {
   return {
     crashed: crashed.flatMap(({ runner, runs }) =>
       runs.map(({ fingerprint, beganAgoMs, endedAgoMs }): CrashedRun => ({
--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -10,7 +10,7 @@
 import type { FleetTime } from "../process/fleet_time.ts";
 import type { LeaderLease, LeaseObservation } from "../process/leader_lease.ts";
 import type { UsageCount, UsageMeter } from "../process/usage_meter.ts";
-import type { CrashNews, CrashRecord } from "../process/crash_record.ts";
+import type { CrashRecord, CrashUpdate } from "../process/crash_record.ts";
 import type { PartsNews, PrefixRecord } from "../process/prefix_record.ts";
 import type { LimitUpdate, RunnerLimits } from "../process/runner_limits.ts";
 import type { RunnerLoads } from "../process/runner_loads.ts";
@@ -38,7 +38,7 @@
 interface StateNews {
   readonly parts: readonly PartsNews[];
   readonly contacts: ContactUpdates;
-  readonly crashes: CrashNews;
+  readonly crashes: CrashUpdate;
   readonly limits: readonly LimitUpdate[];
   readonly usage: readonly UsageCount[];
   readonly lease: LeaseObservation | undefined;
@@ -81,7 +81,7 @@
   readonly changed: ReadonlySet<string>;
   readonly parts: readonly PartsNews[];
   /** What of it was not known here. */
-  readonly crashes: CrashNews;
+  readonly crashes: CrashUpdate;
   readonly limits: readonly LimitUpdate[];
   readonly usage: readonly UsageCount[];
   /** Whether requests wait for the runners. */
--- a/packages/router/src/connection/outbox.ts
+++ b/packages/router/src/connection/outbox.ts
@@ -5,7 +5,7 @@
  */
 import type { ContactUpdates } from "../process/contact_book.ts";
 import type { CompleteAnswer, CrashedRun } from "../process/crash_entry.ts";
-import type { CrashNews } from "../process/crash_record.ts";
+import type { CrashUpdate } from "../process/crash_record.ts";
 import type { LimitUpdate } from "../process/runner_limits.ts";
 import type { LeaseObservation } from "../process/leader_lease.ts";
 import type { UsageCount } from "../process/usage_meter.ts";
@@ -92,7 +92,7 @@
     this.#contacts.push(news);
   }
 
-  addCrashes({ crashed, answers }: CrashNews, from?: string): void {
+  addCrashes({ crashed, answers }: CrashUpdate, from?: string): void {
     wait(this.#crashed, crashed, from);
     wait(this.#answers, answers, from);
   }
--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -9,7 +9,7 @@
 import type { EventLog } from "./event_log.ts";
 
 /** What is to be told to other daemons, or was told by one. */
-export interface CrashNews {
+export interface CrashUpdate {
   readonly crashed: readonly CrashedRun[];
   /** Runs of requests that were at runners which ended before or after. */
   readonly answers: readonly CompleteAnswer[];
@@ -127,7 +127,7 @@
    *
    * @returns what was not known here, to be passed on.
    */
-  take({ crashed, answers }: CrashNews, now: number): CrashNews {
+  take({ crashed, answers }: CrashUpdate, now: number): CrashUpdate {
     return {
       crashed: crashed.filter((run) => this.#add(run, now)),
       answers: answers.filter((run) => this.#takeAnswer(run)),
@@ -135,7 +135,7 @@
   }
 
   /** What was noted here since the last call. */
-  takeNews(): CrashNews {
+  takeNews(): CrashUpdate {
     const news = { crashed: this.#crashedNews, answers: this.#answerNews };
     this.#crashedNews = [];
     this.#answerNews = [];
@@ -146,7 +146,7 @@
    * What a daemon needs to know that has just been met: first of requests that
    * are not sent any more, then what was noted last.
    */
-  all(now: number): CrashNews {
+  all(now: number): CrashUpdate {
     this.#forgetOld(now);
     const entries = [...this.#entries].reverse();
     const blamed = entries.filter(([, entry]) => isBlamed(entry));
