--- a/packages/router/src/connection/apply_update.ts
+++ b/packages/router/src/connection/apply_update.ts
@@ -57,7 +57,7 @@
   return {
     changed,
     parts,
-    crashes: known.crashes.take(newsOf(crashes, now), now),
+    crashes: known.crashes.applyUpdate(newsOf(crashes, now), now),
     limits: known.limits.applyUpdates(
       limits.map(({ agoMs, ...news }) => ({ ...news, at: now - agoMs })),
       now,
--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -127,7 +127,7 @@
    *
    * @returns what was not known here, to be passed on.
    */
-  take({ crashed, answers }: CrashUpdate, now: number): CrashUpdate {
+  applyUpdate({ crashed, answers }: CrashUpdate, now: number): CrashUpdate {
     return {
       crashed: crashed.filter((run) => this.#add(run, now)),
       answers: answers.filter((run) => this.#takeAnswer(run)),
--- a/packages/router/src/process/crash_record_test.ts
+++ b/packages/router/src/process/crash_record_test.ts
@@ -75,7 +75,7 @@
   const { record } = recordWithLog();
   for (const delay of [0, 100, 200]) {
     const told = runAt(delay, { runner: "r" });
-    record.take({ crashed: [told], answers: [] }, 300);
+    record.applyUpdate({ crashed: [told], answers: [] }, 300);
   }
   assert.equal(isRefused(record, "bad", 300), false);
 });
@@ -95,7 +95,7 @@
   for (const order of [[0, 1, 2], [2, 1, 0], [1, 2, 0]]) {
     const { record } = recordWithLog();
     for (const index of order) {
-      record.take({ crashed: [runs[index]!], answers: [] }, 300);
+      record.applyUpdate({ crashed: [runs[index]!], answers: [] }, 300);
     }
     assert.equal(isRefused(record, "bad", 300), true);
   }
@@ -125,10 +125,10 @@
   const [seeing, vouching] = [recordWithLog().record, recordWithLog().record];
   vouching.recordAnswer("bad", 0);
   endRunners(seeing, { count: 2, from: 100 });
-  vouching.take(seeing.takeNews(), 300);
+  vouching.applyUpdate(seeing.takeNews(), 300);
   const told = vouching.takeNews();
   assert.deepEqual(told.answers, [{ fingerprint: "bad", at: 0 }]);
-  seeing.take(told, 300);
+  seeing.applyUpdate(told, 300);
   endRunners(seeing, { count: 1, from: 400 });
   assert.equal(isRefused(seeing, "bad", 500), false);
 });
@@ -139,8 +139,8 @@
     crashed: [runAt(0)],
     answers: [{ fingerprint: "bad", at: 90 }],
   };
-  assert.deepEqual(record.take(news, 100), news);
-  assert.deepEqual(record.take(news, 100), { crashed: [], answers: [] });
+  assert.deepEqual(record.applyUpdate(news, 100), news);
+  assert.deepEqual(record.applyUpdate(news, 100), { crashed: [], answers: [] });
 });
 
 test("a request is sent again after its quarantine, until the next end", () => {
@@ -189,6 +189,6 @@
   const { record } = recordWithLog();
   endRunners(record, { count: 3 });
   const { record: fresh } = recordWithLog();
-  fresh.take(record.all(300), 300);
+  fresh.applyUpdate(record.all(300), 300);
   assert.equal(isRefused(fresh, "bad", 300), true);
 });
