--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -129,7 +129,7 @@
     const { loads, prefixes, crashes, limits, book, overlay } = this.#sources;
     const changed = loads.takeChanged();
     const parts = prefixes.takeNews();
-    const crashNews = crashes.takeNews();
+    const crashNews = crashes.takeUpdates();
     const limitNews = limits.takeUpdates();
     this.#near.addUsage(this.#sources.usage?.takeNews() ?? []);
     this.#collectLease();
--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -135,7 +135,7 @@
   }
 
   /** What was noted here since the last call. */
-  takeNews(): CrashUpdate {
+  takeUpdates(): CrashUpdate {
     const news = { crashed: this.#crashedNews, answers: this.#answerNews };
     this.#crashedNews = [];
     this.#answerNews = [];
--- a/packages/router/src/process/crash_record_test.ts
+++ b/packages/router/src/process/crash_record_test.ts
@@ -125,8 +125,8 @@
   const [seeing, vouching] = [recordWithLog().record, recordWithLog().record];
   vouching.recordAnswer("bad", 0);
   endRunners(seeing, { count: 2, from: 100 });
-  vouching.applyUpdate(seeing.takeNews(), 300);
-  const told = vouching.takeNews();
+  vouching.applyUpdate(seeing.takeUpdates(), 300);
+  const told = vouching.takeUpdates();
   assert.deepEqual(told.answers, [{ fingerprint: "bad", at: 0 }]);
   seeing.applyUpdate(told, 300);
   endRunners(seeing, { count: 1, from: 400 });
@@ -182,7 +182,7 @@
   assert.ok(crashed.length <= 200, `${crashed.length} told`);
   assert.equal(crashed[0]!.fingerprint, "bad");
   record.recordAnswer("varied-0", 20_000);
-  assert.deepEqual(record.takeNews().answers, []);
+  assert.deepEqual(record.takeUpdates().answers, []);
 });
 
 test("a daemon that has just been met knows what is not sent any more", () => {
