--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -197,7 +197,7 @@
     const silent = this.#sources.overlay.isSpare(peer);
     if (silent) return { ...this.versionsFor(peer), whole: true };
     const now = performance.now();
-    const crashes = this.#sources.crashes.all(now);
+    const crashes = this.#sources.crashes.snapshot(now);
     const limits = this.#sources.limits.snapshot(now);
     const contacts = this.#contactsFor(peer);
     const loads = this.#sums.all(counts);
--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -146,7 +146,7 @@
    * What a daemon needs to know that has just been met: first of requests that
    * are not sent any more, then what was noted last.
    */
-  all(now: number): CrashUpdate {
+  snapshot(now: number): CrashUpdate {
     this.#forgetOld(now);
     const entries = [...this.#entries].reverse();
     const blamed = entries.filter(([, entry]) => isBlamed(entry));
--- a/packages/router/src/process/crash_record_test.ts
+++ b/packages/router/src/process/crash_record_test.ts
@@ -178,7 +178,7 @@
     record.recordAnswer(`answered-${index}`, 1_100 + index);
   }
   assert.equal(isRefused(record, "bad", 20_000), true);
-  const { crashed } = record.all(20_000);
+  const { crashed } = record.snapshot(20_000);
   assert.ok(crashed.length <= 200, `${crashed.length} told`);
   assert.equal(crashed[0]!.fingerprint, "bad");
   record.recordAnswer("varied-0", 20_000);
@@ -189,6 +189,6 @@
   const { record } = recordWithLog();
   endRunners(record, { count: 3 });
   const { record: fresh } = recordWithLog();
-  fresh.applyUpdate(record.all(300), 300);
+  fresh.applyUpdate(record.snapshot(300), 300);
   assert.equal(isRefused(fresh, "bad", 300), true);
 });
--- a/packages/router/tests/crashing_request_test.ts
+++ b/packages/router/tests/crashing_request_test.ts
@@ -96,7 +96,7 @@
   const router = await fleet.linked.add();
   const send = () => call(router, { method: "POST", body: CRASHING });
   const before = fleet.arrived(CRASHING);
-  await until(() => router.crashes.all(router.now()).crashed.length > 0);
+  await until(() => router.crashes.snapshot(router.now()).crashed.length > 0);
   assert.equal((await send()).status, 503);
   assert.equal(fleet.arrived(CRASHING), before);
 });
