--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -11,7 +11,7 @@
 import type { LeaderLease, LeaseObservation } from "../process/leader_lease.ts";
 import type { UsageCount, UsageMeter } from "../process/usage_meter.ts";
 import type { CrashRecord, CrashUpdate } from "../process/crash_record.ts";
-import type { PartsNews, PrefixRecord } from "../process/prefix_record.ts";
+import type { PrefixRecord, PrefixUpdate } from "../process/prefix_record.ts";
 import type { LimitUpdate, RunnerLimits } from "../process/runner_limits.ts";
 import type { RunnerLoads } from "../process/runner_loads.ts";
 import type { NeighbourFilter } from "../process/runner_queue.ts";
@@ -36,7 +36,7 @@
 
 /** What a message tells beside loads. */
 interface StateNews {
-  readonly parts: readonly PartsNews[];
+  readonly parts: readonly PrefixUpdate[];
   readonly contacts: ContactUpdates;
   readonly crashes: CrashUpdate;
   readonly limits: readonly LimitUpdate[];
@@ -79,7 +79,7 @@
 export interface ToldNews {
   /** Ids of runners. */
   readonly changed: ReadonlySet<string>;
-  readonly parts: readonly PartsNews[];
+  readonly parts: readonly PrefixUpdate[];
   /** What of it was not known here. */
   readonly crashes: CrashUpdate;
   readonly limits: readonly LimitUpdate[];
--- a/packages/router/src/connection/outbox.ts
+++ b/packages/router/src/connection/outbox.ts
@@ -9,7 +9,7 @@
 import type { LimitUpdate } from "../process/runner_limits.ts";
 import type { LeaseObservation } from "../process/leader_lease.ts";
 import type { UsageCount } from "../process/usage_meter.ts";
-import type { PartsNews } from "../process/prefix_record.ts";
+import type { PrefixUpdate } from "../process/prefix_record.ts";
 
 /**
  * Prompts told at once; of more the oldest are left out. An engine may then read
@@ -47,7 +47,7 @@
 export interface Post {
   /** Ids of runners whose loads have changed. */
   readonly runners: readonly string[];
-  readonly parts: readonly (PartsNews & Told)[];
+  readonly parts: readonly (PrefixUpdate & Told)[];
   readonly contacts: ContactUpdates;
   readonly crashes: ToldCrashes;
   readonly limits: readonly (LimitUpdate & Told)[];
@@ -59,7 +59,7 @@
 export class Outbox {
   readonly #urgent = new Set<string>();
   readonly #calm = new Set<string>();
-  #parts: (PartsNews & Told)[] = [];
+  #parts: (PrefixUpdate & Told)[] = [];
   #contacts: ContactUpdates[] = [];
   readonly #crashed: (CrashedRun & Told)[] = [];
   readonly #answers: (CompleteAnswer & Told)[] = [];
@@ -81,7 +81,7 @@
     }
   }
 
-  addParts(parts: readonly PartsNews[], from?: string): void {
+  addParts(parts: readonly PrefixUpdate[], from?: string): void {
     for (const news of parts) this.#parts.push({ ...news, from });
     if (this.#parts.length > MAX_PARTS) {
       this.#parts = this.#parts.slice(-MAX_PARTS);
--- a/packages/router/src/connection/peer_encoding.ts
+++ b/packages/router/src/connection/peer_encoding.ts
@@ -10,7 +10,7 @@
 import type { PackedCrashes } from "./crash_encoding.ts";
 import type { Contact } from "../process/contact.ts";
 import type { DeadContact } from "../process/contact_book.ts";
-import type { PartsNews } from "../process/prefix_record.ts";
+import type { PrefixUpdate } from "../process/prefix_record.ts";
 import type { UsageCount, WorkspaceCount } from "../process/usage_meter.ts";
 import type { RunnerNews } from "../process/runner_directory.ts";
 import type { Configuration } from "../version/configuration.ts";
@@ -141,12 +141,12 @@
   };
 }
 
-function packParts(news: PartsNews): PackedParts {
+function packParts(news: PrefixUpdate): PackedParts {
   const parts = news.parts.flatMap(({ id, tokens }) => [id, tokens]);
   return [news.runner, news.read, parts];
 }
 
-function unpackParts([runner, read, packed]: PackedParts): PartsNews {
+function unpackParts([runner, read, packed]: PackedParts): PrefixUpdate {
   const parts = [];
   for (let at = 0; at + 1 < packed.length; at += 2) {
     parts.push({ id: packed[at] as string, tokens: packed[at + 1] as number });
--- a/packages/router/src/connection/peer_message.ts
+++ b/packages/router/src/connection/peer_message.ts
@@ -8,7 +8,7 @@
 import type { ContactUpdates } from "../process/contact_book.ts";
 import type { LeaseObservation } from "../process/leader_lease.ts";
 import type { LimitUpdate } from "../process/runner_limits.ts";
-import type { PartsNews } from "../process/prefix_record.ts";
+import type { PrefixUpdate } from "../process/prefix_record.ts";
 import type { LoadTotals } from "../process/share.ts";
 import type { RunnerNews } from "../process/runner_directory.ts";
 import type { UsageCount } from "../process/usage_meter.ts";
@@ -73,7 +73,7 @@
   /** Whether it names all loads, not only changed ones. */
   readonly whole: boolean;
   readonly loads: readonly LoadShare[];
-  readonly parts: readonly PartsNews[];
+  readonly parts: readonly PrefixUpdate[];
   /** Requests at runners that ended, and answers that clear some of them. */
   readonly crashes: CrashAges;
   readonly limits: readonly LimitAge[];
@@ -105,7 +105,7 @@
   readonly kind: "give";
   readonly configuration: Configuration | undefined;
   readonly runners: RunnerNews | undefined;
-  readonly parts: readonly PartsNews[] | undefined;
+  readonly parts: readonly PrefixUpdate[] | undefined;
 }
 
 /** Says for whom the receiver is to pass on loads to the sender. */
--- a/packages/router/src/process/prefix_record.ts
+++ b/packages/router/src/process/prefix_record.ts
@@ -11,7 +11,7 @@
 }
 
 /** Parts that a runner is about to read, or has read. */
-export interface PartsNews {
+export interface PrefixUpdate {
   readonly runner: string;
   readonly parts: readonly PromptPart[];
   /** Whether they have been read; before that no other runner can fetch them. */
@@ -47,7 +47,7 @@
 export class PrefixRecord {
   readonly #parts = new Map<string, Map<string, Held>>();
   readonly #listeners: (() => void)[] = [];
-  #news: PartsNews[] = [];
+  #news: PrefixUpdate[] = [];
 
   /** Calls `listener` whenever something is noted here that others lack. */
   onUpdate(listener: () => void): void {
@@ -70,7 +70,7 @@
   }
 
   /** All that runners have read, for a daemon that knows nothing. */
-  all(): readonly PartsNews[] {
+  all(): readonly PrefixUpdate[] {
     return [...this.#parts].map(([runner, held]) => ({
       runner,
       parts: [...held]
@@ -81,12 +81,12 @@
   }
 
   /** Takes what another daemon has noted. */
-  take(news: PartsNews, now: number): void {
+  take(news: PrefixUpdate, now: number): void {
     this.#note(news, now, () => true);
   }
 
   /** What was noted here since the last call. */
-  takeNews(): readonly PartsNews[] {
+  takeNews(): readonly PrefixUpdate[] {
     const news = this.#news;
     this.#news = [];
     return news;
@@ -125,7 +125,7 @@
     }
   }
 
-  #tell(news: PartsNews, now: number): void {
+  #tell(news: PrefixUpdate, now: number): void {
     const held = this.#parts.get(news.runner);
     const parts = news.parts.filter(({ id }) =>
       isNews(held?.get(id), news.read, now)
@@ -139,7 +139,7 @@
 
   /** @param tells whether a part is known to others from now on. */
   #note(
-    news: PartsNews,
+    news: PrefixUpdate,
     now: number,
     tells: (id: string) => boolean,
   ): void {
