--- a/packages/router/src/connection/apply_update.ts
+++ b/packages/router/src/connection/apply_update.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { CrashRecord } from "../process/crash_record.ts";
-import type { PrefixRecord } from "../process/prefix_record.ts";
+import type { PrefixIndex } from "../process/prefix_record.ts";
 import type { RunnerLimits } from "../process/runner_limits.ts";
 import type { RunnerLoads } from "../process/runner_loads.ts";
 import type { FleetTime } from "../process/fleet_time.ts";
@@ -17,7 +17,7 @@
 /** What daemons tell each other of runners. */
 export interface RunnerKnowledge {
   readonly loads: RunnerLoads;
-  readonly prefixes: PrefixRecord;
+  readonly prefixes: PrefixIndex;
   readonly crashes: CrashRecord;
   readonly limits: RunnerLimits;
 }
--- a/packages/router/src/connection/sharing_test.ts
+++ b/packages/router/src/connection/sharing_test.ts
@@ -6,7 +6,7 @@
 import { LENGTH_BYTES } from "@umbermast/coordination/frame_bytes";
 import { noLeading, noLimits, SILENT_LOG } from "../../tests/fixtures.ts";
 import { CrashRecord } from "../process/crash_record.ts";
-import { PrefixRecord } from "../process/prefix_record.ts";
+import { PrefixIndex } from "../process/prefix_record.ts";
 import { RunnerDirectory } from "../process/runner_directory.ts";
 import { RunnerLoads } from "../process/runner_loads.ts";
 import { unpackMessage } from "./peer_encoding.ts";
@@ -27,7 +27,7 @@
     t.mock.method(performance, "now", () => this.#now);
     this.#sharing = new Sharing({
       loads: this.loads,
-      prefixes: new PrefixRecord(),
+      prefixes: new PrefixIndex(),
       crashes: new CrashRecord(SILENT_LOG),
       limits: noLimits(),
       ...noLeading(),
--- a/packages/router/src/connection/version_exchange.ts
+++ b/packages/router/src/connection/version_exchange.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { PrefixRecord } from "../process/prefix_record.ts";
+import type { PrefixIndex } from "../process/prefix_record.ts";
 import type { RunnerDirectory } from "../process/runner_directory.ts";
 import type { Configuration } from "../version/configuration.ts";
 import type { Give, Versions, Want } from "./peer_message.ts";
@@ -14,7 +14,7 @@
 
 /** What versions are of, and who takes what peers give. */
 export interface VersionedKnowledge {
-  readonly prefixes: PrefixRecord;
+  readonly prefixes: PrefixIndex;
   readonly directory: RunnerDirectory;
   /** The configuration in force. */
   configuration(): Configuration | undefined;
--- a/packages/router/src/process/memory_survey.ts
+++ b/packages/router/src/process/memory_survey.ts
@@ -7,7 +7,7 @@
 import type { Sharers } from "./sharers.ts";
 import type { EventLog } from "./event_log.ts";
 import { pause } from "./pause.ts";
-import type { PrefixRecord, PromptPart } from "./prefix_record.ts";
+import type { PrefixIndex, PromptPart } from "./prefix_record.ts";
 import { runnerId } from "./runner.ts";
 import type { Runner } from "./runner.ts";
 
@@ -51,14 +51,14 @@
  */
 export class MemorySurvey {
   readonly #memory: EngineMemory;
-  readonly #prefixes: PrefixRecord;
+  readonly #prefixes: PrefixIndex;
   readonly #log: EventLog;
   readonly #mayAsk: (runner: Runner) => boolean;
 
   constructor(
     memory: EngineMemory,
     options: {
-      readonly prefixes: PrefixRecord;
+      readonly prefixes: PrefixIndex;
       readonly log: EventLog;
       /** Whether the runner takes a question now; counts it if so. */
       readonly mayAsk: (runner: Runner) => boolean;
--- a/packages/router/src/process/prefix_record.ts
+++ b/packages/router/src/process/prefix_record.ts
@@ -44,7 +44,7 @@
 const MAX_PARTS = 1_000;
 
 /** The parts that this daemon believes to be in the memory of runners. */
-export class PrefixRecord {
+export class PrefixIndex {
   readonly #parts = new Map<string, Map<string, Held>>();
   readonly #listeners: (() => void)[] = [];
   #news: PrefixUpdate[] = [];
--- a/packages/router/src/process/prefix_record_test.ts
+++ b/packages/router/src/process/prefix_record_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { PrefixRecord } from "./prefix_record.ts";
+import { PrefixIndex } from "./prefix_record.ts";
 
 const PROMPT = [
   { id: "brief", tokens: 13_000 },
@@ -10,7 +10,7 @@
 // A request was sent to a runner that has not read it yet. Another runner that
 // fetched from it would get nothing and read the prompt a second time.
 test("a prompt can be fetched only once it has been read", () => {
-  const record = new PrefixRecord();
+  const record = new PrefixIndex();
   record.sent("r-1", PROMPT, 0);
   assert.equal(record.cachedTokens("r-1", PROMPT, 10), 13_000);
   assert.equal(record.readTokens("r-1", PROMPT, 10), 0);
@@ -19,15 +19,15 @@
 });
 
 test("a part counts only if all parts before it are there", () => {
-  const record = new PrefixRecord();
+  const record = new PrefixIndex();
   record.read("r-1", [{ id: "b", tokens: 5 }, { id: "x", tokens: 1 }], 0);
   const prompt = [{ id: "a", tokens: 7 }, { id: "b", tokens: 5 }];
   assert.equal(record.cachedTokens("r-1", prompt, 1), 0);
 });
 
 test("another daemon's news count as one's own, and are not told again", () => {
-  const near = new PrefixRecord();
-  const far = new PrefixRecord();
+  const near = new PrefixIndex();
+  const far = new PrefixIndex();
   near.read("r-1", PROMPT, 0);
   for (const news of near.takeNews()) far.take(news, 5);
   assert.equal(far.readTokens("r-1", PROMPT, 6), 13_000);
@@ -36,7 +36,7 @@
 });
 
 test("what was not read for long counts no more", () => {
-  const record = new PrefixRecord();
+  const record = new PrefixIndex();
   record.sent("r-1", PROMPT, 0);
   assert.equal(record.cachedTokens("r-1", PROMPT, 6_000), 0);
   record.read("r-1", PROMPT, 6_000);
--- a/packages/router/src/request/admission_test.ts
+++ b/packages/router/src/request/admission_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { noLimits } from "../../tests/fixtures.ts";
-import { PrefixRecord } from "../process/prefix_record.ts";
+import { PrefixIndex } from "../process/prefix_record.ts";
 import type { Runner } from "../process/runner.ts";
 import type { QueueKey } from "../process/runner_queue.ts";
 import { RunnerLoads } from "../process/runner_loads.ts";
@@ -57,7 +57,7 @@
   return {
     runners: [RUNNER],
     loads,
-    prefixes: new PrefixRecord(),
+    prefixes: new PrefixIndex(),
     limits: noLimits(),
     failureDomain: "d",
     now: 0,
--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -9,7 +9,7 @@
 import type { EventLog } from "../process/event_log.ts";
 import type { LimitWaits } from "../process/limit_waits.ts";
 import type { Pulse } from "../process/pulse.ts";
-import type { PrefixRecord } from "../process/prefix_record.ts";
+import type { PrefixIndex } from "../process/prefix_record.ts";
 import type { RetryBudget } from "../process/retry_budget.ts";
 import type { StreamPace } from "../process/stream_pace.ts";
 import type { RunnerLoads } from "../process/runner_loads.ts";
@@ -28,7 +28,7 @@
   readonly log: EventLog;
   readonly loads: RunnerLoads;
   readonly metrics: RequestMetrics;
-  readonly prefixes: PrefixRecord;
+  readonly prefixes: PrefixIndex;
   /** How much runners say that they take. */
   readonly limits: RunnerLimits;
   /** Requests that end the runners which run them. */
--- a/packages/router/src/request/demand.ts
+++ b/packages/router/src/request/demand.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { PrefixRecord, PromptPart } from "../process/prefix_record.ts";
+import type { PrefixIndex, PromptPart } from "../process/prefix_record.ts";
 import type { Runner } from "../process/runner.ts";
 import type { RunnerLimits } from "../process/runner_limits.ts";
 import type { RunnerLoads } from "../process/runner_loads.ts";
@@ -36,7 +36,7 @@
 export interface RunnerFleet {
   readonly runners: readonly Runner[];
   readonly loads: RunnerLoads;
-  readonly prefixes: PrefixRecord;
+  readonly prefixes: PrefixIndex;
   readonly limits: RunnerLimits;
   /** Failure domain of this daemon. */
   readonly failureDomain: string;
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { noLimits } from "../../tests/fixtures.ts";
-import { PrefixRecord } from "../process/prefix_record.ts";
+import { PrefixIndex } from "../process/prefix_record.ts";
 import type { Runner } from "../process/runner.ts";
 import { RunnerLoads } from "../process/runner_loads.ts";
 import { chooseRunner } from "./placement.ts";
@@ -32,7 +32,7 @@
     runners,
     loads: new RunnerLoads(),
     limits: noLimits(),
-    prefixes: new PrefixRecord(),
+    prefixes: new PrefixIndex(),
     failureDomain: "d-0",
     now: 1_000,
   };
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -26,7 +26,7 @@
 import { RequestMetrics } from "./process/metrics.ts";
 import { Pulse } from "./process/pulse.ts";
 import { PerService } from "./process/per_service.ts";
-import { PrefixRecord } from "./process/prefix_record.ts";
+import { PrefixIndex } from "./process/prefix_record.ts";
 import { RestartWatch } from "./process/restart_watch.ts";
 import { RetryBudget } from "./process/retry_budget.ts";
 import { RunnerDirectory } from "./process/runner_directory.ts";
@@ -83,7 +83,7 @@
   readonly dialect: Dialect;
   readonly connections = new RunnerConnections();
   readonly loads = new RunnerLoads();
-  readonly prefixes = new PrefixRecord();
+  readonly prefixes = new PrefixIndex();
   readonly crashes: CrashRecord;
   readonly limits: RunnerLimits;
   readonly pulse = new Pulse(ROOM_LOOK_MS);
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -32,7 +32,7 @@
   PlatformCall,
 } from "../src/process/platform_api.ts";
 import type { Fields } from "../src/process/line.ts";
-import { PrefixRecord } from "../src/process/prefix_record.ts";
+import { PrefixIndex } from "../src/process/prefix_record.ts";
 import type { Runner } from "../src/process/runner.ts";
 import { RunnerDirectory } from "../src/process/runner_directory.ts";
 import { RunnerLimits } from "../src/process/runner_limits.ts";
@@ -303,7 +303,7 @@
 export class Member {
   readonly contact: Contact;
   readonly loads = new RunnerLoads();
-  readonly prefixes = new PrefixRecord();
+  readonly prefixes = new PrefixIndex();
   readonly crashes: CrashRecord;
   readonly limits: RunnerLimits;
   readonly time = new FleetTime(FAKE_CLOCKS);
--- a/packages/router/tests/restart_test.ts
+++ b/packages/router/tests/restart_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { LoadSums } from "../src/connection/load_sums.ts";
-import { PrefixRecord } from "../src/process/prefix_record.ts";
+import { PrefixIndex } from "../src/process/prefix_record.ts";
 import { runnerId } from "../src/process/runner.ts";
 import { RunnerLoads } from "../src/process/runner_loads.ts";
 import {
@@ -67,7 +67,7 @@
   for (const share of told) {
     ahead.of(share.runner).setNeighbourLoad("host-2", share, { now: 0 });
   }
-  const prefixes = new PrefixRecord();
+  const prefixes = new PrefixIndex();
   prefixes.take({ runner: runnerId("a", 100), parts: PROMPT, read: true }, 0);
   const after = runnerId("a", 200);
   assert.equal(ahead.of(after).total.inFlight, 0);
