--- a/packages/router/src/process/prefix_record.ts
+++ b/packages/router/src/process/prefix_record.ts
@@ -55,7 +55,7 @@
   }
 
   /** Notes that a request was sent to a runner, which will read its prompt. */
-  sent(runner: string, prompt: readonly PromptPart[], now: number): void {
+  recordSent(runner: string, prompt: readonly PromptPart[], now: number): void {
     this.#tell({ runner, parts: shared(prompt), read: false }, now);
   }
 
--- a/packages/router/src/process/prefix_record_test.ts
+++ b/packages/router/src/process/prefix_record_test.ts
@@ -11,7 +11,7 @@
 // fetched from it would get nothing and read the prompt a second time.
 test("a prompt can be fetched only once it has been read", () => {
   const record = new PrefixIndex();
-  record.sent("r-1", PROMPT, 0);
+  record.recordSent("r-1", PROMPT, 0);
   assert.equal(record.cachedTokens("r-1", PROMPT, 10), 13_000);
   assert.equal(record.readTokens("r-1", PROMPT, 10), 0);
   record.read("r-1", PROMPT, 20);
@@ -37,7 +37,7 @@
 
 test("what was not read for long counts no more", () => {
   const record = new PrefixIndex();
-  record.sent("r-1", PROMPT, 0);
+  record.recordSent("r-1", PROMPT, 0);
   assert.equal(record.cachedTokens("r-1", PROMPT, 6_000), 0);
   record.read("r-1", PROMPT, 6_000);
   assert.equal(record.cachedTokens("r-1", PROMPT, 31_000), 13_000);
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -87,7 +87,7 @@
       memoryTokens: demand.promptTokens + demand.answerTokens,
       tight: choice.tight,
     }, fleet.now);
-    fleet.prefixes.sent(choice.runner.id, demand.prompt, fleet.now);
+    fleet.prefixes.recordSent(choice.runner.id, demand.prompt, fleet.now);
     return choice;
   });
 }
--- a/packages/router/src/request/runner_tries.ts
+++ b/packages/router/src/request/runner_tries.ts
@@ -82,7 +82,7 @@
     this.#progress.tried.add(runner.id);
     logChoice(this.#daemon, subject, { choice, fingerprint, leftMs });
     load.place(placed, sentAt);
-    this.#daemon.prefixes.sent(runner.id, call.prompt, sentAt);
+    this.#daemon.prefixes.recordSent(runner.id, call.prompt, sentAt);
     const attempt = attemptOf(this.#daemon, subject, {
       request: this.#caller.request,
       choice,
