--- a/packages/router/src/process/prefix_record.ts
+++ b/packages/router/src/process/prefix_record.ts
@@ -60,7 +60,7 @@
   }
 
   /** Notes that a runner has read a request's prompt. */
-  read(runner: string, prompt: readonly PromptPart[], now: number): void {
+  recordRead(runner: string, prompt: readonly PromptPart[], now: number): void {
     this.#tell({ runner, parts: shared(prompt), read: true }, now);
   }
 
--- a/packages/router/src/process/prefix_record_test.ts
+++ b/packages/router/src/process/prefix_record_test.ts
@@ -14,13 +14,13 @@
   record.recordSent("r-1", PROMPT, 0);
   assert.equal(record.cachedTokens("r-1", PROMPT, 10), 13_000);
   assert.equal(record.readTokens("r-1", PROMPT, 10), 0);
-  record.read("r-1", PROMPT, 20);
+  record.recordRead("r-1", PROMPT, 20);
   assert.equal(record.readTokens("r-1", PROMPT, 30), 13_000);
 });
 
 test("a part counts only if all parts before it are there", () => {
   const record = new PrefixIndex();
-  record.read("r-1", [{ id: "b", tokens: 5 }, { id: "x", tokens: 1 }], 0);
+  record.recordRead("r-1", [{ id: "b", tokens: 5 }, { id: "x", tokens: 1 }], 0);
   const prompt = [{ id: "a", tokens: 7 }, { id: "b", tokens: 5 }];
   assert.equal(record.cachedTokens("r-1", prompt, 1), 0);
 });
@@ -28,7 +28,7 @@
 test("another daemon's news count as one's own, and are not told again", () => {
   const near = new PrefixIndex();
   const far = new PrefixIndex();
-  near.read("r-1", PROMPT, 0);
+  near.recordRead("r-1", PROMPT, 0);
   for (const news of near.takeNews()) far.take(news, 5);
   assert.equal(far.readTokens("r-1", PROMPT, 6), 13_000);
   assert.deepEqual(far.takeNews(), []);
@@ -39,7 +39,7 @@
   const record = new PrefixIndex();
   record.recordSent("r-1", PROMPT, 0);
   assert.equal(record.cachedTokens("r-1", PROMPT, 6_000), 0);
-  record.read("r-1", PROMPT, 6_000);
+  record.recordRead("r-1", PROMPT, 6_000);
   assert.equal(record.cachedTokens("r-1", PROMPT, 31_000), 13_000);
   assert.equal(record.cachedTokens("r-1", PROMPT, 40_000), 0);
 });
--- a/packages/router/src/request/answer_relay.ts
+++ b/packages/router/src/request/answer_relay.ts
@@ -173,7 +173,11 @@
     load.recordFirstEvent(placed);
     load.recordSuccess();
     const { prompt } = subject.call;
-    this.#daemon.prefixes.read(attempt.runner.id, prompt, this.#daemon.now());
+    this.#daemon.prefixes.recordRead(
+      attempt.runner.id,
+      prompt,
+      this.#daemon.now(),
+    );
     this.#caller.beginStream(sent.status, sent.incoming.rawHeaders);
   }
 
