--- a/packages/router/src/connection/apply_update.ts
+++ b/packages/router/src/connection/apply_update.ts
@@ -53,7 +53,7 @@
     changed.add(share.runner);
     takeLoad(known.loads, neighbour, { share, now });
   }
-  for (const news of parts) known.prefixes.take(news, now);
+  for (const news of parts) known.prefixes.applyUpdate(news, now);
   return {
     changed,
     parts,
--- a/packages/router/src/connection/version_exchange.ts
+++ b/packages/router/src/connection/version_exchange.ts
@@ -129,6 +129,6 @@
     this.#givenAt = now;
     if (configuration) this.#known.adopt(configuration, `peer ${peer.name}`);
     if (runners) this.#known.directory.take(runners);
-    for (const news of parts) this.#known.prefixes.take(news, now);
+    for (const news of parts) this.#known.prefixes.applyUpdate(news, now);
   }
 }
--- a/packages/router/src/process/prefix_record.ts
+++ b/packages/router/src/process/prefix_record.ts
@@ -81,7 +81,7 @@
   }
 
   /** Takes what another daemon has noted. */
-  take(news: PrefixUpdate, now: number): void {
+  applyUpdate(news: PrefixUpdate, now: number): void {
     this.#note(news, now, () => true);
   }
 
--- a/packages/router/src/process/prefix_record_test.ts
+++ b/packages/router/src/process/prefix_record_test.ts
@@ -29,7 +29,7 @@
   const near = new PrefixIndex();
   const far = new PrefixIndex();
   near.recordRead("r-1", PROMPT, 0);
-  for (const news of near.takeNews()) far.take(news, 5);
+  for (const news of near.takeNews()) far.applyUpdate(news, 5);
   assert.equal(far.readTokens("r-1", PROMPT, 6), 13_000);
   assert.deepEqual(far.takeNews(), []);
   assert.deepEqual(near.takeNews(), []);
--- a/packages/router/tests/restart_test.ts
+++ b/packages/router/tests/restart_test.ts
@@ -68,7 +68,11 @@
     ahead.of(share.runner).setNeighbourLoad("host-2", share, { now: 0 });
   }
   const prefixes = new PrefixIndex();
-  prefixes.take({ runner: runnerId("a", 100), parts: PROMPT, read: true }, 0);
+  prefixes.applyUpdate({
+    runner: runnerId("a", 100),
+    parts: PROMPT,
+    read: true,
+  }, 0);
   const after = runnerId("a", 200);
   assert.equal(ahead.of(after).total.inFlight, 0);
   assert.equal(prefixes.cachedTokens(after, PROMPT, 1), 0);
