--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -128,7 +128,7 @@
   collect(): void {
     const { loads, prefixes, crashes, limits, book, overlay } = this.#sources;
     const changed = loads.takeChanged();
-    const parts = prefixes.takeNews();
+    const parts = prefixes.takeUpdates();
     const crashNews = crashes.takeUpdates();
     const limitNews = limits.takeUpdates();
     this.#near.addUsage(this.#sources.usage?.takeNews() ?? []);
--- a/packages/router/src/process/prefix_record.ts
+++ b/packages/router/src/process/prefix_record.ts
@@ -86,7 +86,7 @@
   }
 
   /** What was noted here since the last call. */
-  takeNews(): readonly PrefixUpdate[] {
+  takeUpdates(): readonly PrefixUpdate[] {
     const news = this.#news;
     this.#news = [];
     return news;
--- a/packages/router/src/process/prefix_record_test.ts
+++ b/packages/router/src/process/prefix_record_test.ts
@@ -29,10 +29,10 @@
   const near = new PrefixIndex();
   const far = new PrefixIndex();
   near.recordRead("r-1", PROMPT, 0);
-  for (const news of near.takeNews()) far.applyUpdate(news, 5);
+  for (const news of near.takeUpdates()) far.applyUpdate(news, 5);
   assert.equal(far.readTokens("r-1", PROMPT, 6), 13_000);
-  assert.deepEqual(far.takeNews(), []);
-  assert.deepEqual(near.takeNews(), []);
+  assert.deepEqual(far.takeUpdates(), []);
+  assert.deepEqual(near.takeUpdates(), []);
 });
 
 test("what was not read for long counts no more", () => {
