--- a/packages/router/src/connection/version_exchange.ts
+++ b/packages/router/src/connection/version_exchange.ts
@@ -118,7 +118,7 @@
       runners: runnersSince === undefined
         ? undefined
         : directory.newsSince(runnersSince),
-      parts: parts ? prefixes.all() : undefined,
+      parts: parts ? prefixes.snapshot() : undefined,
     });
   }
 
--- a/packages/router/src/process/prefix_record.ts
+++ b/packages/router/src/process/prefix_record.ts
@@ -70,7 +70,7 @@
   }
 
   /** All that runners have read, for a daemon that knows nothing. */
-  all(): readonly PrefixUpdate[] {
+  snapshot(): readonly PrefixUpdate[] {
     return [...this.#parts].map(([runner, held]) => ({
       runner,
       parts: [...held]
