--- a/packages/router/src/process/prefix_record.ts
+++ b/packages/router/src/process/prefix_record.ts
@@ -106,7 +106,7 @@
   }
 
   /** Tokens of a prompt that can be fetched from a runner. */
-  readTokens(
+  fetchableTokens(
     runner: string,
     prompt: readonly PromptPart[],
     now: number,
--- a/packages/router/src/process/prefix_record_test.ts
+++ b/packages/router/src/process/prefix_record_test.ts
@@ -13,9 +13,9 @@
   const record = new PrefixIndex();
   record.recordSent("r-1", PROMPT, 0);
   assert.equal(record.cachedTokens("r-1", PROMPT, 10), 13_000);
-  assert.equal(record.readTokens("r-1", PROMPT, 10), 0);
+  assert.equal(record.fetchableTokens("r-1", PROMPT, 10), 0);
   record.recordRead("r-1", PROMPT, 20);
-  assert.equal(record.readTokens("r-1", PROMPT, 30), 13_000);
+  assert.equal(record.fetchableTokens("r-1", PROMPT, 30), 13_000);
 });
 
 test("a part counts only if all parts before it are there", () => {
@@ -30,7 +30,7 @@
   const far = new PrefixIndex();
   near.recordRead("r-1", PROMPT, 0);
   for (const news of near.takeUpdates()) far.applyUpdate(news, 5);
-  assert.equal(far.readTokens("r-1", PROMPT, 6), 13_000);
+  assert.equal(far.fetchableTokens("r-1", PROMPT, 6), 13_000);
   assert.deepEqual(far.takeUpdates(), []);
   assert.deepEqual(near.takeUpdates(), []);
 });
--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -111,7 +111,7 @@
     const promised = cachedTokens(fleet, demand, runner);
     if (promised === 0) continue;
     promisedTokens = Math.max(promisedTokens, promised);
-    const tokens = fleet.prefixes.readTokens(id, demand.prompt, fleet.now);
+    const tokens = fleet.prefixes.fetchableTokens(id, demand.prompt, fleet.now);
     if (tokens > (holder?.tokens ?? 0)) holder = { runner, tokens };
   }
   return { holder, promisedTokens };
