--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -149,7 +149,7 @@
       return changed();
     }
     const decided = this.#decide();
-    const due = lease.renewedAgoMs >= RENEW_PART * this.#options.leaseMs;
+    const due = lease.sinceRenewalMs >= RENEW_PART * this.#options.leaseMs;
     if (decided !== undefined || due) {
       const work = this.#checkpointed(decided ?? lease.work);
       if (!await lease.update(work)) return;
--- a/packages/router/src/process/leader_lease.ts
+++ b/packages/router/src/process/leader_lease.ts
@@ -120,7 +120,7 @@
   }
 
   /** Milliseconds since the lease was renewed last. */
-  get renewedAgoMs(): number {
+  get sinceRenewalMs(): number {
     const renewedAt = this.#term?.renewedAt.monotonic ?? -Infinity;
     return this.#clock.monotonic() - renewedAt;
   }
