--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -33,9 +33,9 @@
 export type { RouterSettings, SettingFinding } from "./process/settings.ts";
 export type {
   AnswerHead,
-  CallHead,
   Dialect,
   RawHeaders,
+  RequestHead as CallHead,
   SendHead,
 } from "./request/call.ts";
 export { endToEndHeaders, headerOf } from "./request/headers.ts";
--- a/packages/router/src/request/call.ts
+++ b/packages/router/src/request/call.ts
@@ -12,7 +12,7 @@
 export type RawHeaders = readonly string[];
 
 /** What the head of a caller's request says. */
-export interface CallHead {
+export interface RequestHead {
   /** Names this try of the caller; runners echo it. Empty when absent. */
   readonly id: string;
   readonly host: string;
@@ -67,7 +67,7 @@
 /** How heads are spelled between callers, this daemon and runners. */
 export interface Dialect {
   /** Reads the head of a caller's request. */
-  readCall(headers: RawHeaders): CallHead;
+  readCall(headers: RawHeaders): RequestHead;
   /** Headers for the runner: the caller's own, less those that are ours to set. */
   sendHeaders(headers: RawHeaders, head: SendHead): string[];
   /** Reads the head of a runner's answer. */
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -5,7 +5,7 @@
  */
 import type { Buffer } from "node:buffer";
 import type { Quarantine } from "../process/crash_record.ts";
-import type { CallHead } from "./call.ts";
+import type { RequestHead } from "./call.ts";
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
 import { logQuarantine } from "./exchange_log.ts";
@@ -167,7 +167,7 @@
     return this.#own.quarantine(quarantine);
   }
 
-  #end(call: CallHead, ended: Outcome, subject?: Subject): void {
+  #end(call: RequestHead, ended: Outcome, subject?: Subject): void {
     const gone = this.#caller.disconnected && ended.kind !== "answered";
     const outcome: Outcome = gone ? { kind: "left" } : ended;
     if (outcome.kind === "refused") this.#caller.refuse(outcome.refusal);
--- a/packages/router/src/request/subject.ts
+++ b/packages/router/src/request/subject.ts
@@ -7,7 +7,7 @@
 import type { Route, Service, Workspace } from "../version/configuration.ts";
 import { destinationAt } from "../version/routing_table.ts";
 import type { RoutingTable } from "../version/routing_table.ts";
-import type { CallHead } from "./call.ts";
+import type { RequestHead } from "./call.ts";
 import type { Refusal } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
 import { headerBytes } from "./headers.ts";
@@ -17,7 +17,7 @@
 
 /** What is known of a request once its route is found. */
 export interface Subject {
-  readonly call: CallHead;
+  readonly call: RequestHead;
   readonly route: Route;
   readonly service: Service;
   readonly workspace: Workspace | undefined;
@@ -34,7 +34,7 @@
 export function findSubject(
   daemon: Daemon,
   request: IncomingMessage,
-  call: CallHead,
+  call: RequestHead,
 ): Subject | Refusal {
   const table = daemon.routingTable();
   if (daemon.closed) {
@@ -71,7 +71,7 @@
 function authenticate(
   table: RoutingTable,
   route: Route,
-  call: CallHead,
+  call: RequestHead,
 ): Workspace | undefined | "unknown" {
   const workspace = call.key === undefined
     ? undefined
