--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -36,7 +36,7 @@
   Dialect,
   RawHeaders,
   RequestHead as CallHead,
-  SendHead,
+  RunnerRequestHead as SendHead,
 } from "./request/call.ts";
 export { endToEndHeaders, headerOf } from "./request/headers.ts";
 export { Router } from "./router.ts";
--- a/packages/router/src/request/call.ts
+++ b/packages/router/src/request/call.ts
@@ -33,7 +33,7 @@
 }
 
 /** What a runner is told beside the caller's own headers. */
-export interface SendHead {
+export interface RunnerRequestHead {
   /** Name of the runner that is meant; no other one may run the request. */
   readonly runnerName: string;
   /** Milliseconds that are left. */
@@ -69,7 +69,7 @@
   /** Reads the head of a caller's request. */
   readCall(headers: RawHeaders): RequestHead;
   /** Headers for the runner: the caller's own, less those that are ours to set. */
-  sendHeaders(headers: RawHeaders, head: SendHead): string[];
+  sendHeaders(headers: RawHeaders, head: RunnerRequestHead): string[];
   /** Reads the head of a runner's answer. */
   readAnswer(status: number, headers: RawHeaders): AnswerHead;
   /** Id of an event of a stream, given the event's text. */
