--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -32,10 +32,10 @@
 export { parseSettings } from "./process/settings.ts";
 export type { RouterSettings, SettingFinding } from "./process/settings.ts";
 export type {
-  AnswerHead,
   Dialect,
   RawHeaders,
   RequestHead as CallHead,
+  ResponseHead as AnswerHead,
   RunnerRequestHead as SendHead,
 } from "./request/call.ts";
 export { endToEndHeaders, headerOf } from "./request/headers.ts";
--- a/packages/router/src/request/attempt.ts
+++ b/packages/router/src/request/attempt.ts
@@ -8,7 +8,7 @@
 import type { Buffer } from "node:buffer";
 import type { RunnerConnections } from "../connection/runner_connections.ts";
 import type { Runner } from "../process/runner.ts";
-import type { AnswerHead, Dialect } from "./call.ts";
+import type { Dialect, ResponseHead } from "./call.ts";
 
 /**
  * Milliseconds to open a connection. A round trip between failure domains takes
@@ -34,14 +34,14 @@
   | {
     readonly kind: "answer";
     readonly status: number;
-    readonly head: AnswerHead;
+    readonly head: ResponseHead;
     readonly incoming: IncomingMessage;
   }
   /** The runner says that the request has not run. */
   | {
     readonly kind: "not-run";
     readonly status: number;
-    readonly head: AnswerHead;
+    readonly head: ResponseHead;
   }
   /** Nothing of the request left for the runner. */
   | { readonly kind: "unsent"; readonly reason: string }
--- a/packages/router/src/request/call.ts
+++ b/packages/router/src/request/call.ts
@@ -48,7 +48,7 @@
 }
 
 /** What the head of a runner's answer says. */
-export interface AnswerHead {
+export interface ResponseHead {
   /** Try that the answer belongs to; absent when the runner named none. */
   readonly id: string | undefined;
   /** Whether the runner vouches that the answer is its own. */
@@ -71,7 +71,7 @@
   /** Headers for the runner: the caller's own, less those that are ours to set. */
   sendHeaders(headers: RawHeaders, head: RunnerRequestHead): string[];
   /** Reads the head of a runner's answer. */
-  readAnswer(status: number, headers: RawHeaders): AnswerHead;
+  readAnswer(status: number, headers: RawHeaders): ResponseHead;
   /** Id of an event of a stream, given the event's text. */
   eventId(event: string): number | undefined;
 }
--- a/packages/router/src/request/runner_tries.ts
+++ b/packages/router/src/request/runner_tries.ts
@@ -9,7 +9,7 @@
 import type { Passed, TryParts } from "./answer_relay.ts";
 import type { Attempt, Sent } from "./attempt.ts";
 import { attemptOf } from "./attempt_of.ts";
-import type { AnswerHead } from "./call.ts";
+import type { ResponseHead } from "./call.ts";
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
 import { logChoice } from "./exchange_log.ts";
@@ -173,7 +173,7 @@
   }
 
   /** Only the runner's own answer shows that it names no limit any more. */
-  #hearLimit(head: AnswerHead, { attempt, sentAt }: TryParts): void {
+  #hearLimit(head: ResponseHead, { attempt, sentAt }: TryParts): void {
     const silent = head.limit === undefined && !head.sealed;
     if (silent || head.otherRunner) return;
     const times = { sentAt, now: this.#daemon.now() };
