--- a/scripts/check_docs.mjs
+++ b/scripts/check_docs.mjs
@@ -1,6 +1,6 @@
-// Checks the pages: links and paths lead somewhere, every command that is shown
-// is run by CI, and codes, events and metrics that operators' pages name exist
-// in the code. With --run, also runs the commands that nothing else runs.
+// Checks the documentation: links and paths resolve, CI runs every command that a
+// page shows, and the codes, events and metrics in the operators' pages exist in the
+// code. With --run, also runs the commands that no other part of CI runs.
 import { execFileSync, spawn } from "node:child_process";
 import {
   existsSync,
@@ -26,8 +26,8 @@
 const BLOCK = /^[ \t]*```sh\n([\s\S]*?)^[ \t]*```$/gm;
 const SETTINGS = /^```json settings\n([\s\S]*?)^```$/gm;
 /**
- * Milliseconds for one command that a page shows, or for the start and the end
- * of one that stays up; the slowest takes 60 s.
+ * Time-out of a command that a page shows, or of the start and the end of a
+ * server, in ms. The slowest command takes 60 s.
  */
 const COMMAND_TIMEOUT_MS = 300_000;
 const HISTOGRAM_PART = /_(?:bucket|sum|count)$/;
@@ -56,12 +56,14 @@
     const [path, anchor] = target.split("#");
     const file = path === "" ? page.path : join(dirname(page.path), path);
     if (!existsSync(file)) {
-      found.push(`${page.name}: link "${target}" leads nowhere`);
+      found.push(`${page.name}: link "${target}" does not resolve`);
       continue;
     }
     if (anchor === undefined || !file.endsWith(".md")) continue;
     if (anchorsOf(readFileSync(file, "utf8")).includes(anchor)) continue;
-    found.push(`${page.name}: link "${target}" has no such heading`);
+    found.push(
+      `${page.name}: link "${target}" names a heading that does not exist`,
+    );
   }
   return found;
 }
@@ -81,24 +83,24 @@
   );
 }
 
-function proofFinding(command, place) {
-  const known = COMMANDS.find(({ pattern }) => pattern.test(command));
-  if (known === undefined) {
-    return `${place}: nothing in CI runs "${command}"`;
+function ciFinding(command, place) {
+  const entry = COMMANDS.find(({ pattern }) => pattern.test(command));
+  if (entry === undefined) {
+    return `${place}: CI does not run "${command}"`;
   }
-  if (known.run ?? known.serve ?? known.tour) return undefined;
-  const file = known.ci === undefined ? known.test : ".ci/run";
-  const text = known.ci ?? known.text;
+  if (entry.run ?? entry.serve ?? entry.tour) return undefined;
+  const file = entry.ci === undefined ? entry.test : ".ci/run";
+  const text = entry.ci ?? entry.text;
   const path = join(root, file);
   if (existsSync(path) && readFileSync(path, "utf8").includes(text)) {
     return undefined;
   }
-  return `${place}: "${file}" no longer runs "${command}" by "${text}"`;
+  return `${place}: "${file}" no longer contains "${text}", which runs "${command}"`;
 }
 
 function commandFindings(page) {
   return commandsIn(page)
-    .map((command) => proofFinding(command, page.name))
+    .map((command) => ciFinding(command, page.name))
     .filter((finding) => finding !== undefined);
 }
 
@@ -127,7 +129,7 @@
     .join("\n");
 }
 
-/** Runs the commands of the tour one after the other, as one shell would. */
+/** Runs the commands of the tour in order, in one shell. */
 function runTour(pages, folder) {
   const tour = pages.flatMap(commandsIn).filter((command) =>
     COMMANDS.some(({ pattern, tour }) => tour && pattern.test(command))
@@ -142,21 +144,21 @@
   });
 }
 
-/** Ends a wait that takes too long with an error that names it. */
-async function within(wait, what) {
+/** Rejects with an error that names the operation if it takes too long. */
+async function withTimeout(operation, name) {
   let timer;
-  const late = new Promise((_resolve, reject) => {
-    const error = new Error(`${what} takes over ${COMMAND_TIMEOUT_MS} ms`);
+  const timeout = new Promise((_resolve, reject) => {
+    const error = new Error(`${name} takes over ${COMMAND_TIMEOUT_MS} ms`);
     timer = setTimeout(() => reject(error), COMMAND_TIMEOUT_MS);
   });
   try {
-    return await Promise.race([wait, late]);
+    return await Promise.race([operation, timeout]);
   } finally {
     clearTimeout(timer);
   }
 }
 
-/** Runs a command that stays up, and the tour against what it tells. */
+/** Starts a server, and runs the tour with the addresses that it prints. */
 async function serveCommand([program, ...args], pages) {
   const folder = mkdtempSync(join(tmpdir(), "umbermast-docs-"));
   const child = spawn(program, args, {
@@ -170,19 +172,19 @@
       lines.once("line", resolve);
       lines.once("close", () => resolve(""));
     });
-    const first = await within(firstLine, `The start of "${program}"`);
-    JSON.parse(first);
-    writeFileSync(join(folder, "stack.json"), first);
+    const stackJson = await withTimeout(firstLine, `The start of "${program}"`);
+    JSON.parse(stackJson);
+    writeFileSync(join(folder, "stack.json"), stackJson);
     runTour(pages, folder);
   } finally {
     child.kill("SIGTERM");
     rmSync(folder, { recursive: true });
   }
-  const code = await within(ended, `The end of "${program}"`);
+  const code = await withTimeout(ended, `The end of "${program}"`);
   if (code !== 0) throw new Error(`"${program}" ended with ${code}`);
 }
 
-/** Settings that a page shows must be ones that the daemon takes. */
+/** Checks that the daemon accepts the settings that pages show. */
 function checkSettings(pages) {
   const folder = mkdtempSync(join(tmpdir(), "umbermast-docs-"));
   const file = join(folder, "settings.json");
@@ -217,7 +219,7 @@
   }
 }
 
-/** A page that nothing links to is one that nobody finds. */
+/** Finds pages that no other page links to. */
 function orphanFindings(pages) {
   const linked = new Set();
   for (const page of pages) {
--- a/scripts/docs_commands.mjs
+++ b/scripts/docs_commands.mjs
@@ -1,9 +1,11 @@
-// The commands that pages show in blocks marked `sh`, and what runs each in CI:
-// `ci` is a line of .ci/run, `test` a test file that holds `text`, and `run` a
-// command that scripts/check_docs.mjs runs itself, `serve` one that it runs until
-// the first line on standard output, which must be JSON, and then ends by SIGTERM;
-// meanwhile it runs, in the pages' order, all commands that are marked `tour`.
-// `pattern` matches the whole line as shown.
+// The commands that pages show in blocks marked `sh`, and how CI runs each of them:
+// - `ci`: a line of .ci/run runs it;
+// - `test`: the test file that contains `text` runs it;
+// - `run`: scripts/check_docs.mjs runs this command;
+// - `serve`: scripts/check_docs.mjs starts this command, waits for its first line on
+//   standard output, which must be JSON, runs all commands marked `tour` in the
+//   order of the pages, and then sends it SIGTERM.
+// `pattern` matches the whole command line as shown.
 export const COMMANDS = [
   { pattern: /^npm test$/, ci: "npm test" },
   {
--- a/scripts/failures_reporter.mjs
+++ b/scripts/failures_reporter.mjs
@@ -1,5 +1,5 @@
 // A reporter for Node's test runner that writes one line of JSON for each test
-// that failed by itself, not because one of its subtests did.
+// that failed itself, not only because of a failed subtest.
 export default async function* failures(events) {
   for await (const { type, data } of events) {
     if (type !== "test:fail") continue;
--- a/scripts/known_red.mjs
+++ b/scripts/known_red.mjs
@@ -1,6 +1,6 @@
-// Tests that fail for a known fault that is not mended yet, from KNOWN-RED.txt.
-// An entry is a line with the path of a test file, then lines "test:" with the
-// test's whole name, "command:", "seen:" and "issue:", indented.
+// Reads KNOWN-RED.txt, the list of tests that fail because of a known, unfixed fault.
+// An entry is a line with the path of a test file, followed by indented lines
+// "test:" with the full name of the test, "command:", "seen:" and "issue:".
 import { existsSync, readFileSync } from "node:fs";
 import { join } from "node:path";
 
@@ -18,21 +18,21 @@
   return entries;
 }
 
-/** What is wrong with an entry: it must name exactly one test that exists. */
+/** Returns what is wrong with an entry; it must name exactly one existing test. */
 function findingOf(entry, root) {
   const missing = FIELDS.find((field) => entry[field] === undefined);
   if (missing !== undefined) return `${entry.file}: no "${missing}:"`;
   const path = join(root, entry.file);
   if (!existsSync(path)) return `${entry.file}: no such file`;
-  const named = readFileSync(path, "utf8").split(JSON.stringify(entry.test));
-  if (named.length === 2) return undefined;
-  return `${entry.file}: ${named.length - 1} tests named "${entry.test}"`;
+  const pieces = readFileSync(path, "utf8").split(JSON.stringify(entry.test));
+  if (pieces.length === 2) return undefined;
+  return `${entry.file}: ${pieces.length - 1} tests named "${entry.test}"`;
 }
 
 /**
- * Reads the list; none when there is no file.
+ * Reads the list; it is empty if there is no file.
  *
- * @returns entries and what is wrong with them.
+ * @returns the entries, and findings about invalid entries.
  */
 export function readKnownRed(root) {
   const path = join(root, "KNOWN-RED.txt");
--- a/scripts/run.mjs
+++ b/scripts/run.mjs
@@ -1,8 +1,9 @@
-// Sets the checkout up, then runs one of the project's commands in this very
-// process. Usage: node scripts/run.mjs stack|demo|bench [ARGUMENT...]
+// Sets up the checkout, then runs one of the project's commands in this process.
+// Usage: node scripts/run.mjs stack|demo|bench [ARGUMENT...]
 //
-// One process, started by "exec": npm passes SIGTERM to the shell of a script and
-// no further, so that a command behind a shell would outlive it.
+// package.json starts it by "exec", and it starts no child process for the command:
+// npm sends SIGTERM only to the shell of a script, so a child of the shell would
+// outlive it.
 import { dirname, join } from "node:path";
 import process from "node:process";
 import { fileURLToPath, pathToFileURL } from "node:url";
@@ -17,7 +18,7 @@
 const [name = "", ...args] = process.argv.slice(2);
 const program = PROGRAMS[name];
 if (program === undefined) {
-  console.error(`No command "${name}": expected ${Object.keys(PROGRAMS)}`);
+  console.error(`Unknown command "${name}": expected ${Object.keys(PROGRAMS)}`);
   process.exit(64);
 }
 await import("./setup.mjs");
--- a/scripts/settings_page.mjs
+++ b/scripts/settings_page.mjs
@@ -1,4 +1,4 @@
-// Writes docs/operators/settings.md from the schema of the settings.
+// Generates docs/operators/settings.md from the schema of the settings.
 // Usage, after a build: node scripts/settings_page.mjs && npx deno fmt docs
 import { writeFileSync } from "node:fs";
 import { dirname, join } from "node:path";
--- a/scripts/setup.mjs
+++ b/scripts/setup.mjs
@@ -1,5 +1,5 @@
-// Prepares a checkout: installs the locked dependencies when they are missing
-// or older than the lock file, then builds every package incrementally.
+// Prepares a checkout: installs the locked dependencies if they are missing or
+// older than the lock file, then builds all packages incrementally.
 // Plain JavaScript, because it runs before anything is installed or built.
 import { execFileSync } from "node:child_process";
 import { existsSync, statSync } from "node:fs";
@@ -8,17 +8,17 @@
 import { fileURLToPath } from "node:url";
 
 const root = dirname(dirname(fileURLToPath(import.meta.url)));
-const installedMark = join(root, "node_modules", ".package-lock.json");
+const installedLock = join(root, "node_modules", ".package-lock.json");
 const lock = join(root, "package-lock.json");
 
 function run(command, args) {
-  // Standard output belongs to the command that called us (a JSON line, say).
+  // Standard output is reserved for the calling command, which may print JSON.
   execFileSync(command, args, { cwd: root, stdio: ["ignore", 2, 2] });
 }
 
 function installIsCurrent() {
-  if (!existsSync(installedMark)) return false;
-  return statSync(installedMark).mtimeMs >= statSync(lock).mtimeMs;
+  if (!existsSync(installedLock)) return false;
+  return statSync(installedLock).mtimeMs >= statSync(lock).mtimeMs;
 }
 
 try {
--- a/scripts/stack_environment.mjs
+++ b/scripts/stack_environment.mjs
@@ -1,6 +1,6 @@
-// Prints shell lines that tell the command-line tool and README's tour where a
-// stack is. Usage: eval "$(node scripts/stack_environment.mjs FILE)", where FILE
-// holds what `npm run stack -- --json` printed.
+// Prints shell exports with the addresses and keys of a stack, for umbermastctl and
+// the tour in README. Usage: eval "$(node scripts/stack_environment.mjs FILE)", where
+// FILE holds the output of `npm run stack -- --json`.
 import { readFileSync } from "node:fs";
 import process from "node:process";
 
