--- a/packages/router/src/request/call.ts
+++ b/packages/router/src/request/call.ts
@@ -67,7 +67,7 @@
 /** How heads are spelled between callers, this daemon and runners. */
 export interface Dialect {
   /** Reads the head of a caller's request. */
-  readCall(headers: RawHeaders): RequestHead;
+  parseRequest(headers: RawHeaders): RequestHead;
   /** Headers for the runner: the caller's own, less those that are ours to set. */
   sendHeaders(headers: RawHeaders, head: RunnerRequestHead): string[];
   /** Reads the head of a runner's answer. */
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -48,7 +48,9 @@
 
   /** Works until the caller has its final answer or has left. */
   async run(): Promise<void> {
-    const call = this.#daemon.dialect.readCall(this.#caller.request.rawHeaders);
+    const call = this.#daemon.dialect.parseRequest(
+      this.#caller.request.rawHeaders,
+    );
     const found = findSubject(this.#daemon, this.#caller.request, call);
     if ("status" in found) {
       return this.#end(call, { kind: "refused", refusal: found });
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -42,7 +42,7 @@
 
 /** Headers that these tests use; any platform's could stand here. */
 export const TEST_DIALECT: Dialect = {
-  readCall: (headers) => ({
+  parseRequest: (headers) => ({
     id: headerOf(headers, "x-id") ?? "",
     host: headerOf(headers, "host") ?? "",
     key: headerOf(headers, "x-key"),
