--- a/packages/router/src/request/room_wait_test.ts
+++ b/packages/router/src/request/room_wait_test.ts
@@ -140,8 +140,20 @@
   });
   const share = load.own;
   const waiting = [
-    { rank: 1, arrivedAt: 3, startBy: Infinity, requests: 1, unreadTokens: 100 },
-    { rank: 0, arrivedAt: 9, startBy: Infinity, requests: 1, unreadTokens: 1_000 },
+    {
+      rank: 1,
+      arrivedAt: 3,
+      startBy: Infinity,
+      requests: 1,
+      unreadTokens: 100,
+    },
+    {
+      rank: 0,
+      arrivedAt: 9,
+      startBy: Infinity,
+      requests: 1,
+      unreadTokens: 1_000,
+    },
   ];
   load.setNeighbourLoad("other", share, { now: 0, waiting });
   assert.equal(aheadTokens({ rank: 0, arrivedAt: 1 }), 0);
