--- a/packages/router/src/connection/compressed_item_test.ts
+++ b/packages/router/src/connection/compressed_item_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { encodeItem } from "@umbermast/coordination/codec";
 import { RunnerDirectory } from "../process/runner_directory.ts";
-import type { RunnerNews } from "../process/runner_directory.ts";
+import type { RunnerListUpdate } from "../process/runner_directory.ts";
 import type { Configuration, Route } from "../version/configuration.ts";
 import { testConfiguration, testRoute } from "../../tests/fixtures.ts";
 import { compressItem } from "./compressed_item.ts";
@@ -30,7 +30,7 @@
 }
 
 /** Runners with names and addresses as random as real ones. */
-function runnerNewsOf(count: number): RunnerNews {
+function runnerNewsOf(count: number): RunnerListUpdate {
   const runners = Array.from({ length: count }, (_, index) => {
     const hash = index * 2_654_435_761 % 4_294_967_296;
     const name = `i-${hash.toString(16)}`;
--- a/packages/router/src/connection/peer_encoding.ts
+++ b/packages/router/src/connection/peer_encoding.ts
@@ -12,7 +12,7 @@
 import type { DeadContact } from "../process/contact_book.ts";
 import type { PrefixUpdate } from "../process/prefix_record.ts";
 import type { UsageCount, WorkspaceCount } from "../process/usage_meter.ts";
-import type { RunnerNews } from "../process/runner_directory.ts";
+import type { RunnerListUpdate } from "../process/runner_directory.ts";
 import type { Configuration } from "../version/configuration.ts";
 import type {
   Give,
@@ -292,7 +292,7 @@
   return {
     ...packed,
     configuration: configuration && expandItem(configuration) as Configuration,
-    runners: runners && expandItem(runners) as RunnerNews,
+    runners: runners && expandItem(runners) as RunnerListUpdate,
   };
 }
 
--- a/packages/router/src/connection/peer_message.ts
+++ b/packages/router/src/connection/peer_message.ts
@@ -10,7 +10,7 @@
 import type { LimitUpdate } from "../process/runner_limits.ts";
 import type { PrefixUpdate } from "../process/prefix_record.ts";
 import type { LoadTotals } from "../process/share.ts";
-import type { RunnerNews } from "../process/runner_directory.ts";
+import type { RunnerListUpdate } from "../process/runner_directory.ts";
 import type { UsageCount } from "../process/usage_meter.ts";
 import type { Configuration } from "../version/configuration.ts";
 
@@ -104,7 +104,7 @@
 export interface Give {
   readonly kind: "give";
   readonly configuration: Configuration | undefined;
-  readonly runners: RunnerNews | undefined;
+  readonly runners: RunnerListUpdate | undefined;
   readonly parts: readonly PrefixUpdate[] | undefined;
 }
 
--- a/packages/router/src/process/runner_directory.ts
+++ b/packages/router/src/process/runner_directory.ts
@@ -17,7 +17,7 @@
 }
 
 /** What is new since an earlier revision, or everything. */
-export interface RunnerNews extends RunnerList {
+export interface RunnerListUpdate extends RunnerList {
   /** Whether `runners` are all that there are. */
   readonly whole: boolean;
   /** Names of runners that are gone; none in a whole list. */
@@ -48,7 +48,7 @@
   #leftSince = 0;
   #byService: ReadonlyMap<string, readonly Runner[]> = new Map();
   /** What was told of the present list, by the revision that was asked from. */
-  #news = new Map<number, RunnerNews>();
+  #news = new Map<number, RunnerListUpdate>();
 
   /** Revision of the store that the list is from; 0 when there is none. */
   get revision(): number {
@@ -64,7 +64,7 @@
    * list changes many times a second, and each time all daemons are told; those
    * that ask from the same revision are given the same object.
    */
-  newsSince(since: number): RunnerNews {
+  newsSince(since: number): RunnerListUpdate {
     const known = this.#news.get(since);
     if (known !== undefined) return known;
     const news = this.#newsSince(since);
@@ -73,7 +73,7 @@
     return news;
   }
 
-  #newsSince(since: number): RunnerNews {
+  #newsSince(since: number): RunnerListUpdate {
     const { revision, runners } = this.#list;
     const whole = since === 0 || since < this.#leftSince;
     if (whole) return { revision, runners, whole, left: [] };
@@ -89,7 +89,7 @@
   }
 
   /** Takes what a peer gave. */
-  take({ revision, runners, whole, left }: RunnerNews): void {
+  take({ revision, runners, whole, left }: RunnerListUpdate): void {
     if (whole) this.replace({ revision, runners });
     else this.change(revision, runners, left);
   }
