--- a/packages/router/src/connection/compressed_item_test.ts
+++ b/packages/router/src/connection/compressed_item_test.ts
@@ -90,11 +90,11 @@
 test("a list of runners is compressed once for all that ask", () => {
   const directory = new RunnerDirectory();
   directory.replace({ revision: 5, runners: runnerNewsOf(3).runners });
-  const first = directory.newsSince(0);
-  assert.equal(directory.newsSince(0), first);
-  assert.equal(compressItem(directory.newsSince(0)), compressItem(first));
+  const first = directory.updateSince(0);
+  assert.equal(directory.updateSince(0), first);
+  assert.equal(compressItem(directory.updateSince(0)), compressItem(first));
   directory.change(6, [], ["i-0"]);
-  assert.notEqual(directory.newsSince(0), first);
+  assert.notEqual(directory.updateSince(0), first);
 });
 
 test("a configuration arrives as it was", () => {
--- a/packages/router/src/connection/version_exchange.ts
+++ b/packages/router/src/connection/version_exchange.ts
@@ -117,7 +117,7 @@
       configuration: configuration ? this.#known.configuration() : undefined,
       runners: runnersSince === undefined
         ? undefined
-        : directory.newsSince(runnersSince),
+        : directory.updateSince(runnersSince),
       parts: parts ? prefixes.snapshot() : undefined,
     });
   }
--- a/packages/router/src/process/runner_directory.ts
+++ b/packages/router/src/process/runner_directory.ts
@@ -64,7 +64,7 @@
    * list changes many times a second, and each time all daemons are told; those
    * that ask from the same revision are given the same object.
    */
-  newsSince(since: number): RunnerListUpdate {
+  updateSince(since: number): RunnerListUpdate {
     const known = this.#news.get(since);
     if (known !== undefined) return known;
     const news = this.#newsSince(since);
