--- a/packages/router/src/connection/version_exchange.ts
+++ b/packages/router/src/connection/version_exchange.ts
@@ -128,7 +128,7 @@
     this.#wantedAt = -Infinity;
     this.#givenAt = now;
     if (configuration) this.#known.adopt(configuration, `peer ${peer.name}`);
-    if (runners) this.#known.directory.take(runners);
+    if (runners) this.#known.directory.applyUpdate(runners);
     for (const news of parts) this.#known.prefixes.applyUpdate(news, now);
   }
 }
--- a/packages/router/src/process/runner_directory.ts
+++ b/packages/router/src/process/runner_directory.ts
@@ -89,7 +89,7 @@
   }
 
   /** Takes what a peer gave. */
-  take({ revision, runners, whole, left }: RunnerListUpdate): void {
+  applyUpdate({ revision, runners, whole, left }: RunnerListUpdate): void {
     if (whole) this.replace({ revision, runners });
     else this.change(revision, runners, left);
   }
--- a/packages/router/src/process/runner_directory_test.ts
+++ b/packages/router/src/process/runner_directory_test.ts
@@ -114,7 +114,7 @@
   const lagging = new RunnerDirectory();
   const all = Array.from({ length: 100 }, (_, index) => runner(`r-${index}`));
   ahead.replace({ revision: 5, runners: all });
-  lagging.take(ahead.updateSince(lagging.revision));
+  lagging.applyUpdate(ahead.updateSince(lagging.revision));
   ahead.change(6, [{ ...all[3]!, draining: true }], ["r-7"]);
   ahead.replace({
     revision: 8,
@@ -123,7 +123,7 @@
   const news = ahead.updateSince(lagging.revision);
   assert.deepEqual(news.runners.map(({ name }) => name), ["r-3"]);
   assert.deepEqual(news.left, ["r-7"]);
-  lagging.take(news);
+  lagging.applyUpdate(news);
   assert.equal(lagging.revision, 8);
   assert.deepEqual(lagging.list.runners, ahead.list.runners);
 });
@@ -134,12 +134,12 @@
   const ahead = new RunnerDirectory();
   const lagging = new RunnerDirectory();
   ahead.replace({ revision: 1, runners: [runner("r-old"), runner("r-new")] });
-  lagging.take(ahead.updateSince(0));
+  lagging.applyUpdate(ahead.updateSince(0));
   ahead.change(2, [], ["r-old"]);
   for (let revision = 3; revision < 1_200; revision += 2) {
     ahead.change(revision, [runner(`r-${revision}`)], []);
     ahead.change(revision + 1, [], [`r-${revision}`]);
   }
-  lagging.take(ahead.updateSince(lagging.revision));
+  lagging.applyUpdate(ahead.updateSince(lagging.revision));
   assert.deepEqual(lagging.list.runners.map(({ name }) => name), ["r-new"]);
 });
