--- a/packages/router/src/process/restart_watch.ts
+++ b/packages/router/src/process/restart_watch.ts
@@ -77,7 +77,7 @@
         runner: runner.id,
         restarted: startedAtMs !== runner.startedAtMs,
       });
-      this.#directory.startedAt(runner.name, startedAtMs);
+      this.#directory.recordStart(runner.name, startedAtMs);
       return true;
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
--- a/packages/router/src/process/runner_directory.ts
+++ b/packages/router/src/process/runner_directory.ts
@@ -131,7 +131,7 @@
    * Takes what a runner says itself of its start, which may be known sooner than
    * its new entry: the store may be down, or this daemon cut off from it.
    */
-  startedAt(name: string, startedAtMs: number): void {
+  recordStart(name: string, startedAtMs: number): void {
     const known = this.#byName().get(name);
     if (known === undefined) return;
     const runner = { ...known, id: runnerId(name, startedAtMs), startedAtMs };
--- a/packages/router/src/process/runner_directory_test.ts
+++ b/packages/router/src/process/runner_directory_test.ts
@@ -95,13 +95,13 @@
 test("a start that the runner tells itself counts before its entry", () => {
   const directory = new RunnerDirectory();
   directory.replace({ revision: 5, runners: [life(100)] });
-  directory.startedAt("a", 300);
+  directory.recordStart("a", 300);
   directory.replace({ revision: 5, runners: [life(100)] });
   assert.deepEqual(directory.ready("s").map(({ startedAtMs }) => startedAtMs), [
     300,
   ]);
-  directory.startedAt("a", 200);
-  directory.startedAt("unknown", 400);
+  directory.recordStart("a", 200);
+  directory.recordStart("unknown", 400);
   assert.deepEqual(directory.ready("s").map(({ startedAtMs }) => startedAtMs), [
     300,
   ]);
