--- a/packages/router/src/connection/compressed_item_test.ts
+++ b/packages/router/src/connection/compressed_item_test.ts
@@ -93,7 +93,7 @@
   const first = directory.updateSince(0);
   assert.equal(directory.updateSince(0), first);
   assert.equal(compressItem(directory.updateSince(0)), compressItem(first));
-  directory.change(6, [], ["i-0"]);
+  directory.applyChange(6, [], ["i-0"]);
   assert.notEqual(directory.updateSince(0), first);
 });
 
--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -130,7 +130,7 @@
         directory.replace({ revision, runners: values });
       },
       changed: ({ revision, entered, left }) => {
-        directory.change(revision, entered, left);
+        directory.applyChange(revision, entered, left);
       },
     }, {
       contact: this.#contactListener("store_runners"),
--- a/packages/router/src/process/runner_directory.ts
+++ b/packages/router/src/process/runner_directory.ts
@@ -91,7 +91,7 @@
   /** Takes what a peer gave. */
   applyUpdate({ revision, runners, whole, left }: RunnerListUpdate): void {
     if (whole) this.replace({ revision, runners });
-    else this.change(revision, runners, left);
+    else this.applyChange(revision, runners, left);
   }
 
   /** Calls `listener` after each change. */
@@ -110,7 +110,7 @@
   }
 
   /** Takes what changed up to a revision. */
-  change(
+  applyChange(
     revision: number,
     entered: readonly Runner[],
     left: readonly string[],
--- a/packages/router/src/process/runner_directory_test.ts
+++ b/packages/router/src/process/runner_directory_test.ts
@@ -21,7 +21,7 @@
 test("runners that drain or have left get nothing new", () => {
   const directory = new RunnerDirectory();
   directory.replace({ revision: 1, runners: [runner("a"), runner("b")] });
-  directory.change(2, [runner("a", true)], ["b"]);
+  directory.applyChange(2, [runner("a", true)], ["b"]);
   assert.deepEqual(directory.ready("s"), []);
 });
 
@@ -35,7 +35,7 @@
     directory.replace({ revision: 4, runners: [runner("a")] }),
     false,
   );
-  directory.change(3, [runner("a")], []);
+  directory.applyChange(3, [runner("a")], []);
   assert.deepEqual(directory.ready("s"), []);
 });
 
@@ -49,7 +49,7 @@
 test("a runner that crashed while it drained is used after its restart", () => {
   const directory = new RunnerDirectory();
   directory.replace({ revision: 1, runners: [life(100, { draining: true })] });
-  directory.change(2, [life(200)], []);
+  directory.applyChange(2, [life(200)], []);
   assert.deepEqual(directory.ready("s").map(({ id }) => id), ["a~200"]);
 });
 
@@ -59,7 +59,7 @@
 test("an entry of the life before that comes late is not believed", () => {
   const directory = new RunnerDirectory();
   directory.replace({ revision: 1, runners: [life(200)] });
-  directory.change(2, [life(100, { draining: true })], []);
+  directory.applyChange(2, [life(100, { draining: true })], []);
   assert.deepEqual(directory.ready("s").map(({ id }) => id), ["a~200"]);
   const runners = [life(100, { draining: true })];
   directory.replace({ revision: 3, runners });
@@ -73,7 +73,7 @@
   context.mock.timers.enable({ apis: ["setTimeout"] });
   const directory = new RunnerDirectory();
   directory.replace({ revision: 1, runners: [life(200)] });
-  directory.change(2, [life(100, { draining: true })], []);
+  directory.applyChange(2, [life(100, { draining: true })], []);
   context.mock.timers.tick(5_000);
   assert.deepEqual(directory.ready("s"), []);
 });
@@ -84,8 +84,8 @@
   context.mock.timers.enable({ apis: ["setTimeout"] });
   const directory = new RunnerDirectory();
   directory.replace({ revision: 1, runners: [life(200)] });
-  directory.change(2, [life(100, { draining: true })], []);
-  directory.change(3, [life(200)], []);
+  directory.applyChange(2, [life(100, { draining: true })], []);
+  directory.applyChange(3, [life(200)], []);
   context.mock.timers.tick(5_000);
   assert.deepEqual(directory.ready("s").map(({ id }) => id), ["a~200"]);
 });
@@ -115,7 +115,7 @@
   const all = Array.from({ length: 100 }, (_, index) => runner(`r-${index}`));
   ahead.replace({ revision: 5, runners: all });
   lagging.applyUpdate(ahead.updateSince(lagging.revision));
-  ahead.change(6, [{ ...all[3]!, draining: true }], ["r-7"]);
+  ahead.applyChange(6, [{ ...all[3]!, draining: true }], ["r-7"]);
   ahead.replace({
     revision: 8,
     runners: ahead.list.runners.map((each) => ({ ...each })),
@@ -135,10 +135,10 @@
   const lagging = new RunnerDirectory();
   ahead.replace({ revision: 1, runners: [runner("r-old"), runner("r-new")] });
   lagging.applyUpdate(ahead.updateSince(0));
-  ahead.change(2, [], ["r-old"]);
+  ahead.applyChange(2, [], ["r-old"]);
   for (let revision = 3; revision < 1_200; revision += 2) {
-    ahead.change(revision, [runner(`r-${revision}`)], []);
-    ahead.change(revision + 1, [], [`r-${revision}`]);
+    ahead.applyChange(revision, [runner(`r-${revision}`)], []);
+    ahead.applyChange(revision + 1, [], [`r-${revision}`]);
   }
   lagging.applyUpdate(ahead.updateSince(lagging.revision));
   assert.deepEqual(lagging.list.runners.map(({ name }) => name), ["r-new"]);
