--- a/packages/router/src/process/late_entries.ts
+++ b/packages/router/src/process/late_entries.ts
@@ -22,7 +22,7 @@
 }
 
 /** Holds late entries back until they prove to be the runner's own. */
-export class LateEntries {
+export class StaleEntries {
   readonly #accept: (runner: Runner) => void;
   readonly #timers = new Map<string, NodeJS.Timeout>();
 
--- a/packages/router/src/process/runner_directory.ts
+++ b/packages/router/src/process/runner_directory.ts
@@ -6,7 +6,7 @@
 
 import { isDeepStrictEqual } from "node:util";
 import { groupBy } from "./group.ts";
-import { isLate, LateEntries } from "./late_entries.ts";
+import { isLate, StaleEntries } from "./late_entries.ts";
 import { runnerId } from "./runner.ts";
 import type { Runner } from "./runner.ts";
 
@@ -39,7 +39,7 @@
  */
 export class RunnerDirectory {
   readonly #changed: (() => void)[] = [];
-  readonly #late = new LateEntries((runner) => this.#accept(runner));
+  readonly #late = new StaleEntries((runner) => this.#accept(runner));
   #list: RunnerList = { revision: 0, runners: [] };
   /** At which revision an entry, by name, changed last here. */
   readonly #changedAt = new Map<string, number>();
