--- a/packages/router/src/process/late_entries.ts
+++ b/packages/router/src/process/late_entries.ts
@@ -14,7 +14,7 @@
 const HOLD_MS = 4_000;
 
 /** Whether an entry is of a life that began before the known one. */
-export function isLate(entry: Runner, known: Runner): boolean {
+export function isStale(entry: Runner, known: Runner): boolean {
   if (entry.startedAtMs === undefined || known.startedAtMs === undefined) {
     return false;
   }
--- a/packages/router/src/process/runner_directory.ts
+++ b/packages/router/src/process/runner_directory.ts
@@ -6,7 +6,7 @@
 
 import { isDeepStrictEqual } from "node:util";
 import { groupBy } from "./group.ts";
-import { isLate, StaleEntries } from "./late_entries.ts";
+import { isStale, StaleEntries } from "./late_entries.ts";
 import { runnerId } from "./runner.ts";
 import type { Runner } from "./runner.ts";
 
@@ -135,7 +135,7 @@
     const known = this.#byName().get(name);
     if (known === undefined) return;
     const runner = { ...known, id: runnerId(name, startedAtMs), startedAtMs };
-    if (runner.id === known.id || isLate(runner, known)) return;
+    if (runner.id === known.id || isStale(runner, known)) return;
     this.#accept(runner);
   }
 
@@ -173,7 +173,7 @@
   #newest(known: ReadonlyMap<string, Runner>, entry: Runner): Runner {
     const current = known.get(entry.name);
     this.#late.forget(entry.name);
-    if (current === undefined || !isLate(entry, current)) return entry;
+    if (current === undefined || !isStale(entry, current)) return entry;
     this.#late.hold(entry);
     return current;
   }
