--- a/packages/router/src/connection/sharing.ts
+++ b/packages/router/src/connection/sharing.ts
@@ -9,7 +9,7 @@
 import type { ContactUpdates } from "../process/contact_book.ts";
 import type { EventLog } from "../process/event_log.ts";
 import { knownToAll, toldTo } from "../process/known_daemons.ts";
-import type { Sharers } from "../process/sharers.ts";
+import type { FleetView } from "../process/sharers.ts";
 import { MembershipCounts } from "./membership_counts.ts";
 import { NeighbourNews } from "./neighbour_news.ts";
 import { Overlay } from "./overlay.ts";
@@ -166,7 +166,7 @@
    * Daemons among which what is scarce is divided: all of a small fleet, and of a
    * large one the first of each failure domain, which all others know.
    */
-  get sharers(): Sharers {
+  get sharers(): FleetView {
     const { name: own } = this.#own;
     const { fleetSize } = this;
     const all = [this.#own, ...this.reachable];
--- a/packages/router/src/process/limit_share.ts
+++ b/packages/router/src/process/limit_share.ts
@@ -5,7 +5,7 @@
  */
 import { Rendezvous } from "@umbermast/coordination/rendezvous";
 import type { Rate } from "./allowance.ts";
-import type { Sharers } from "./sharers.ts";
+import type { FleetView } from "./sharers.ts";
 
 /** No part at all. */
 export const NO_PART: Rate = { perSecond: 0, most: 0 };
@@ -44,7 +44,7 @@
  * partOf("r-1", 4.3, sharers).perSecond; // 1.29
  * ```
  */
-export function partOf(key: string, perS: number, sharers: Sharers): Rate {
+export function partOf(key: string, perS: number, sharers: FleetView): Rate {
   const { own, names, fleetSize } = sharers;
   const most = Math.floor(HOLDERS_PER_S * perS + MORE_HOLDERS);
   if (fleetSize <= most) return equalPart(perS, fleetSize);
--- a/packages/router/src/process/memory_survey.ts
+++ b/packages/router/src/process/memory_survey.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { Rendezvous } from "@umbermast/coordination/rendezvous";
-import type { Sharers } from "./sharers.ts";
+import type { FleetView } from "./sharers.ts";
 import type { EventLog } from "./event_log.ts";
 import { pause } from "./pause.ts";
 import type { PrefixIndex, PromptPart } from "./prefix_record.ts";
@@ -40,7 +40,7 @@
   /** Runners that hold prompts. */
   engines(): readonly Runner[];
   /** Daemons that divide them. */
-  sharers(): Sharers;
+  sharers(): FleetView;
 }
 
 /**
--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -8,7 +8,7 @@
 import type { Rate } from "./allowance.ts";
 import type { EventLog } from "./event_log.ts";
 import { NO_PART, partOf } from "./limit_share.ts";
-import type { Sharers } from "./sharers.ts";
+import type { FleetView } from "./sharers.ts";
 
 /** What a runner's answer says of how much the runner takes. */
 export type StatedLimit =
@@ -76,10 +76,10 @@
  */
 export class RunnerLimits {
   readonly #log: EventLog;
-  readonly #sharers: () => Sharers;
+  readonly #sharers: () => FleetView;
   readonly #limits = new Map<string, Limit>();
   readonly #unreadable = new Set<string>();
-  #divided: Sharers = { own: "", names: [], fleetSize: 0 };
+  #divided: FleetView = { own: "", names: [], fleetSize: 0 };
   /** Changes when the sharers do. */
   #division = 0;
   #lookedAt = -Infinity;
@@ -87,7 +87,7 @@
   #news = new Set<string>();
 
   /** @param sharers the daemons among which limits are divided. */
-  constructor(log: EventLog, sharers: () => Sharers) {
+  constructor(log: EventLog, sharers: () => FleetView) {
     this.#log = log;
     this.#sharers = sharers;
   }
--- a/packages/router/src/process/sharers.ts
+++ b/packages/router/src/process/sharers.ts
@@ -5,7 +5,7 @@
  */
 
 /** Those daemons, as one of them sees them. */
-export interface Sharers {
+export interface FleetView {
   /** Name of the daemon that asks. */
   readonly own: string;
   /**
