--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Buffer } from "node:buffer";
-import { Allowance } from "../process/allowance.ts";
+import { TokenBucket } from "../process/allowance.ts";
 import type { Contact } from "../process/contact.ts";
 import type { ContactBook, ContactUpdates } from "../process/contact_book.ts";
 import type { FleetTime } from "../process/fleet_time.ts";
@@ -100,8 +100,8 @@
   readonly #near = new Outbox();
   /** For children. */
   readonly #all = new Outbox();
-  readonly #nearAllowance: Allowance;
-  readonly #allAllowance: Allowance;
+  readonly #nearAllowance: TokenBucket;
+  readonly #allAllowance: TokenBucket;
   /** Revision of the leader's lease that was told last. */
   #leaseTold = 0;
 
@@ -110,8 +110,8 @@
     this.#sums = new LoadSums(sources.loads);
     const perSecond = sources.controlBytesPerS;
     const rate = { perSecond, most: perSecond * BURST_SECONDS };
-    this.#nearAllowance = new Allowance(rate);
-    this.#allAllowance = new Allowance(rate);
+    this.#nearAllowance = new TokenBucket(rate);
+    this.#allAllowance = new TokenBucket(rate);
   }
 
   /** Whether there is nothing to tell. */
--- a/packages/router/src/process/allowance.ts
+++ b/packages/router/src/process/allowance.ts
@@ -20,7 +20,7 @@
  * const bytes = allowance.left(performance.now());
  * ```
  */
-export class Allowance {
+export class TokenBucket {
   #rate: Rate;
   #left: number;
   #at = 0;
--- a/packages/router/src/process/allowance_test.ts
+++ b/packages/router/src/process/allowance_test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Allowance } from "./allowance.ts";
+import { TokenBucket } from "./allowance.ts";
 
 test("what is sent keeps to the rate, bursts apart", () => {
-  const allowance = new Allowance({ perSecond: 1_000, most: 2_000 });
+  const allowance = new TokenBucket({ perSecond: 1_000, most: 2_000 });
   assert.equal(allowance.left(0), 2_000);
   allowance.take(2_500);
   assert.equal(allowance.left(0), -500);
--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { isDeepStrictEqual } from "node:util";
-import { Allowance } from "./allowance.ts";
+import { TokenBucket } from "./allowance.ts";
 import type { Rate } from "./allowance.ts";
 import type { EventLog } from "./event_log.ts";
 import { NO_PART, partOf } from "./limit_share.ts";
@@ -60,7 +60,7 @@
   /** What the part was worked out from: sharers, and a turn among them. */
   partOf: string;
   /** Requests that this daemon may send, by its part. */
-  readonly allowance: Allowance;
+  readonly allowance: TokenBucket;
 }
 
 /**
@@ -291,6 +291,6 @@
     lines: 0,
     part: NO_PART,
     partOf: "",
-    allowance: new Allowance(NO_PART),
+    allowance: new TokenBucket(NO_PART),
   };
 }
