--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -226,7 +226,7 @@
   #tellNear(now: number): void {
     const { overlay, peers } = this.#sources;
     const { relayed } = overlay;
-    const left = relayed ? this.#nearAllowance.left(now) : Infinity;
+    const left = relayed ? this.#nearAllowance.available(now) : Infinity;
     const post = this.#near.take(Math.max(0, left / LOAD_BYTES));
     const loads = this.#sums.of(post.runners, this.#isChild);
     const frame = encodeMessage(this.#state(post, loads, this.#isChild));
@@ -236,7 +236,7 @@
   }
 
   #tellChildren(now: number): void {
-    const left = this.#allAllowance.left(now);
+    const left = this.#allAllowance.available(now);
     const post = this.#all.take(Math.max(0, left / LOAD_BYTES));
     const everything = this.#sums.of(post.runners, () => true);
     let most = 0;
--- a/packages/router/src/process/allowance.ts
+++ b/packages/router/src/process/allowance.ts
@@ -32,7 +32,7 @@
   }
 
   /** What may be sent now; negative after more was sent than that. */
-  left(now: number): number {
+  available(now: number): number {
     const { perSecond, most } = this.#rate;
     const elapsedS = Math.max(0, now - this.#at) / 1_000;
     this.#left = Math.min(most, this.#left + elapsedS * perSecond);
@@ -47,7 +47,7 @@
 
   /** Counts at another rate from now on. */
   change(rate: Rate, now: number): void {
-    this.left(now);
+    this.available(now);
     this.#rate = rate;
   }
 
--- a/packages/router/src/process/allowance_test.ts
+++ b/packages/router/src/process/allowance_test.ts
@@ -4,9 +4,9 @@
 
 test("what is sent keeps to the rate, bursts apart", () => {
   const allowance = new TokenBucket({ perSecond: 1_000, most: 2_000 });
-  assert.equal(allowance.left(0), 2_000);
+  assert.equal(allowance.available(0), 2_000);
   allowance.take(2_500);
-  assert.equal(allowance.left(0), -500);
-  assert.equal(allowance.left(1_000), 500);
-  assert.equal(allowance.left(60_000), 2_000);
+  assert.equal(allowance.available(0), -500);
+  assert.equal(allowance.available(1_000), 500);
+  assert.equal(allowance.available(60_000), 2_000);
 });
--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -119,7 +119,7 @@
     const limit = this.#limits.get(runner);
     if (limit?.perS === undefined) return true;
     this.#partOf(runner, limit, now);
-    return limit.allowance.left(now) >= 1;
+    return limit.allowance.available(now) >= 1;
   }
 
   /** Counts a request that is sent to a runner. */
