--- a/packages/router/src/request/attempt_of.ts
+++ b/packages/router/src/request/attempt_of.ts
@@ -30,7 +30,7 @@
   const { request, choice, body, leftMs, lastEventId } = options;
   const { call, service, workspace } = subject;
   const { runner, fetchFrom } = choice;
-  const headers = daemon.dialect.sendHeaders(request.rawHeaders, {
+  const headers = daemon.dialect.runnerHeaders(request.rawHeaders, {
     runnerName: runner.name,
     deadlineMs: Math.max(1, Math.floor(leftMs)),
     workspace: workspace?.name,
--- a/packages/router/src/request/call.ts
+++ b/packages/router/src/request/call.ts
@@ -69,7 +69,7 @@
   /** Reads the head of a caller's request. */
   parseRequest(headers: RawHeaders): RequestHead;
   /** Headers for the runner: the caller's own, less those that are ours to set. */
-  sendHeaders(headers: RawHeaders, head: RunnerRequestHead): string[];
+  runnerHeaders(headers: RawHeaders, head: RunnerRequestHead): string[];
   /** Reads the head of a runner's answer. */
   readAnswer(status: number, headers: RawHeaders): ResponseHead;
   /** Id of an event of a stream, given the event's text. */
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -53,7 +53,7 @@
     prompt: [],
     lastEventId: undefined,
   }),
-  sendHeaders: (headers, head) => [
+  runnerHeaders: (headers, head) => [
     ...endToEndHeaders(headers, new Set(["x-key", "x-tenant", "x-deadline"])),
     "X-Tenant",
     head.workspace ?? "",
