--- a/packages/router/src/request/attempt.ts
+++ b/packages/router/src/request/attempt.ts
@@ -156,7 +156,7 @@
 
   #read(incoming: IncomingMessage): Sent {
     const status = incoming.statusCode!;
-    const head = this.#dialect.readAnswer(status, incoming.rawHeaders);
+    const head = this.#dialect.parseResponse(status, incoming.rawHeaders);
     if (head.id !== undefined && head.id !== this.#send.id) {
       // A late second answer to an earlier request: ours may still come, but
       // nothing on this connection can be trusted to belong to us any more.
--- a/packages/router/src/request/call.ts
+++ b/packages/router/src/request/call.ts
@@ -71,7 +71,7 @@
   /** Headers for the runner: the caller's own, less those that are ours to set. */
   runnerHeaders(headers: RawHeaders, head: RunnerRequestHead): string[];
   /** Reads the head of a runner's answer. */
-  readAnswer(status: number, headers: RawHeaders): ResponseHead;
+  parseResponse(status: number, headers: RawHeaders): ResponseHead;
   /** Id of an event of a stream, given the event's text. */
   eventId(event: string): number | undefined;
 }
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -63,7 +63,7 @@
       ? []
       : ["Last-Event-Id", String(head.lastEventId)]),
   ],
-  readAnswer: (status, headers) => ({
+  parseResponse: (status, headers) => ({
     id: headerOf(headers, "x-id"),
     sealed: headerOf(headers, "x-seal") !== undefined,
     notRun: headerOf(headers, "x-not-run") !== undefined,
