--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -265,13 +265,13 @@
     const { fencing } = lease;
     if (fencing === undefined || !lease.mayAct(CALL_MS)) return undefined;
     if (this.#stopped) return undefined;
-    lease.acted();
+    lease.recordAction();
     return { fence: { holder: name, fencing }, timeoutMs: CALL_MS };
   }
 
   async #made(call: Promise<CallEnd>): Promise<CallEnd> {
     const end = await call;
-    this.#options.lease.acted();
+    this.#options.lease.recordAction();
     return end;
   }
 }
--- a/packages/router/src/process/leader_lease.ts
+++ b/packages/router/src/process/leader_lease.ts
@@ -162,7 +162,7 @@
   }
 
   /** Notes that something was done under the lease just now. */
-  acted(): void {
+  recordAction(): void {
     this.#actedAt = momentOf(this.#clock);
   }
 
--- a/packages/router/src/process/leader_lease_test.ts
+++ b/packages/router/src/process/leader_lease_test.ts
@@ -110,7 +110,7 @@
     const { fencing } = this.#lease;
     if (this.#world.now < this.#busyUntil) return;
     if (fencing === undefined || !this.#lease.mayAct(CALL_MS)) return;
-    this.#lease.acted();
+    this.#lease.recordAction();
     const at = this.#world.now + takesMs;
     this.#busyUntil = at;
     this.#world.calls.push({ host: this.#number, fencing, at });
