--- a/packages/router/src/request/call.ts
+++ b/packages/router/src/request/call.ts
@@ -23,7 +23,7 @@
   /** Tokens of the prompt. */
   readonly promptTokens: number;
   /** Most tokens of the answer. */
-  readonly answerTokens: number;
+  readonly maxOutputTokens: number;
   /** Tokens of the answer that the caller expects; often far off. */
   readonly expectedTokens: number | undefined;
   /** Parts of the prompt in order; the last one is the request's own. */
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -204,7 +204,7 @@
     return endsInTime({
       leftMs,
       unreadTokens: choice.unreadTokens,
-      answerTokens: Math.min(call.answerTokens, call.expectedTokens ?? 0),
+      answerTokens: Math.min(call.maxOutputTokens, call.expectedTokens ?? 0),
       ranksBelow,
       msPerToken,
     });
@@ -265,7 +265,7 @@
     return {
       prompt: call.prompt,
       promptTokens: call.promptTokens,
-      answerTokens: call.answerTokens,
+      answerTokens: call.maxOutputTokens,
       expectedTokens: call.expectedTokens,
       timeoutMs: route.timeoutMs,
       targetMs: route.targetMs,
--- a/packages/router/src/request/runner_tries.ts
+++ b/packages/router/src/request/runner_tries.ts
@@ -75,7 +75,7 @@
     const load = this.#daemon.loads.of(runner.id);
     const placed: PlacedRequest = {
       unreadTokens: choice.unreadTokens,
-      memoryTokens: call.promptTokens + call.answerTokens,
+      memoryTokens: call.promptTokens + call.maxOutputTokens,
       tight: choice.tight,
     };
     const sentAt = this.#daemon.now();
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -48,7 +48,7 @@
     key: headerOf(headers, "x-key"),
     deadlineMs: Number(headerOf(headers, "x-deadline") ?? 5_000),
     promptTokens: 0,
-    answerTokens: 0,
+    maxOutputTokens: 0,
     expectedTokens: undefined,
     prompt: [],
     lastEventId: undefined,
