--- a/packages/router/src/process/allowance.ts
+++ b/packages/router/src/process/allowance.ts
@@ -46,7 +46,7 @@
   }
 
   /** Counts at another rate from now on. */
-  change(rate: Rate, now: number): void {
+  setRate(rate: Rate, now: number): void {
     this.available(now);
     this.#rate = rate;
   }
--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -251,7 +251,7 @@
     if (limit.partOf === from) return limit.part;
     limit.part = partOf(`${runner}/${turn}`, limit.perS!, this.#divided);
     limit.partOf = from;
-    limit.allowance.change(limit.part, now);
+    limit.allowance.setRate(limit.part, now);
     return limit.part;
   }
 
