--- a/packages/router/src/process/allowance.ts
+++ b/packages/router/src/process/allowance.ts
@@ -8,7 +8,7 @@
 export interface Rate {
   readonly perSecond: number;
   /** Most that may be sent at once, after a pause. */
-  readonly most: number;
+  readonly burst: number;
 }
 
 /**
@@ -26,14 +26,14 @@
   #at = 0;
 
   /** @param left what may be sent at once at the start. */
-  constructor(rate: Rate, left = rate.most) {
+  constructor(rate: Rate, left = rate.burst) {
     this.#rate = rate;
     this.#left = left;
   }
 
   /** What may be sent now; negative after more was sent than that. */
   available(now: number): number {
-    const { perSecond, most } = this.#rate;
+    const { perSecond, burst: most } = this.#rate;
     const elapsedS = Math.max(0, now - this.#at) / 1_000;
     this.#left = Math.min(most, this.#left + elapsedS * perSecond);
     this.#at = now;
--- a/packages/router/src/process/allowance_test.ts
+++ b/packages/router/src/process/allowance_test.ts
@@ -3,7 +3,7 @@
 import { TokenBucket } from "./allowance.ts";
 
 test("what is sent keeps to the rate, bursts apart", () => {
-  const allowance = new TokenBucket({ perSecond: 1_000, most: 2_000 });
+  const allowance = new TokenBucket({ perSecond: 1_000, burst: 2_000 });
   assert.equal(allowance.available(0), 2_000);
   allowance.take(2_500);
   assert.equal(allowance.available(0), -500);
--- a/packages/router/src/process/limit_share.ts
+++ b/packages/router/src/process/limit_share.ts
@@ -8,7 +8,7 @@
 import type { FleetView } from "./sharers.ts";
 
 /** No part at all. */
-export const NO_PART: Rate = { perSecond: 0, most: 0 };
+export const NO_PART: Rate = { perSecond: 0, burst: 0 };
 
 /**
  * Part of a limit that is given out. The rest is for daemons that see others
@@ -57,6 +57,6 @@
 function equalPart(perS: number, holders: number): Rate {
   return {
     perSecond: Math.max(LEAST_PER_S, GIVEN_SHARE * perS) / holders,
-    most: Math.max(1, BURST_S * perS / holders),
+    burst: Math.max(1, BURST_S * perS / holders),
   };
 }
