--- a/packages/router/src/process/limit_waits.ts
+++ b/packages/router/src/process/limit_waits.ts
@@ -11,7 +11,7 @@
  * have had what they take. All look at the same moment whether one takes more;
  * without an order a less urgent one would get it.
  */
-export class LimitWaits {
+export class LimitQueue {
   readonly #turns = new Set<QueueKey>();
 
   /** Waits from now on; {@linkcode leave} ends it. */
--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -7,7 +7,7 @@
 import type { RunnerConnections } from "../connection/runner_connections.ts";
 import type { CrashRecord } from "../process/crash_record.ts";
 import type { EventLog } from "../process/event_log.ts";
-import type { LimitWaits } from "../process/limit_waits.ts";
+import type { LimitQueue } from "../process/limit_waits.ts";
 import type { Pulse } from "../process/pulse.ts";
 import type { PrefixIndex } from "../process/prefix_record.ts";
 import type { RetryBudget } from "../process/retry_budget.ts";
@@ -56,7 +56,7 @@
   /** How fast the runners of a service make tokens. */
   pace(service: string): StreamPace;
   /** Requests that wait until runners of a service take more. */
-  limitWaits(service: string): LimitWaits;
+  limitWaits(service: string): LimitQueue;
   /** A runner has begun a request. */
   requestStarted(subject: { readonly workspace: Workspace | undefined }): void;
   /** Repeats that may be sent to a service. */
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { LimitWaits } from "../process/limit_waits.ts";
+import type { LimitQueue } from "../process/limit_waits.ts";
 import type { Runner } from "../process/runner.ts";
 import type { QueueKey } from "../process/runner_queue.ts";
 import type { Daemon } from "./daemon.ts";
@@ -159,7 +159,7 @@
     return choice;
   }
 
-  get #limitWaits(): LimitWaits {
+  get #limitWaits(): LimitQueue {
     return this.#daemon.limitWaits(this.#subject.service.name);
   }
 
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -21,7 +21,7 @@
 import type { EventLog } from "./process/event_log.ts";
 import { MemorySurvey } from "./process/memory_survey.ts";
 import type { EngineMemory } from "./process/memory_survey.ts";
-import { LimitWaits } from "./process/limit_waits.ts";
+import { LimitQueue } from "./process/limit_waits.ts";
 import { Lifecycle } from "./process/lifecycle.ts";
 import { RequestMetrics } from "./process/metrics.ts";
 import { Pulse } from "./process/pulse.ts";
@@ -100,7 +100,7 @@
     )
   );
   readonly #paces = new PerService(() => new StreamPace());
-  readonly #limitWaits = new PerService(() => new LimitWaits());
+  readonly #limitWaits = new PerService(() => new LimitQueue());
   readonly #neighbourhood: FleetSync;
   readonly #leadership: Leadership;
   readonly #survey: MemorySurvey;
@@ -241,7 +241,7 @@
     if (workspace !== undefined) this.#leadership.began(workspace.name);
   }
 
-  limitWaits(service: string): LimitWaits {
+  limitWaits(service: string): LimitQueue {
     return this.#limitWaits.of(service);
   }
 
