--- a/packages/router/src/process/limit_waits.ts
+++ b/packages/router/src/process/limit_waits.ts
@@ -15,7 +15,7 @@
   readonly #turns = new Set<QueueKey>();
 
   /** Waits from now on; {@linkcode leave} ends it. */
-  join(turn: QueueKey): void {
+  add(turn: QueueKey): void {
     this.#turns.add(turn);
   }
 
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -127,7 +127,7 @@
         const limited = this.#limitedLeft(tried);
         if (limited.length === 0) return undefined;
         if (!this.#mayAwait(limited, until)) return "overloaded";
-        this.#limitWaits.join(this.#turn);
+        this.#limitWaits.add(this.#turn);
         await this.#daemon.pulse.next();
         continue;
       }
