--- a/packages/router/src/process/limit_waits.ts
+++ b/packages/router/src/process/limit_waits.ts
@@ -14,12 +14,12 @@
 export class LimitQueue {
   readonly #turns = new Set<QueueKey>();
 
-  /** Waits from now on; {@linkcode leave} ends it. */
+  /** Waits from now on; {@linkcode remove} ends it. */
   add(turn: QueueKey): void {
     this.#turns.add(turn);
   }
 
-  leave(turn: QueueKey): void {
+  remove(turn: QueueKey): void {
     this.#turns.delete(turn);
   }
 
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -108,7 +108,7 @@
       return await this.#findRoom(wait, tried);
     } finally {
       wait.end();
-      this.#limitWaits.leave(this.#turn);
+      this.#limitWaits.remove(this.#turn);
     }
   }
 
