--- a/packages/router/src/process/limit_share.ts
+++ b/packages/router/src/process/limit_share.ts
@@ -8,7 +8,7 @@
 import type { FleetView } from "./sharers.ts";
 
 /** No part at all. */
-export const NO_PART: Rate = { perSecond: 0, burst: 0 };
+export const NO_SHARE: Rate = { perSecond: 0, burst: 0 };
 
 /**
  * Part of a limit that is given out. The rest is for daemons that see others
@@ -50,7 +50,7 @@
   if (fleetSize <= most) return equalPart(perS, fleetSize);
   const holders = Math.min(names.length, most);
   const order = new Rendezvous(names).order(key);
-  if (!order.slice(0, holders).includes(own)) return NO_PART;
+  if (!order.slice(0, holders).includes(own)) return NO_SHARE;
   return equalPart(perS, holders);
 }
 
--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -7,7 +7,7 @@
 import { TokenBucket } from "./allowance.ts";
 import type { Rate } from "./allowance.ts";
 import type { EventLog } from "./event_log.ts";
-import { NO_PART, partOf } from "./limit_share.ts";
+import { NO_SHARE, partOf } from "./limit_share.ts";
 import type { FleetView } from "./sharers.ts";
 
 /** What a runner's answer says of how much the runner takes. */
@@ -289,8 +289,8 @@
     toldAt: -Infinity,
     loggedAt: -Infinity,
     lines: 0,
-    part: NO_PART,
+    part: NO_SHARE,
     partOf: "",
-    allowance: new TokenBucket(NO_PART),
+    allowance: new TokenBucket(NO_SHARE),
   };
 }
