--- a/packages/router/src/process/limit_share.ts
+++ b/packages/router/src/process/limit_share.ts
@@ -44,7 +44,7 @@
  * partOf("r-1", 4.3, sharers).perSecond; // 1.29
  * ```
  */
-export function partOf(key: string, perS: number, sharers: FleetView): Rate {
+export function shareOf(key: string, perS: number, sharers: FleetView): Rate {
   const { own, names, fleetSize } = sharers;
   const most = Math.floor(HOLDERS_PER_S * perS + MORE_HOLDERS);
   if (fleetSize <= most) return equalPart(perS, fleetSize);
--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -7,7 +7,7 @@
 import { TokenBucket } from "./allowance.ts";
 import type { Rate } from "./allowance.ts";
 import type { EventLog } from "./event_log.ts";
-import { NO_SHARE, partOf } from "./limit_share.ts";
+import { NO_SHARE, shareOf } from "./limit_share.ts";
 import type { FleetView } from "./sharers.ts";
 
 /** What a runner's answer says of how much the runner takes. */
@@ -249,7 +249,7 @@
     const turn = Math.floor(Math.max(0, now - limit.at) / SILENT_MS);
     const from = `${this.#division}/${turn}`;
     if (limit.partOf === from) return limit.part;
-    limit.part = partOf(`${runner}/${turn}`, limit.perS!, this.#divided);
+    limit.part = shareOf(`${runner}/${turn}`, limit.perS!, this.#divided);
     limit.partOf = from;
     limit.allowance.setRate(limit.part, now);
     return limit.part;
