--- a/packages/router/src/process/memory_survey.ts
+++ b/packages/router/src/process/memory_survey.ts
@@ -49,7 +49,7 @@
  * cost a second of each engine's time within the first seconds of traffic.
  * Daemons divide the runners and tell each other what they learn.
  */
-export class MemorySurvey {
+export class CacheSurvey {
   readonly #memory: EngineMemory;
   readonly #prefixes: PrefixIndex;
   readonly #log: EventLog;
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -19,7 +19,7 @@
 } from "./connection/status_server.ts";
 import { CrashRecord } from "./process/crash_record.ts";
 import type { EventLog } from "./process/event_log.ts";
-import { MemorySurvey } from "./process/memory_survey.ts";
+import { CacheSurvey } from "./process/memory_survey.ts";
 import type { EngineMemory } from "./process/memory_survey.ts";
 import { LimitQueue } from "./process/limit_waits.ts";
 import { Lifecycle } from "./process/lifecycle.ts";
@@ -103,7 +103,7 @@
   readonly #limitWaits = new PerService(() => new LimitQueue());
   readonly #neighbourhood: FleetSync;
   readonly #leadership: Leadership;
-  readonly #survey: MemorySurvey;
+  readonly #survey: CacheSurvey;
   readonly #restarts: RestartWatch;
   readonly #crashWatch: CrashWatch;
   #surveyed = false;
@@ -166,7 +166,7 @@
       random: () => this.random(),
     });
     const mayAsk = ({ id }: Runner) => this.#mayAsk(id);
-    this.#survey = new MemorySurvey(platform.memory, {
+    this.#survey = new CacheSurvey(platform.memory, {
       prefixes: this.prefixes,
       log,
       mayAsk,
