--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -22,7 +22,10 @@
 } from "./process/platform_api.ts";
 export type { RunnerOrder } from "./process/runner_order.ts";
 export type { UsageReport } from "./process/leader_record.ts";
-export type { EngineMemory, HeldMemory } from "./process/memory_survey.ts";
+export type {
+  EngineCache as EngineMemory,
+  HeldMemory,
+} from "./process/memory_survey.ts";
 export type { PromptPart } from "./process/prefix_record.ts";
 export type { ReportedLoad } from "./process/runner_load.ts";
 export type { StatedLimit } from "./process/runner_limits.ts";
--- a/packages/router/src/process/memory_survey.ts
+++ b/packages/router/src/process/memory_survey.ts
@@ -19,7 +19,7 @@
 }
 
 /** Asks runners about themselves. Both calls reject when there is no answer. */
-export interface EngineMemory {
+export interface EngineCache {
   /** The parts of prompts in a runner's memory. */
   held(runner: Runner): Promise<HeldMemory>;
   /** When the present life of a runner began, in Unix ms, if it tells. */
@@ -50,13 +50,13 @@
  * Daemons divide the runners and tell each other what they learn.
  */
 export class CacheSurvey {
-  readonly #memory: EngineMemory;
+  readonly #memory: EngineCache;
   readonly #prefixes: PrefixIndex;
   readonly #log: EventLog;
   readonly #mayAsk: (runner: Runner) => boolean;
 
   constructor(
-    memory: EngineMemory,
+    memory: EngineCache,
     options: {
       readonly prefixes: PrefixIndex;
       readonly log: EventLog;
--- a/packages/router/src/process/restart_watch.ts
+++ b/packages/router/src/process/restart_watch.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { EventLog } from "./event_log.ts";
-import type { EngineMemory } from "./memory_survey.ts";
+import type { EngineCache } from "./memory_survey.ts";
 import { pause } from "./pause.ts";
 import type { Runner } from "./runner.ts";
 import type { RunnerDirectory } from "./runner_directory.ts";
@@ -24,7 +24,7 @@
  * drawing prompts that it no longer holds, for up to half a minute.
  */
 export class RestartWatch {
-  readonly #memory: EngineMemory;
+  readonly #memory: EngineCache;
   readonly #directory: RunnerDirectory;
   readonly #log: EventLog;
   readonly #mayAsk: (runner: Runner) => boolean;
@@ -32,7 +32,7 @@
   readonly #asked = new Set<string>();
 
   constructor(
-    memory: EngineMemory,
+    memory: EngineCache,
     options: {
       readonly directory: RunnerDirectory;
       readonly log: EventLog;
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -20,7 +20,7 @@
 import { CrashRecord } from "./process/crash_record.ts";
 import type { EventLog } from "./process/event_log.ts";
 import { CacheSurvey } from "./process/memory_survey.ts";
-import type { EngineMemory } from "./process/memory_survey.ts";
+import type { EngineCache } from "./process/memory_survey.ts";
 import { LimitQueue } from "./process/limit_waits.ts";
 import { Lifecycle } from "./process/lifecycle.ts";
 import { RequestMetrics } from "./process/metrics.ts";
@@ -52,7 +52,7 @@
 /** What the platform provides. */
 export interface Platform extends SharedStore, LeaderPlatform {
   readonly dialect: Dialect;
-  readonly memory: EngineMemory;
+  readonly memory: EngineCache;
 }
 
 /** Milliseconds between two looks of waiting requests whether there is room. */
