--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -23,8 +23,8 @@
 export type { RunnerOrder } from "./process/runner_order.ts";
 export type { UsageReport } from "./process/leader_record.ts";
 export type {
+  CachedParts as HeldMemory,
   EngineCache as EngineMemory,
-  HeldMemory,
 } from "./process/memory_survey.ts";
 export type { PromptPart } from "./process/prefix_record.ts";
 export type { ReportedLoad } from "./process/runner_load.ts";
--- a/packages/router/src/process/memory_survey.ts
+++ b/packages/router/src/process/memory_survey.ts
@@ -12,7 +12,7 @@
 import type { Runner } from "./runner.ts";
 
 /** What a runner holds. */
-export interface HeldMemory {
+export interface CachedParts {
   /** When the life of the runner that answered began, if it tells. */
   readonly startedAtMs: number | undefined;
   readonly parts: readonly PromptPart[];
@@ -21,7 +21,7 @@
 /** Asks runners about themselves. Both calls reject when there is no answer. */
 export interface EngineCache {
   /** The parts of prompts in a runner's memory. */
-  held(runner: Runner): Promise<HeldMemory>;
+  held(runner: Runner): Promise<CachedParts>;
   /** When the present life of a runner began, in Unix ms, if it tells. */
   startedAt(runner: Runner): Promise<number | undefined>;
 }
