--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -109,7 +109,7 @@
     this.#sources = sources;
     this.#sums = new LoadSums(sources.loads);
     const perSecond = sources.controlBytesPerS;
-    const rate = { perSecond, most: perSecond * BURST_SECONDS };
+    const rate = { perSecond, burst: perSecond * BURST_SECONDS };
     this.#nearAllowance = new TokenBucket(rate);
     this.#allAllowance = new TokenBucket(rate);
   }
