--- a/packages/router/src/request/call.ts
+++ b/packages/router/src/request/call.ts
@@ -25,7 +25,7 @@
   /** Most tokens of the answer. */
   readonly maxOutputTokens: number;
   /** Tokens of the answer that the caller expects; often far off. */
-  readonly expectedTokens: number | undefined;
+  readonly expectedOutputTokens: number | undefined;
   /** Parts of the prompt in order; the last one is the request's own. */
   readonly prompt: readonly PromptPart[];
   /** Last event that the caller has of a stream that it resumes. */
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -36,7 +36,7 @@
     waited_ms: Math.round(waitedMs),
     in_time: inTime,
     ms_per_token: pace === undefined ? undefined : Math.round(pace),
-    expected_tokens: subject.call.expectedTokens,
+    expected_tokens: subject.call.expectedOutputTokens,
     runners_age_ms: Math.round(daemon.runnersAgeMs()),
   });
 }
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -204,7 +204,10 @@
     return endsInTime({
       leftMs,
       unreadTokens: choice.unreadTokens,
-      answerTokens: Math.min(call.maxOutputTokens, call.expectedTokens ?? 0),
+      answerTokens: Math.min(
+        call.maxOutputTokens,
+        call.expectedOutputTokens ?? 0,
+      ),
       ranksBelow,
       msPerToken,
     });
@@ -266,7 +269,7 @@
       prompt: call.prompt,
       promptTokens: call.promptTokens,
       answerTokens: call.maxOutputTokens,
-      expectedTokens: call.expectedTokens,
+      expectedTokens: call.expectedOutputTokens,
       timeoutMs: route.timeoutMs,
       targetMs: route.targetMs,
       gapTargetMs: route.gapTargetMs,
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -49,7 +49,7 @@
     deadlineMs: Number(headerOf(headers, "x-deadline") ?? 5_000),
     promptTokens: 0,
     maxOutputTokens: 0,
-    expectedTokens: undefined,
+    expectedOutputTokens: undefined,
     prompt: [],
     lastEventId: undefined,
   }),
