--- a/packages/router/src/request/attempt.ts
+++ b/packages/router/src/request/attempt.ts
@@ -164,7 +164,7 @@
       this.#outgoing.destroy();
       return { kind: "broken", reason: "answer to another request" };
     }
-    if (head.notRun) {
+    if (head.notExecuted) {
       incoming.on("error", () => {});
       incoming.resume();
       return { kind: "not-run", status, head };
--- a/packages/router/src/request/call.ts
+++ b/packages/router/src/request/call.ts
@@ -54,7 +54,7 @@
   /** Whether the runner vouches that the answer is its own. */
   readonly sealed: boolean;
   /** Whether the runner says that the request has not run. */
-  readonly notRun: boolean;
+  readonly notExecuted: boolean;
   /** Whether the address now belongs to another runner. */
   readonly otherRunner: boolean;
   /** Whether the body has an encoding, which no runner applies. */
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -66,7 +66,7 @@
   parseResponse: (status, headers) => ({
     id: headerOf(headers, "x-id"),
     sealed: headerOf(headers, "x-seal") !== undefined,
-    notRun: headerOf(headers, "x-not-run") !== undefined,
+    notExecuted: headerOf(headers, "x-not-run") !== undefined,
     otherRunner: status === 421,
     encoded: false,
     load: undefined,
