--- a/packages/router/src/request/call.ts
+++ b/packages/router/src/request/call.ts
@@ -56,7 +56,7 @@
   /** Whether the runner says that the request has not run. */
   readonly notExecuted: boolean;
   /** Whether the address now belongs to another runner. */
-  readonly otherRunner: boolean;
+  readonly misdirected: boolean;
   /** Whether the body has an encoding, which no runner applies. */
   readonly encoded: boolean;
   readonly load: ReportedLoad | undefined;
--- a/packages/router/src/request/runner_tries.ts
+++ b/packages/router/src/request/runner_tries.ts
@@ -155,7 +155,7 @@
         if (sent.head.load !== undefined) {
           load.recordReport(sent.head.load, now);
         }
-        if (sent.head.otherRunner) load.recordFailure(now);
+        if (sent.head.misdirected) load.recordFailure(now);
         return again(
           "refused by runner",
           () => this.#own.refusal("runner_full"),
@@ -175,7 +175,7 @@
   /** Only the runner's own answer shows that it names no limit any more. */
   #hearLimit(head: ResponseHead, { attempt, sentAt }: TryParts): void {
     const silent = head.limit === undefined && !head.sealed;
-    if (silent || head.otherRunner) return;
+    if (silent || head.misdirected) return;
     const times = { sentAt, now: this.#daemon.now() };
     this.#daemon.limits.recordStated(attempt.runner.id, head.limit, times);
   }
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -67,7 +67,7 @@
     id: headerOf(headers, "x-id"),
     sealed: headerOf(headers, "x-seal") !== undefined,
     notExecuted: headerOf(headers, "x-not-run") !== undefined,
-    otherRunner: status === 421,
+    misdirected: status === 421,
     encoded: false,
     load: undefined,
     limit: limitIn(headerOf(headers, "x-limit")),
