--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -5,7 +5,7 @@
  */
 import type { EventLog } from "./event_log.ts";
 import type { LeaderLease } from "./leader_lease.ts";
-import type { LeaderWork, UsageReport } from "./leader_record.ts";
+import type { LeaderState, UsageReport } from "./leader_record.ts";
 import type { RequestMetrics } from "./metrics.ts";
 import { OrderDesk } from "./order_desk.ts";
 import { pause } from "./pause.ts";
@@ -160,7 +160,7 @@
   }
 
   /** What is to be written besides a renewal. */
-  #decide(): LeaderWork | undefined {
+  #decide(): LeaderState | undefined {
     const { lease, usage, log, metrics, steady } = this.#options;
     let { work } = lease;
     const sources = this.#sources();
@@ -184,7 +184,7 @@
     return work === lease.work ? undefined : work;
   }
 
-  #checkpointed(work: LeaderWork): LeaderWork {
+  #checkpointed(work: LeaderState): LeaderState {
     const sources = this.#sources();
     if (sources === undefined) return work;
     const checkpoint = checkpointOf(work, sources);
--- a/packages/router/src/process/leader_lease.ts
+++ b/packages/router/src/process/leader_lease.ts
@@ -15,8 +15,8 @@
 import { NO_WORK } from "./leader_record.ts";
 import type {
   LeaderRecord,
+  LeaderState,
   LeaderStore,
-  LeaderWork,
   RecordWritten,
   StoredRecord,
 } from "./leader_record.ts";
@@ -55,7 +55,7 @@
   /** When the last write that is known to stand was sent. */
   renewedAt: Moment;
   revision: number;
-  work: LeaderWork;
+  work: LeaderState;
 }
 
 /** A write whose answer was lost. */
@@ -115,7 +115,7 @@
   }
 
   /** What was decided, as it stands in the store. */
-  get work(): LeaderWork {
+  get work(): LeaderState {
     return this.#term?.work ?? NO_WORK;
   }
 
@@ -185,7 +185,7 @@
    *
    * @returns whether it stands in the store.
    */
-  async update(work: LeaderWork): Promise<boolean> {
+  async update(work: LeaderState): Promise<boolean> {
     if (this.#unsure !== undefined && !await this.#resolve()) return false;
     const term = this.#term;
     if (term === undefined || this.#remainingMs() <= 0) return false;
@@ -257,7 +257,7 @@
     return Math.max(now, since + this.#leaseMs) + SETTLE_MS;
   }
 
-  #record(fencing: number, work: LeaderWork): LeaderRecord {
+  #record(fencing: number, work: LeaderState): LeaderRecord {
     this.#attempts += 1;
     return {
       holding: {
@@ -315,7 +315,7 @@
   #stands(term: Term, written: {
     readonly revision: number;
     readonly sentAt: Moment;
-    readonly work: LeaderWork;
+    readonly work: LeaderState;
   }): void {
     term.revision = written.revision;
     term.renewedAt = written.sentAt;
--- a/packages/router/src/process/leader_record.ts
+++ b/packages/router/src/process/leader_record.ts
@@ -26,7 +26,7 @@
 }
 
 /** What a leader hands on to the next one. */
-export interface LeaderWork {
+export interface LeaderState {
   /** First window without a report; none before the first leader's look. */
   readonly nextWindow: number | undefined;
   /** The last windows that have a report, in their order. */
@@ -39,7 +39,7 @@
 /** The object in the store: who leads, and what was decided. */
 export interface LeaderRecord {
   readonly holding: LeaseHolding;
-  readonly work: LeaderWork;
+  readonly work: LeaderState;
 }
 
 /** A leader's record at a revision of the store. */
@@ -66,7 +66,7 @@
 }
 
 /** Work of a fleet that nobody has led yet. */
-export const NO_WORK: LeaderWork = {
+export const NO_WORK: LeaderState = {
   nextWindow: undefined,
   reports: [],
   checkpoint: { lives: [], windows: [] },
--- a/packages/router/src/process/usage_reports.ts
+++ b/packages/router/src/process/usage_reports.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type {
-  LeaderWork,
+  LeaderState,
   UsageCheckpoint,
   UsageReport,
 } from "./leader_record.ts";
@@ -45,7 +45,7 @@
 
 /** A decision on usage, and windows for which it comes too late. */
 export interface UsageDecision {
-  readonly work: LeaderWork;
+  readonly work: LeaderState;
   readonly fixed: readonly UsageReport[];
   readonly missed: readonly number[];
 }
@@ -62,7 +62,7 @@
  * ```
  */
 export function fixReports(
-  work: LeaderWork,
+  work: LeaderState,
   sources: UsageSources,
 ): UsageDecision | undefined {
   const { windowMs, delayMs } = sources.timing;
@@ -93,7 +93,7 @@
  * all daemons.
  */
 export function checkpointOf(
-  work: LeaderWork,
+  work: LeaderState,
   { meter, timing, now }: UsageSources,
 ): UsageCheckpoint {
   const present = Math.floor(now / timing.windowMs);
@@ -114,9 +114,9 @@
  * is to be done for any more.
  */
 export function withAccepted(
-  work: LeaderWork,
+  work: LeaderState,
   accepted: ReadonlySet<number>,
-): LeaderWork {
+): LeaderState {
   const reports = work.reports.map((each) =>
     accepted.has(each.window) ? { ...each, accepted: true } : each
   );
--- a/packages/router/src/process/usage_reports_test.ts
+++ b/packages/router/src/process/usage_reports_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { NO_WORK } from "./leader_record.ts";
-import type { LeaderWork } from "./leader_record.ts";
+import type { LeaderState } from "./leader_record.ts";
 import { UsageMeter } from "./usage_meter.ts";
 import { checkpointOf, fixReports, withAccepted } from "./usage_reports.ts";
 
@@ -12,7 +12,7 @@
   return new UsageMeter({ life, windowMs, now: () => clock.now });
 }
 
-function workFrom(nextWindow: number): LeaderWork {
+function workFrom(nextWindow: number): LeaderState {
   return { ...NO_WORK, nextWindow };
 }
 
