--- a/packages/router/src/process/restart_watch.ts
+++ b/packages/router/src/process/restart_watch.ts
@@ -23,7 +23,7 @@
  * cut off from it, a runner that crashed and came back under its name would keep
  * drawing prompts that it no longer holds, for up to half a minute.
  */
-export class RestartWatch {
+export class RestartDetector {
   readonly #memory: EngineCache;
   readonly #directory: RunnerDirectory;
   readonly #log: EventLog;
--- a/packages/router/src/process/restart_watch_test.ts
+++ b/packages/router/src/process/restart_watch_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { SILENT_LOG } from "../../tests/fixtures.ts";
-import { RestartWatch } from "./restart_watch.ts";
+import { RestartDetector } from "./restart_watch.ts";
 import { runnerId } from "./runner.ts";
 import { RunnerDirectory } from "./runner_directory.ts";
 import type { Runner } from "./runner.ts";
@@ -30,7 +30,7 @@
   const directory = new RunnerDirectory();
   directory.replace({ revision: 1, runners: [runner] });
   let asked = 0;
-  const watch = new RestartWatch({
+  const watch = new RestartDetector({
     held: () => Promise.resolve({ startedAtMs: undefined, parts: [] }),
     startedAt() {
       const answer = answers[asked++];
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -27,7 +27,7 @@
 import { Pulse } from "./process/pulse.ts";
 import { PerService } from "./process/per_service.ts";
 import { PrefixIndex } from "./process/prefix_record.ts";
-import { RestartWatch } from "./process/restart_watch.ts";
+import { RestartDetector } from "./process/restart_watch.ts";
 import { RetryBudget } from "./process/retry_budget.ts";
 import { RunnerDirectory } from "./process/runner_directory.ts";
 import type { Runner } from "./process/runner.ts";
@@ -104,7 +104,7 @@
   readonly #neighbourhood: FleetSync;
   readonly #leadership: Leadership;
   readonly #survey: CacheSurvey;
-  readonly #restarts: RestartWatch;
+  readonly #restarts: RestartDetector;
   readonly #crashWatch: CrashWatch;
   #surveyed = false;
   #statusServers: readonly Server[] = [];
@@ -171,7 +171,7 @@
       log,
       mayAsk,
     });
-    this.#restarts = new RestartWatch(platform.memory, {
+    this.#restarts = new RestartDetector(platform.memory, {
       directory: this.#directory,
       log,
       mayAsk,
