--- a/packages/router/src/process/restart_watch.ts
+++ b/packages/router/src/process/restart_watch.ts
@@ -50,7 +50,7 @@
    * A connection to the runner has broken while it had a request. Does nothing
    * for runners that do not tell when they began.
    */
-  async suspect(runner: Runner): Promise<void> {
+  async check(runner: Runner): Promise<void> {
     if (runner.startedAtMs === undefined || this.#asked.has(runner.id)) return;
     this.#asked.add(runner.id);
     try {
--- a/packages/router/src/process/restart_watch_test.ts
+++ b/packages/router/src/process/restart_watch_test.ts
@@ -53,8 +53,8 @@
     new Error("refused"),
     200,
   ]);
-  const asking = watch.suspect(runner);
-  void watch.suspect(runner);
+  const asking = watch.check(runner);
+  void watch.check(runner);
   for (let second = 0; second < 3; second++) {
     await new Promise((resolve) => setImmediate(resolve));
     t.mock.timers.tick(1_000);
@@ -67,14 +67,14 @@
 test("a runner that does not tell when it began is not asked", async () => {
   const runner = life(undefined);
   const { watch, asked } = watchOver(runner, [200]);
-  await watch.suspect(runner);
+  await watch.check(runner);
   assert.equal(asked(), 0);
 });
 
 test("a runner that goes on is still the same", async () => {
   const runner = life(100);
   const { directory, watch } = watchOver(runner, [100]);
-  await watch.suspect(runner);
+  await watch.check(runner);
   assert.equal(directory.ready("s")[0]?.id, runner.id);
 });
 
@@ -83,7 +83,7 @@
   t.mock.timers.enable({ apis: ["setTimeout"] });
   let mayAsk = false;
   const { watch, asked } = watchOver(life(100), [100], () => mayAsk);
-  const watched = watch.suspect(life(100));
+  const watched = watch.check(life(100));
   assert.equal(asked(), 0);
   mayAsk = true;
   t.mock.timers.tick(1_000);
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -232,7 +232,7 @@
   reportBrokenConnection(runner: Runner, run: BrokenRun): void {
     this.#crashWatch.recordBrokenRun(runner, run);
     if (this.#table?.service(runner.service)?.engine === undefined) return;
-    void this.#restarts.suspect(runner);
+    void this.#restarts.check(runner);
   }
 
   requestStarted(
