--- a/packages/router/src/connection/membership_counts.ts
+++ b/packages/router/src/connection/membership_counts.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { RecentMost } from "../process/recent_most.ts";
+import { SlidingMax } from "../process/recent_most.ts";
 import type { Members } from "./peer_message.ts";
 
 /**
@@ -22,8 +22,8 @@
 /** Adds up for how many daemons each neighbour speaks. */
 export class MembershipCounts {
   readonly #told = new Map<string, Members>();
-  readonly #fleet = new RecentMost(FLEET_MS);
-  readonly #domain = new RecentMost(DOMAIN_MS);
+  readonly #fleet = new SlidingMax(FLEET_MS);
+  readonly #domain = new SlidingMax(DOMAIN_MS);
 
   /**
    * Takes what a neighbour tells.
--- a/packages/router/src/process/recent_most.ts
+++ b/packages/router/src/process/recent_most.ts
@@ -9,7 +9,7 @@
  * from neighbours and falls for some seconds when one of them is lost; what is
  * divided by it would be given away several times over.
  */
-export class RecentMost {
+export class SlidingMax {
   readonly #spanMs: number;
   #since = -Infinity;
   #now = 0;
