--- a/packages/router/src/connection/membership_counts.ts
+++ b/packages/router/src/connection/membership_counts.ts
@@ -57,8 +57,8 @@
   recent(now: number): Members {
     const { fleet, domain } = this.sumBy(() => true);
     return {
-      fleet: this.#fleet.of(fleet, now),
-      domain: this.#domain.of(domain, now),
+      fleet: this.#fleet.update(fleet, now),
+      domain: this.#domain.update(domain, now),
     };
   }
 }
--- a/packages/router/src/process/recent_most.ts
+++ b/packages/router/src/process/recent_most.ts
@@ -21,7 +21,7 @@
   }
 
   /** Takes a value, and tells the largest one. */
-  of(value: number, now: number): number {
+  update(value: number, now: number): number {
     const age = now - this.#since;
     if (age >= this.#spanMs) {
       this.#before = age < 2 * this.#spanMs ? this.#now : 0;
