--- a/packages/router/src/process/autoscaler.ts
+++ b/packages/router/src/process/autoscaler.ts
@@ -9,7 +9,7 @@
 import type { RunnerLoads } from "./runner_loads.ts";
 import { RunnerNeed } from "./runner_need.ts";
 import type { RunnersNeeded } from "./runner_need.ts";
-import type { RunnerDemand, RunnerOrder } from "./runner_order.ts";
+import type { RunnerOrder, ScalingPolicy } from "./runner_order.ts";
 import { planRunners } from "./runner_plan.ts";
 import type { DomainPlan, DomainState } from "./runner_plan.ts";
 import { findingOn } from "./scaling.ts";
@@ -53,7 +53,7 @@
 }
 
 /** Decides how many runners each service has. */
-export class Autoscaler implements RunnerDemand {
+export class Autoscaler implements ScalingPolicy {
   readonly #sources: AutoscalerSources;
   readonly #states = new Map<string, ServiceState>();
   /** Until when, in steady ms, a place is taken to have no preemptible runners. */
--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -10,7 +10,7 @@
 import { OrderDesk } from "./order_desk.ts";
 import { pause } from "./pause.ts";
 import type { CallEnd, PlatformApi, PlatformCall } from "./platform_api.ts";
-import type { RunnerDemand } from "./runner_order.ts";
+import type { ScalingPolicy } from "./runner_order.ts";
 import { checkpointOf, fixReports, withAccepted } from "./usage_reports.ts";
 import type { UsageSources, UsageTiming } from "./usage_reports.ts";
 import type { UsageMeter } from "./usage_meter.ts";
@@ -50,7 +50,7 @@
     readonly complete: () => boolean;
   } | undefined;
   /** Absent where nobody takes orders. */
-  readonly demand: RunnerDemand | undefined;
+  readonly demand: ScalingPolicy | undefined;
   /** Whether this daemon should lead if nobody else does. */
   readonly eligible: () => boolean;
   /** Told when others should hear of the lease. */
--- a/packages/router/src/process/order_desk.ts
+++ b/packages/router/src/process/order_desk.ts
@@ -6,7 +6,7 @@
 import type { EventLog } from "./event_log.ts";
 import type { CallEnd } from "./platform_api.ts";
 import { isSamePool } from "./runner_order.ts";
-import type { RunnerDemand, RunnerOrder } from "./runner_order.ts";
+import type { RunnerOrder, ScalingPolicy } from "./runner_order.ts";
 
 /** Milliseconds until a failed order is sent again; doubled up to the longest. */
 const FIRST_RETRY_MS = 400;
@@ -22,11 +22,11 @@
 
 /** Keeps what became of the orders of one term. */
 export class OrderDesk {
-  readonly #demand: RunnerDemand | undefined;
+  readonly #demand: ScalingPolicy | undefined;
   readonly #log: EventLog;
   #sent: readonly Sending[] = [];
 
-  constructor(demand: RunnerDemand | undefined, log: EventLog) {
+  constructor(demand: ScalingPolicy | undefined, log: EventLog) {
     this.#demand = demand;
     this.#log = log;
   }
--- a/packages/router/src/process/order_desk_test.ts
+++ b/packages/router/src/process/order_desk_test.ts
@@ -3,7 +3,7 @@
 import { SILENT_LOG } from "../../tests/fixtures.ts";
 import { OrderDesk } from "./order_desk.ts";
 import type { CallEnd } from "./platform_api.ts";
-import type { RunnerDemand, RunnerOrder } from "./runner_order.ts";
+import type { RunnerOrder, ScalingPolicy } from "./runner_order.ts";
 
 function order(fields: Partial<RunnerOrder> = {}): RunnerOrder {
   return {
@@ -18,7 +18,7 @@
 /** A desk for what is wanted, and the orders of which there were none left. */
 function deskFor(wanted: readonly RunnerOrder[]) {
   const noneLeft: RunnerOrder[] = [];
-  const demand: RunnerDemand = {
+  const demand: ScalingPolicy = {
     wanted: () => wanted,
     noneLeft: (each) => void noneLeft.push(each),
   };
--- a/packages/router/tests/leader_test.ts
+++ b/packages/router/tests/leader_test.ts
@@ -10,7 +10,10 @@
   PlatformApi,
   PlatformCall,
 } from "../src/process/platform_api.ts";
-import type { RunnerDemand, RunnerOrder } from "../src/process/runner_order.ts";
+import type {
+  RunnerOrder,
+  ScalingPolicy,
+} from "../src/process/runner_order.ts";
 import { UsageMeter } from "../src/process/usage_meter.ts";
 import { FakeClock } from "./fake_clock.ts";
 import { MemoryLeaderStore, SILENT_LOG } from "./fixtures.ts";
@@ -59,7 +62,7 @@
   readonly clock: FakeClock;
   readonly store = new MemoryLeaderStore();
   readonly api = new PlayedApi();
-  demand: RunnerDemand | undefined;
+  demand: ScalingPolicy | undefined;
 
   constructor(t: TestContext) {
     this.clock = new FakeClock(t);
