--- a/packages/router/src/process/autoscaler.ts
+++ b/packages/router/src/process/autoscaler.ts
@@ -66,7 +66,7 @@
     this.#sources = sources;
   }
 
-  wanted(
+  desiredOrders(
     orders: readonly RunnerOrder[],
     now: number,
   ): readonly RunnerOrder[] {
--- a/packages/router/src/process/autoscaler_test.ts
+++ b/packages/router/src/process/autoscaler_test.ts
@@ -65,7 +65,7 @@
   /** Looks from a moment on for some seconds, by the leader's steps. */
   look(from: number, to: number): void {
     for (let now = from; now <= to; now += 200) {
-      const wanted = this.scaler.wanted(this.orders, now);
+      const wanted = this.scaler.desiredOrders(this.orders, now);
       if (wanted.length > 0) this.orders = wanted;
     }
   }
--- a/packages/router/src/process/order_desk.ts
+++ b/packages/router/src/process/order_desk.ts
@@ -41,7 +41,7 @@
     orders: readonly RunnerOrder[],
     now: number,
   ): readonly RunnerOrder[] | undefined {
-    const wanted = this.#demand?.wanted(orders, now) ?? [];
+    const wanted = this.#demand?.desiredOrders(orders, now) ?? [];
     const changed = wanted.filter((each) =>
       runnersOf(orders, each) !== each.runners
     );
--- a/packages/router/src/process/order_desk_test.ts
+++ b/packages/router/src/process/order_desk_test.ts
@@ -19,7 +19,7 @@
 function deskFor(wanted: readonly RunnerOrder[]) {
   const noneLeft: RunnerOrder[] = [];
   const demand: ScalingPolicy = {
-    wanted: () => wanted,
+    desiredOrders: () => wanted,
     noneLeft: (each) => void noneLeft.push(each),
   };
   return { desk: new OrderDesk(demand, SILENT_LOG), noneLeft };
--- a/packages/router/src/process/runner_order.ts
+++ b/packages/router/src/process/runner_order.ts
@@ -20,7 +20,10 @@
 /** How many runners are wanted now. */
 export interface ScalingPolicy {
   /** The orders that fit what is known; those that fit already may be left out. */
-  wanted(orders: readonly RunnerOrder[], now: number): readonly RunnerOrder[];
+  desiredOrders(
+    orders: readonly RunnerOrder[],
+    now: number,
+  ): readonly RunnerOrder[];
   /** There are no runners of an order to be had. */
   noneLeft(order: RunnerOrder, now: number): void;
 }
