--- a/packages/router/src/process/autoscaler.ts
+++ b/packages/router/src/process/autoscaler.ts
@@ -85,7 +85,7 @@
     });
   }
 
-  noneLeft({ service, failureDomain }: RunnerOrder, now: number): void {
+  recordNoneLeft({ service, failureDomain }: RunnerOrder, now: number): void {
     this.#depletedUntil.set(
       placeOf(service, failureDomain),
       now + NONE_LEFT_MS,
--- a/packages/router/src/process/autoscaler_test.ts
+++ b/packages/router/src/process/autoscaler_test.ts
@@ -143,7 +143,7 @@
   const played = new Played(preemptible(8));
   played.look(0, 4_000);
   const [order] = played.orders;
-  played.scaler.noneLeft(order!, 4_000);
+  played.scaler.recordNoneLeft(order!, 4_000);
   played.look(4_200, 4_200);
   assert.match(played.shown, /^a:8\+/);
   played.look(7_200, 7_400);
--- a/packages/router/src/process/order_desk.ts
+++ b/packages/router/src/process/order_desk.ts
@@ -84,7 +84,7 @@
       ...this.#sent.filter((each) => !isSamePool(each.order, order)),
       { order, accepted, retryMs, notBefore },
     ];
-    if (end.kind === "none-left") this.#demand?.noneLeft(order, sent.now);
+    if (end.kind === "none-left") this.#demand?.recordNoneLeft(order, sent.now);
     this.#log.event("runners_ordered", {
       service: order.service,
       failure_domain: order.failureDomain,
--- a/packages/router/src/process/order_desk_test.ts
+++ b/packages/router/src/process/order_desk_test.ts
@@ -20,7 +20,7 @@
   const noneLeft: RunnerOrder[] = [];
   const demand: ScalingPolicy = {
     desiredOrders: () => wanted,
-    noneLeft: (each) => void noneLeft.push(each),
+    recordNoneLeft: (each) => void noneLeft.push(each),
   };
   return { desk: new OrderDesk(demand, SILENT_LOG), noneLeft };
 }
--- a/packages/router/src/process/runner_order.ts
+++ b/packages/router/src/process/runner_order.ts
@@ -25,7 +25,7 @@
     now: number,
   ): readonly RunnerOrder[];
   /** There are no runners of an order to be had. */
-  noneLeft(order: RunnerOrder, now: number): void;
+  recordNoneLeft(order: RunnerOrder, now: number): void;
 }
 
 /** Whether both name the same place and kind. */
--- a/packages/router/tests/leader_test.ts
+++ b/packages/router/tests/leader_test.ts
@@ -168,7 +168,7 @@
     runners: 5,
   };
   let wanted: readonly RunnerOrder[] = [order];
-  played.demand = { desiredOrders: () => wanted, noneLeft() {} };
+  played.demand = { desiredOrders: () => wanted, recordNoneLeft() {} };
   played.start("a");
   await played.clock.pass(BEGUN_MS + 5_000);
   assert.deepEqual(played.api.orders, [order]);
