--- a/packages/router/src/process/autoscaler.ts
+++ b/packages/router/src/process/autoscaler.ts
@@ -7,7 +7,7 @@
 import { groupBy } from "./group.ts";
 import type { Runner } from "./runner.ts";
 import type { RunnerLoads } from "./runner_loads.ts";
-import { RunnerNeed } from "./runner_need.ts";
+import { DemandEstimator } from "./runner_need.ts";
 import type { RunnersNeeded } from "./runner_need.ts";
 import type { RunnerOrder, ScalingPolicy } from "./runner_order.ts";
 import { planRunners } from "./runner_plan.ts";
@@ -47,7 +47,7 @@
 
 /** What is kept of one service. */
 interface ServiceState {
-  readonly need: RunnerNeed;
+  readonly need: DemandEstimator;
   /** The last plan, as it was logged. */
   logged: string;
 }
@@ -179,7 +179,7 @@
     if (known !== undefined) return known;
     const standing = domains
       .reduce((sum, each) => sum + each.preemptible + each.regular, 0);
-    const need = new RunnerNeed(neededBefore(orders, domains) ?? standing);
+    const need = new DemandEstimator(neededBefore(orders, domains) ?? standing);
     const state = { need, logged: "" };
     this.#states.set(service, state);
     return state;
--- a/packages/router/src/process/runner_need.ts
+++ b/packages/router/src/process/runner_need.ts
@@ -53,7 +53,7 @@
  * need.runners(now).most; // 12 and, if this goes on, 15
  * ```
  */
-export class RunnerNeed {
+export class DemandEstimator {
   readonly #age = new Decay(SEEN_MS);
   readonly #mostAge = new Decay(MOST_MS);
   #busy = 0;
--- a/packages/router/src/process/runner_need_test.ts
+++ b/packages/router/src/process/runner_need_test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { RunnerNeed } from "./runner_need.ts";
+import { DemandEstimator } from "./runner_need.ts";
 
 /** Sees the same for some seconds; returns what is needed then. */
-function seeFor(need: RunnerNeed, busy: number, span: {
+function seeFor(need: DemandEstimator, busy: number, span: {
   readonly from: number;
   readonly to: number;
 }) {
@@ -12,18 +12,18 @@
 }
 
 test("before anything was seen, what stands is needed", () => {
-  const need = new RunnerNeed(12);
+  const need = new DemandEstimator(12);
   assert.deepEqual(need.runners(1_000), { now: 0, most: 12 });
 });
 
 test("more are needed while those that there are have work all the time", () => {
-  const need = new RunnerNeed(12);
+  const need = new DemandEstimator(12);
   const { now, most } = seeFor(need, 12, { from: 0, to: 8_000 });
   assert.ok(now >= 20 && most >= 20, `${now}, ${most}`);
 });
 
 test("a burst that ends keeps its runners for the next one", () => {
-  const need = new RunnerNeed(12);
+  const need = new DemandEstimator(12);
   const { most } = seeFor(need, 12, { from: 0, to: 9_000 });
   const after = seeFor(need, 2, { from: 9_000, to: 40_000 });
   assert.ok(after.now <= 6, `${after.now} now`);
@@ -31,13 +31,13 @@
 });
 
 test("what was needed long ago is needed no more", () => {
-  const need = new RunnerNeed(12);
+  const need = new DemandEstimator(12);
   const { most } = seeFor(need, 1, { from: 0, to: 1_200_000 });
   assert.ok(most <= 3, `${most}`);
 });
 
 test("a wave of some tenths does not change the number each time", () => {
-  const need = new RunnerNeed(4);
+  const need = new DemandEstimator(4);
   const seen = new Set<number>();
   for (let now = 0; now < 60_000; now += 200) {
     need.see(6 + Math.sin(now / 1_000), now);
