--- a/packages/router/src/process/autoscaler.ts
+++ b/packages/router/src/process/autoscaler.ts
@@ -109,7 +109,7 @@
     const state = this.#stateOf(name, domains, orders);
     const ready = runners.filter(({ draining }) => !draining);
     const busy = this.#busy(service, ready);
-    state.need.see(busy, now);
+    state.need.observe(busy, now);
     const needed = state.need.runners(now);
     const plan = planRunners(needed, scaling, domains);
     this.#logPlan(name, state, { needed, busy, ready: ready.length, plan });
--- a/packages/router/src/process/runner_need.ts
+++ b/packages/router/src/process/runner_need.ts
@@ -67,7 +67,7 @@
   }
 
   /** Takes how many runners have work now, with parts of others. */
-  see(busy: number, now: number): void {
+  observe(busy: number, now: number): void {
     const left = this.#age.left(now);
     this.#busy = left * this.#busy + (1 - left) * busy;
     this.#most = Math.max(this.#decayed(now), this.#busy / BUSY_SHARE);
--- a/packages/router/src/process/runner_need_test.ts
+++ b/packages/router/src/process/runner_need_test.ts
@@ -7,7 +7,7 @@
   readonly from: number;
   readonly to: number;
 }) {
-  for (let now = span.from; now < span.to; now += 200) need.see(busy, now);
+  for (let now = span.from; now < span.to; now += 200) need.observe(busy, now);
   return need.runners(span.to);
 }
 
@@ -40,7 +40,7 @@
   const need = new DemandEstimator(4);
   const seen = new Set<number>();
   for (let now = 0; now < 60_000; now += 200) {
-    need.see(6 + Math.sin(now / 1_000), now);
+    need.observe(6 + Math.sin(now / 1_000), now);
     if (now > 10_000) seen.add(need.runners(now).now);
   }
   assert.ok(seen.size <= 2, [...seen].join());
