--- a/packages/router/src/process/autoscaler.ts
+++ b/packages/router/src/process/autoscaler.ts
@@ -110,7 +110,7 @@
     const ready = runners.filter(({ draining }) => !draining);
     const busy = this.#busy(service, ready);
     state.need.observe(busy, now);
-    const needed = state.need.runners(now);
+    const needed = state.need.estimate(now);
     const plan = planRunners(needed, scaling, domains);
     this.#logPlan(name, state, { needed, busy, ready: ready.length, plan });
     return plan.flatMap((each) => ordersIn(name, each));
--- a/packages/router/src/process/runner_need.ts
+++ b/packages/router/src/process/runner_need.ts
@@ -74,7 +74,7 @@
   }
 
   /** Runners that are needed. */
-  runners(now: number): RunnersNeeded {
+  estimate(now: number): RunnersNeeded {
     this.#most = this.#decayed(now);
     return {
       now: this.#nowHeld.of(this.#busy / BUSY_SHARE),
--- a/packages/router/src/process/runner_need_test.ts
+++ b/packages/router/src/process/runner_need_test.ts
@@ -8,12 +8,12 @@
   readonly to: number;
 }) {
   for (let now = span.from; now < span.to; now += 200) need.observe(busy, now);
-  return need.runners(span.to);
+  return need.estimate(span.to);
 }
 
 test("before anything was seen, what stands is needed", () => {
   const need = new DemandEstimator(12);
-  assert.deepEqual(need.runners(1_000), { now: 0, most: 12 });
+  assert.deepEqual(need.estimate(1_000), { now: 0, most: 12 });
 });
 
 test("more are needed while those that there are have work all the time", () => {
@@ -41,7 +41,7 @@
   const seen = new Set<number>();
   for (let now = 0; now < 60_000; now += 200) {
     need.observe(6 + Math.sin(now / 1_000), now);
-    if (now > 10_000) seen.add(need.runners(now).now);
+    if (now > 10_000) seen.add(need.estimate(now).now);
   }
   assert.ok(seen.size <= 2, [...seen].join());
 });
