--- a/packages/router/src/connection/crash_detector_test.ts
+++ b/packages/router/src/connection/crash_detector_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { playRunner, SILENT_LOG, until } from "../../tests/fixtures.ts";
-import type { PlayedRunner } from "../../tests/fixtures.ts";
+import type { FakeRunner } from "../../tests/fixtures.ts";
 import { CrashRecord } from "../process/crash_record.ts";
 import type { Fields } from "../process/line.ts";
 import { CrashWatch } from "./crash_detector.ts";
@@ -23,7 +23,7 @@
   };
 }
 
-function breakTwo(watch: CrashWatch, { runner }: PlayedRunner): void {
+function breakTwo(watch: CrashWatch, { runner }: FakeRunner): void {
   watch.recordBrokenRun(runner, { fingerprint: "one", beganAt: 0 });
   watch.recordBrokenRun(runner, { fingerprint: "two", beganAt: 0 });
 }
--- a/packages/router/tests/crashing_fleet.ts
+++ b/packages/router/tests/crashing_fleet.ts
@@ -9,7 +9,7 @@
 import type { Runner } from "../src/process/runner.ts";
 import type { Route } from "../src/version/configuration.ts";
 import { answer, playRunner, until } from "./fixtures.ts";
-import type { PlayedRunner } from "./fixtures.ts";
+import type { FakeRunner } from "./fixtures.ts";
 import { LinkedRouters } from "./linked_routers.ts";
 
 /** Milliseconds from the arrival of the request until its runner ends. */
@@ -78,7 +78,7 @@
 
   async #enter(): Promise<void> {
     this.#names += 1;
-    const played: PlayedRunner = await playRunner(
+    const played: FakeRunner = await playRunner(
       this.#context,
       `r-${this.#names}`,
       (socket, text, id) => void this.#run(played, { socket, text, id }),
@@ -87,7 +87,7 @@
     this.linked.runners.set([...this.#listed.values()]);
   }
 
-  async #run(played: PlayedRunner, run: {
+  async #run(played: FakeRunner, run: {
     readonly socket: Socket;
     readonly text: string;
     readonly id: string;
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -252,7 +252,7 @@
 export type Play = (socket: Socket, request: string, id: string) => void;
 
 /** A runner that a test plays byte by byte. */
-export interface PlayedRunner {
+export interface FakeRunner {
   readonly runner: Runner;
   /** Texts of the requests that came. */
   readonly requests: string[];
@@ -267,7 +267,7 @@
   context: TestContext,
   id: string,
   play: Play,
-): Promise<PlayedRunner> {
+): Promise<FakeRunner> {
   const requests: string[] = [];
   const sockets = new Set<Socket>();
   const server = createServer((socket) => {
@@ -294,7 +294,7 @@
   await once(server, "listening");
   context.after(() => end());
   const { port } = server.address() as AddressInfo;
-  const played: PlayedRunner = {
+  const played: FakeRunner = {
     runner: {
       id,
       name: id,
@@ -401,7 +401,7 @@
 export async function routeTo(
   context: TestContext,
   route: Partial<Route>,
-  runners: readonly PlayedRunner[],
+  runners: readonly FakeRunner[],
   fields: Partial<Configuration> = {},
 ): Promise<Router> {
   const router = await startRouter(context, {
--- a/packages/router/tests/restart_test.ts
+++ b/packages/router/tests/restart_test.ts
@@ -14,11 +14,11 @@
   testRoute,
   until,
 } from "./fixtures.ts";
-import type { PlayedRunner } from "./fixtures.ts";
+import type { FakeRunner } from "./fixtures.ts";
 
 const PROMPT = [{ id: "brief", tokens: 13_000 }, { id: "own", tokens: 10 }];
 
-function lifeOf(played: PlayedRunner, startedAtMs: number) {
+function lifeOf(played: FakeRunner, startedAtMs: number) {
   const { runner } = played;
   return { ...runner, id: runnerId(runner.name, startedAtMs), startedAtMs };
 }
