--- a/packages/router/src/connection/crash_detector_test.ts
+++ b/packages/router/src/connection/crash_detector_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { playRunner, SILENT_LOG, until } from "../../tests/fixtures.ts";
+import { SILENT_LOG, startFakeRunner, until } from "../../tests/fixtures.ts";
 import type { FakeRunner } from "../../tests/fixtures.ts";
 import { CrashRecord } from "../process/crash_record.ts";
 import type { Fields } from "../process/line.ts";
@@ -29,7 +29,7 @@
 }
 
 test("a runner that ended is found out once, with all that was there", async (t) => {
-  const played = await playRunner(t, "i-1", () => {});
+  const played = await startFakeRunner(t, "i-1", () => {});
   const { watch: watched, found } = watch();
   await played.end();
   breakTwo(watched, played);
@@ -40,7 +40,7 @@
 });
 
 test("a runner that broke off answers and lives has not ended", async (t) => {
-  const played = await playRunner(t, "i-1", () => {});
+  const played = await startFakeRunner(t, "i-1", () => {});
   const { watch: watched, found } = watch();
   breakTwo(watched, played);
   await until(() => found.length > 0);
--- a/packages/router/tests/crashing_fleet.ts
+++ b/packages/router/tests/crashing_fleet.ts
@@ -8,7 +8,7 @@
 import { setTimeout as pause } from "node:timers/promises";
 import type { Runner } from "../src/process/runner.ts";
 import type { Route } from "../src/version/configuration.ts";
-import { answer, playRunner, until } from "./fixtures.ts";
+import { answer, startFakeRunner, until } from "./fixtures.ts";
 import type { FakeRunner } from "./fixtures.ts";
 import { LinkedRouters } from "./linked_routers.ts";
 
@@ -78,7 +78,7 @@
 
   async #enter(): Promise<void> {
     this.#names += 1;
-    const played: FakeRunner = await playRunner(
+    const played: FakeRunner = await startFakeRunner(
       this.#context,
       `r-${this.#names}`,
       (socket, text, id) => void this.#run(played, { socket, text, id }),
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -263,7 +263,7 @@
 }
 
 /** Opens a runner. */
-export async function playRunner(
+export async function startFakeRunner(
   context: TestContext,
   id: string,
   play: Play,
--- a/packages/router/tests/forwarding_test.ts
+++ b/packages/router/tests/forwarding_test.ts
@@ -6,9 +6,9 @@
   answer,
   call,
   chunk,
-  playRunner,
   routeTo,
   SettableFeed,
+  startFakeRunner,
   startRouter,
   streamHead,
   testConfiguration,
@@ -17,7 +17,7 @@
 } from "./fixtures.ts";
 
 test("method, path, query, body and end-to-end headers pass unchanged", async (t) => {
-  const runner = await playRunner(t, "r-1", (socket, _, id) => {
+  const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     socket.write(answer(id, "done", { headers: "X-Own: 1\r\n" }));
   });
   const router = await routeTo(t, {}, [runner]);
@@ -43,7 +43,7 @@
 // A caller sends the header that names its workspace itself. If it passed, the
 // runner would work for a workspace whose key the caller does not hold.
 test("a caller cannot name its workspace by itself", async (t) => {
-  const runner = await playRunner(t, "r-1", (socket, _, id) => {
+  const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     socket.write(answer(id, "done"));
   });
   const router = await routeTo(t, { anonymous: false }, [runner], {
@@ -94,12 +94,12 @@
 // second time, a job card would go out twice; told "not run", the caller would
 // send it again itself.
 test("a request that may have run is neither repeated nor said not to have run", async (t) => {
-  const first = await playRunner(
+  const first = await startFakeRunner(
     t,
     "r-1",
     (socket) => socket.resetAndDestroy(),
   );
-  const second = await playRunner(
+  const second = await startFakeRunner(
     t,
     "r-2",
     (socket) => socket.resetAndDestroy(),
@@ -111,12 +111,12 @@
 });
 
 test("an idempotent request goes to a second runner when the first breaks off", async (t) => {
-  const broken = await playRunner(
+  const broken = await startFakeRunner(
     t,
     "r-1",
     (socket) => socket.resetAndDestroy(),
   );
-  const sound = await playRunner(t, "r-2", (socket, _, id) => {
+  const sound = await startFakeRunner(t, "r-2", (socket, _, id) => {
     socket.write(answer(id, "done"));
   });
   const router = await routeTo(t, {
@@ -130,7 +130,7 @@
 // caller gets a runner's own answer, not one that the router made up.
 test("the runner's own failure stands when no other does better", async (t) => {
   const play = (status: string) =>
-    playRunner(t, status, (socket, _, id) => {
+    startFakeRunner(t, status, (socket, _, id) => {
       socket.write(answer(id, "failed", { status: "500 Error" }));
     });
   const router = await routeTo(t, {
@@ -150,7 +150,7 @@
 test("without a repeat left, the runner's own failure reaches the caller", async (t) => {
   const runners = await Promise.all(
     ["r-1", "r-2"].map((id) =>
-      playRunner(t, id, (socket, _, tryId) => {
+      startFakeRunner(t, id, (socket, _, tryId) => {
         socket.write(answer(tryId, "failed", { status: "500 Error" }));
       })
     ),
@@ -175,7 +175,7 @@
 });
 
 test("a runner's refusal becomes a 503 with a time to come back", async (t) => {
-  const full = await playRunner(t, "r-1", (socket, _, id) => {
+  const full = await startFakeRunner(t, "r-1", (socket, _, id) => {
     const headers = "X-Not-Run: 1\r\n";
     socket.write(answer(id, "", { status: "503 Full", headers }));
   });
@@ -188,7 +188,7 @@
 // On a kept connection, a second answer to the request before arrives where the
 // next answer is due. Passed on, a caller would get another caller's answer.
 test("an answer to another request is not passed on", async (t) => {
-  const runner = await playRunner(t, "r-1", (socket) => {
+  const runner = await startFakeRunner(t, "r-1", (socket) => {
     socket.write(answer("another", "not yours"));
   });
   const router = await routeTo(t, {}, [runner]);
@@ -197,7 +197,7 @@
 });
 
 test("a success that the runner does not vouch for is not passed on", async (t) => {
-  const runner = await playRunner(t, "r-1", (socket, _, id) => {
+  const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     socket.write(
       `HTTP/1.1 200 OK\r\nX-Id: ${id}\r\nContent-Length: 1\r\n\r\nx`,
     );
@@ -209,7 +209,7 @@
 // An answer has no length and its connection is reset after a part. Node ends
 // such an answer as if it were whole, and the caller would take the part for it.
 test("a reset answer without length is not taken as whole", async (t) => {
-  const runner = await playRunner(t, "r-1", (socket, _, id) => {
+  const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     const head = `HTTP/1.1 200 OK\r\nX-Id: ${id}\r\nX-Seal: s\r\n\r\n`;
     socket.write(`${head}part`);
     setTimeout(() => socket.resetAndDestroy(), 20);
@@ -221,7 +221,7 @@
 // An answer has no length and ends with its connection. Whether it is whole
 // only its bytes can tell; given a length, a part would look vouched for.
 test("an answer without length goes on without length", async (t) => {
-  const runner = await playRunner(t, "r-1", (socket, _, id) => {
+  const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     socket.end(`HTTP/1.1 200 OK\r\nX-Id: ${id}\r\nX-Seal: s\r\n\r\nall`);
   });
   const router = await routeTo(t, {}, [runner]);
@@ -236,7 +236,7 @@
 // event once and whole, though the second runner repeats the first one.
 test("a resumable stream goes on at another runner, each event once", async (t) => {
   const play = (id: string) =>
-    playRunner(t, id, (socket, request, tryId) => {
+    startFakeRunner(t, id, (socket, request, tryId) => {
       if (!request.includes("Last-Event-Id")) {
         socket.write(streamHead(tryId) + chunk("id: 1\ndata: a\n\nid: 2\nda"));
         return void setTimeout(() => socket.resetAndDestroy(), 20);
@@ -259,7 +259,7 @@
 });
 
 test("a stream that may not be resumed does not end as if complete", async (t) => {
-  const runner = await playRunner(t, "r-1", (socket, _, id) => {
+  const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     socket.write(streamHead(id) + chunk("id: 1\ndata: a\n\n"));
     setTimeout(() => socket.resetAndDestroy(), 20);
   });
@@ -270,14 +270,14 @@
 // A runner never answers. The caller gets its final answer at the timeout of
 // the route, and as the request may have run, not one that says it has not.
 test("a silent runner ends in 504 at the route's timeout", async (t) => {
-  const runner = await playRunner(t, "r-1", () => {});
+  const runner = await startFakeRunner(t, "r-1", () => {});
   const router = await routeTo(t, { timeoutMs: 100 }, [runner]);
   assert.equal((await call(router)).status, 504);
   await until(() => runner.closed === 1);
 });
 
 test("the runner's work ends when the caller leaves", async (t) => {
-  const runner = await playRunner(t, "r-1", () => {});
+  const runner = await startFakeRunner(t, "r-1", () => {});
   const router = await routeTo(t, {}, [runner]);
   const socket = connect(router.callersPort, "127.0.0.1");
   socket.write("GET / HTTP/1.1\r\nHost: test\r\nX-Id: a\r\n\r\n");
@@ -289,7 +289,7 @@
 // A runner at the address is another one than the list says: it refuses by 421
 // and has run nothing, so the caller may come back.
 test("a request that met another runner at the address is said not to have run", async (t) => {
-  const runner = await playRunner(t, "r-1", (socket, _, id) => {
+  const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     const headers = "X-Not-Run: 1\r\n";
     socket.write(answer(id, "", { status: "421 Other", headers }));
   });
@@ -300,7 +300,7 @@
 // A caller sends the head of a request and half of its body, then nothing. It
 // gets its final answer at the route's timeout, and nothing reaches a runner.
 test("a body that does not come ends in 408 at the route's timeout", async (t) => {
-  const runner = await playRunner(t, "r-1", () => {});
+  const runner = await startFakeRunner(t, "r-1", () => {});
   const router = await routeTo(t, { timeoutMs: 100 }, [runner]);
   const socket = connect(router.callersPort, "127.0.0.1");
   const lines = [
--- a/packages/router/tests/hand_over_test.ts
+++ b/packages/router/tests/hand_over_test.ts
@@ -5,9 +5,9 @@
 import {
   answer,
   call,
-  playRunner,
   routeTo,
   SettableFeed,
+  startFakeRunner,
   startRouter,
   testConfiguration,
   testRoute,
@@ -17,7 +17,7 @@
 // A process gets SIGTERM while the balancer still sends it new connections. It
 // must not be ready any more, yet serve them, and tell callers to connect anew.
 test("a leaving daemon serves what still arrives and closes behind it", async (t) => {
-  const runner = await playRunner(t, "r-1", (socket, _, id) => {
+  const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     socket.write(answer(id, "done"));
   });
   const router = await routeTo(t, {}, [runner]);
@@ -48,7 +48,7 @@
 test("a daemon that the store refuses learns from its peer", async (t) => {
   const configurations = new SettableFeed([testConfiguration([testRoute()])]);
   const runners = new SettableFeed([
-    (await playRunner(t, "r-1", () => {})).runner,
+    (await startFakeRunner(t, "r-1", () => {})).runner,
   ]);
   const refused = new SettableFeed([testConfiguration([testRoute()])]);
   refused.down = true;
--- a/packages/router/tests/limited_runner_test.ts
+++ b/packages/router/tests/limited_runner_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import type { TestContext } from "node:test";
 import { setTimeout as pause } from "node:timers/promises";
-import { answer, playRunner, until } from "./fixtures.ts";
+import { answer, startFakeRunner, until } from "./fixtures.ts";
 import { LinkedRouters } from "./linked_routers.ts";
 
 /** Milliseconds in which daemons that are in touch know what one of them does. */
@@ -55,7 +55,7 @@
   }
 
   #play(t: TestContext, index: number) {
-    return playRunner(t, `r-${index}`, async (socket, _, id) => {
+    return startFakeRunner(t, `r-${index}`, async (socket, _, id) => {
       const limited = index === 0;
       if (limited) this.arrivals.push(performance.now());
       const headers = limited && this.perS !== undefined
@@ -130,11 +130,11 @@
     repetition: "idempotent",
     maxAttempts: 2,
   });
-  const failing = await playRunner(t, "failing", (socket, _, id) => {
+  const failing = await startFakeRunner(t, "failing", (socket, _, id) => {
     const status = "500 Internal Server Error";
     socket.write(answer(id, "failed", { status }));
   });
-  const limited = await playRunner(t, "limited", () => {});
+  const limited = await startFakeRunner(t, "limited", () => {});
   linked.runners.set([failing.runner, limited.runner]);
   const router = await linked.add();
   const now = router.now();
@@ -147,7 +147,7 @@
 // Guards against refusals where the runner takes the request a moment later.
 test("where all runners have had their limits a request waits, then is refused", async (t) => {
   const linked = new LinkedRouters(t, { timeoutMs: 1_000, patienceMs: 1_000 });
-  const only = await playRunner(t, "only", (socket, _, id) => {
+  const only = await startFakeRunner(t, "only", (socket, _, id) => {
     const headers = "X-Limit: 5\r\n";
     socket.write(answer(id, "done", { headers }));
   });
@@ -175,7 +175,7 @@
     { name: "urgent", pathPrefix: "/urgent/", tier: 0, timeoutMs: 3_000 },
   ]);
   const served: string[] = [];
-  const only = await playRunner(t, "only", (socket, text, id) => {
+  const only = await startFakeRunner(t, "only", (socket, text, id) => {
     served.push(/ \/(\w+)\//.exec(text)![1]!);
     socket.write(answer(id, "done", { headers: "X-Limit: 4\r\n" }));
   });
--- a/packages/router/tests/restart_test.ts
+++ b/packages/router/tests/restart_test.ts
@@ -7,8 +7,8 @@
 import {
   answer,
   call,
-  playRunner,
   SettableFeed,
+  startFakeRunner,
   startRouter,
   testConfiguration,
   testRoute,
@@ -28,7 +28,7 @@
 // failures, and the rest after them, were those of the life before.
 test("a restart under the same name starts with no failures", async (t) => {
   let broken = true;
-  const played = await playRunner(t, "a", (socket, _, id) => {
+  const played = await startFakeRunner(t, "a", (socket, _, id) => {
     if (broken) return void socket.destroy();
     socket.write(answer(id, "well"));
   });
@@ -93,13 +93,13 @@
 // caller is told that it has not run, and another runner is tried if there is
 // one.
 test("an address that was taken over costs the caller nothing", async (t) => {
-  const taken = await playRunner(t, "taken", (socket, _, id) => {
+  const taken = await startFakeRunner(t, "taken", (socket, _, id) => {
     socket.write(answer(id, "no", {
       status: "421 Misdirected Request",
       headers: "X-Not-Run: 1\r\n",
     }));
   });
-  const other = await playRunner(t, "other", (socket, _, id) => {
+  const other = await startFakeRunner(t, "other", (socket, _, id) => {
     socket.write(answer(id, "well"));
   });
   const router = await startRouter(t, {
