--- a/packages/router/src/connection/sharing_test.ts
+++ b/packages/router/src/connection/sharing_test.ts
@@ -4,7 +4,7 @@
 import type { TestContext } from "node:test";
 import { decodeItem } from "@umbermast/coordination/codec";
 import { LENGTH_BYTES } from "@umbermast/coordination/frame_bytes";
-import { noLeading, noLimits, SILENT_LOG } from "../../tests/fixtures.ts";
+import { emptyLimits, noLeading, SILENT_LOG } from "../../tests/fixtures.ts";
 import { CrashRecord } from "../process/crash_record.ts";
 import { PrefixIndex } from "../process/prefix_record.ts";
 import { RunnerDirectory } from "../process/runner_directory.ts";
@@ -29,7 +29,7 @@
       loads: this.loads,
       prefixes: new PrefixIndex(),
       crashes: new CrashRecord(SILENT_LOG),
-      limits: noLimits(),
+      limits: emptyLimits(),
       ...noLeading(),
       directory: new RunnerDirectory(),
       configuration: () => undefined,
--- a/packages/router/src/request/admission_test.ts
+++ b/packages/router/src/request/admission_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { noLimits } from "../../tests/fixtures.ts";
+import { emptyLimits } from "../../tests/fixtures.ts";
 import { PrefixIndex } from "../process/prefix_record.ts";
 import type { Runner } from "../process/runner.ts";
 import type { QueueKey } from "../process/runner_queue.ts";
@@ -58,7 +58,7 @@
     runners: [RUNNER],
     loads,
     prefixes: new PrefixIndex(),
-    limits: noLimits(),
+    limits: emptyLimits(),
     failureDomain: "d",
     now: 0,
   };
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { noLimits } from "../../tests/fixtures.ts";
+import { emptyLimits } from "../../tests/fixtures.ts";
 import { PrefixIndex } from "../process/prefix_record.ts";
 import type { Runner } from "../process/runner.ts";
 import { RunnerLoads } from "../process/runner_loads.ts";
@@ -31,7 +31,7 @@
   return {
     runners,
     loads: new RunnerLoads(),
-    limits: noLimits(),
+    limits: emptyLimits(),
     prefixes: new PrefixIndex(),
     failureDomain: "d-0",
     now: 1_000,
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -83,7 +83,7 @@
 }
 
 /** Limits of runners for one daemon alone, which has heard of none. */
-export function noLimits(): RunnerLimits {
+export function emptyLimits(): RunnerLimits {
   return new RunnerLimits(SILENT_LOG, () => ({
     own: "a",
     names: ["a"],
