--- a/packages/router/src/connection/sharing_test.ts
+++ b/packages/router/src/connection/sharing_test.ts
@@ -4,7 +4,11 @@
 import type { TestContext } from "node:test";
 import { decodeItem } from "@umbermast/coordination/codec";
 import { LENGTH_BYTES } from "@umbermast/coordination/frame_bytes";
-import { emptyLimits, noLeading, SILENT_LOG } from "../../tests/fixtures.ts";
+import {
+  emptyLimits,
+  SILENT_LOG,
+  withoutLeadership,
+} from "../../tests/fixtures.ts";
 import { CrashRecord } from "../process/crash_record.ts";
 import { PrefixIndex } from "../process/prefix_record.ts";
 import { RunnerDirectory } from "../process/runner_directory.ts";
@@ -30,7 +34,7 @@
       prefixes: new PrefixIndex(),
       crashes: new CrashRecord(SILENT_LOG),
       limits: emptyLimits(),
-      ...noLeading(),
+      ...withoutLeadership(),
       directory: new RunnerDirectory(),
       configuration: () => undefined,
       adopt() {},
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -92,7 +92,7 @@
 }
 
 /** What a daemon shares that has no part in leading. */
-export function noLeading() {
+export function withoutLeadership() {
   return {
     time: new FleetTime(HOST_CLOCKS),
     usage: undefined,
