--- a/packages/router/src/connection/peer_link_test.ts
+++ b/packages/router/src/connection/peer_link_test.ts
@@ -7,7 +7,7 @@
 import type { TestContext } from "node:test";
 import { encodeItem } from "@umbermast/coordination/codec";
 import { encodeFrame } from "@umbermast/coordination/frame_bytes";
-import { testState } from "../../tests/fixtures.ts";
+import { testUpdate } from "../../tests/fixtures.ts";
 import type { CrashAges } from "./crash_ages.ts";
 import { encodeMessage, PeerLink, SILENCE_MS } from "./peer_link.ts";
 import { NO_LOAD } from "../process/share.ts";
@@ -63,7 +63,7 @@
 // took up slow links: what one daemon knew of a runner reached the others after
 // a second, and prompts were read again at a third of all requests.
 test("a state arrives as it was, in a third of its plain size", async (t) => {
-  const state = testState({
+  const state = testUpdate({
     configuration: 3,
     runners: 700,
     loads: Array.from({ length: 8 }, (_, index) => ({
@@ -128,7 +128,7 @@
     t,
     (message) => received.push(message),
   );
-  far.end(encodeMessage(testState({
+  far.end(encodeMessage(testUpdate({
     loads: [{ ...NO_LOAD, runner: "r", inFlight: -40, waiting: [] }],
   })));
   await closed;
@@ -154,7 +154,7 @@
     t,
     (message) => received.push(message),
   );
-  const state = testState({ crashes: CRASHES });
+  const state = testUpdate({ crashes: CRASHES });
   far.end(encodeMessage(state));
   await closed;
   assert.deepEqual(received, [state]);
@@ -164,7 +164,7 @@
   const { far, closed, faults } = await openLink(t, () => {});
   const [answer] = CRASHES.answers;
   const crashes = { crashed: [], answers: [{ ...answer!, agoMs: NaN }] };
-  far.end(encodeMessage(testState({ crashes })));
+  far.end(encodeMessage(testUpdate({ crashes })));
   await closed;
   assert.match(faults[0]!, /"crashes.agoMs"/);
 });
@@ -179,7 +179,7 @@
   const fields = [1, 1, false, [], [], 1, 1, [], []];
   far.end(encodeFrame([encodeItem(fields)]));
   await closed;
-  assert.deepEqual(received, [testState()]);
+  assert.deepEqual(received, [testUpdate()]);
 });
 
 // One contact of many is no address. The others are as good as ever.
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -136,7 +136,7 @@
 }
 
 /** A message between daemons that tells nothing. */
-export function testState(fields: Partial<StateUpdate> = {}): StateUpdate {
+export function testUpdate(fields: Partial<StateUpdate> = {}): StateUpdate {
   return {
     kind: "state",
     configuration: 1,
--- a/packages/router/tests/fleet_test.ts
+++ b/packages/router/tests/fleet_test.ts
@@ -3,7 +3,7 @@
 import type { TestContext } from "node:test";
 import { FakeLink, settledFleet, SIZES } from "./fleet.ts";
 import type { FleetShape, Member } from "./fleet.ts";
-import { testState } from "./fixtures.ts";
+import { testUpdate } from "./fixtures.ts";
 
 /** Two hops in a failure domain, one between them, two in the other one. */
 const SPREAD_MS = 500;
@@ -176,7 +176,7 @@
   const { clock, fleet } = await settledFleet(t, LARGE);
   const [head] = fleet.domain(0);
   const liar = [...head!.links][0]!;
-  liar.send(testState({
+  liar.send(testUpdate({
     contacts: Array.from({ length: 8 }, (_, index) => ({
       name: `ghost-${index}`,
       incarnation: "1",
