--- a/packages/router/src/connection/crash_detector_test.ts
+++ b/packages/router/src/connection/crash_detector_test.ts
@@ -1,6 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { SILENT_LOG, startFakeRunner, until } from "../../tests/fixtures.ts";
+import {
+  SILENT_LOG,
+  startFakeRunner,
+  waitUntil,
+} from "../../tests/fixtures.ts";
 import type { FakeRunner } from "../../tests/fixtures.ts";
 import { CrashRecord } from "../process/crash_record.ts";
 import type { Fields } from "../process/line.ts";
@@ -33,7 +37,7 @@
   const { watch: watched, found } = watch();
   await played.end();
   breakTwo(watched, played);
-  await until(() => found.length > 0);
+  await waitUntil(() => found.length > 0);
   assert.equal(found.length, 1);
   assert.equal(found[0]!.ended, true);
   assert.equal(found[0]!.fingerprints, "one,two");
@@ -43,6 +47,6 @@
   const played = await startFakeRunner(t, "i-1", () => {});
   const { watch: watched, found } = watch();
   breakTwo(watched, played);
-  await until(() => found.length > 0);
+  await waitUntil(() => found.length > 0);
   assert.equal(found[0]!.ended, false);
 });
--- a/packages/router/tests/crashing_fleet.ts
+++ b/packages/router/tests/crashing_fleet.ts
@@ -8,7 +8,7 @@
 import { setTimeout as pause } from "node:timers/promises";
 import type { Runner } from "../src/process/runner.ts";
 import type { Route } from "../src/version/configuration.ts";
-import { answer, startFakeRunner, until } from "./fixtures.ts";
+import { answer, startFakeRunner, waitUntil } from "./fixtures.ts";
 import type { FakeRunner } from "./fixtures.ts";
 import { LinkedRouters } from "./linked_routers.ts";
 
@@ -61,9 +61,9 @@
 
   /** Waits until another runner has taken the place of each that ended. */
   async restored(): Promise<void> {
-    await until(() => this.#listed.size === this.#size);
+    await waitUntil(() => this.#listed.size === this.#size);
     const names = [...this.#listed.keys()].sort().join();
-    await until(() =>
+    await waitUntil(() =>
       this.linked.routers.every((router) =>
         router.fleet("service").runners.map(({ id }) => id).sort().join() ===
           names
--- a/packages/router/tests/crashing_request_test.ts
+++ b/packages/router/tests/crashing_request_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { setTimeout as pause } from "node:timers/promises";
 import { CRASHING, CrashingFleet } from "./crashing_fleet.ts";
-import { call, until } from "./fixtures.ts";
+import { call, waitUntil } from "./fixtures.ts";
 
 /** Milliseconds in which daemons that are in touch know what one of them does. */
 const CONTACT_MS = 3_000;
@@ -69,7 +69,7 @@
   const fleet = await CrashingFleet.start(t, SHAPE);
   fleet.waiting = 2;
   const waiting = [fleet.linked.send(CRASHING), fleet.linked.send(CRASHING)];
-  await until(() => fleet.arrived(CRASHING) === 2);
+  await waitUntil(() => fleet.arrived(CRASHING) === 2);
   await endRunners(fleet);
   const answers = await Promise.all(waiting);
   assert.deepEqual(answers.map(({ status }) => status), [502, 502]);
@@ -96,7 +96,9 @@
   const router = await fleet.linked.add();
   const send = () => call(router, { method: "POST", body: CRASHING });
   const before = fleet.arrived(CRASHING);
-  await until(() => router.crashes.snapshot(router.now()).crashed.length > 0);
+  await waitUntil(() =>
+    router.crashes.snapshot(router.now()).crashed.length > 0
+  );
   assert.equal((await send()).status, 503);
   assert.equal(fleet.arrived(CRASHING), before);
 });
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -393,7 +393,7 @@
 }
 
 /** Waits until something holds, asking again at each turn of the loop. */
-export async function until(holds: () => boolean): Promise<void> {
+export async function waitUntil(holds: () => boolean): Promise<void> {
   while (!holds()) await new Promise((resolve) => setTimeout(resolve, 5));
 }
 
@@ -410,7 +410,7 @@
     ]),
     runners: new SettableFeed(runners.map(({ runner }) => runner)),
   });
-  await until(() => router.ready);
+  await waitUntil(() => router.ready);
   return router;
 }
 
--- a/packages/router/tests/forwarding_test.ts
+++ b/packages/router/tests/forwarding_test.ts
@@ -13,7 +13,7 @@
   streamHead,
   testConfiguration,
   testRoute,
-  until,
+  waitUntil,
 } from "./fixtures.ts";
 
 test("method, path, query, body and end-to-end headers pass unchanged", async (t) => {
@@ -165,7 +165,7 @@
     // Half of the extra repeats, divided among 8 daemons: one.
     settings: { retries: { ratio: 0, extra: 16, windowMs: 10_000 } },
   });
-  await until(() => router.ready);
+  await waitUntil(() => router.ready);
   const arrivals = () =>
     runners.reduce((sum, { requests }) => sum + requests.length, 0);
   assert.equal((await call(router)).status, 500);
@@ -273,7 +273,7 @@
   const runner = await startFakeRunner(t, "r-1", () => {});
   const router = await routeTo(t, { timeoutMs: 100 }, [runner]);
   assert.equal((await call(router)).status, 504);
-  await until(() => runner.closed === 1);
+  await waitUntil(() => runner.closed === 1);
 });
 
 test("the runner's work ends when the caller leaves", async (t) => {
@@ -281,9 +281,9 @@
   const router = await routeTo(t, {}, [runner]);
   const socket = connect(router.callersPort, "127.0.0.1");
   socket.write("GET / HTTP/1.1\r\nHost: test\r\nX-Id: a\r\n\r\n");
-  await until(() => runner.requests.length === 1);
+  await waitUntil(() => runner.requests.length === 1);
   socket.destroy();
-  await until(() => runner.closed === 1);
+  await waitUntil(() => runner.closed === 1);
 });
 
 // A runner at the address is another one than the list says: it refuses by 421
--- a/packages/router/tests/hand_over_test.ts
+++ b/packages/router/tests/hand_over_test.ts
@@ -11,7 +11,7 @@
   startRouter,
   testConfiguration,
   testRoute,
-  until,
+  waitUntil,
 } from "./fixtures.ts";
 
 // A process gets SIGTERM while the balancer still sends it new connections. It
@@ -61,8 +61,8 @@
       seeds: [`127.0.0.1:${informed.peersPort}`],
     },
   });
-  await until(() => alone.ready);
+  await waitUntil(() => alone.ready);
   configurations.set([testConfiguration([], { version: 2 })]);
-  await until(() => alone.routingTable()?.version === 2);
+  await waitUntil(() => alone.routingTable()?.version === 2);
   assert.equal((await call(alone)).status, 404);
 });
--- a/packages/router/tests/limited_runner_test.ts
+++ b/packages/router/tests/limited_runner_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import type { TestContext } from "node:test";
 import { setTimeout as pause } from "node:timers/promises";
-import { answer, startFakeRunner, until } from "./fixtures.ts";
+import { answer, startFakeRunner, waitUntil } from "./fixtures.ts";
 import { LinkedRouters } from "./linked_routers.ts";
 
 /** Milliseconds in which daemons that are in touch know what one of them does. */
@@ -96,7 +96,9 @@
   const fleet = await LimitedFleet.start(t, 7);
   const { routers } = fleet.linked;
   fleet.perS = 1.4;
-  await until(() => routers.every(({ limits }) => limits.of("r-0") === 1.4));
+  await waitUntil(() =>
+    routers.every(({ limits }) => limits.of("r-0") === 1.4)
+  );
   return fleet;
 }
 
@@ -105,7 +107,7 @@
   const fleet = await limitedFleet(t);
   const { arrivals, statuses, linked } = fleet;
   const before = arrivals.length;
-  await until(() => arrivals.length >= before + 6);
+  await waitUntil(() => arrivals.length >= before + 6);
   assert.deepEqual([...new Set(statuses)], [200]);
   for (const router of linked.routers) {
     assert.equal(router.loads.of("r-0").failures, 0);
@@ -117,11 +119,11 @@
   const fleet = await limitedFleet(t);
   const { routers } = fleet.linked;
   fleet.perS = undefined;
-  await until(() =>
+  await waitUntil(() =>
     routers.every(({ limits }) => limits.of("r-0") === undefined)
   );
   const before = fleet.arrivals.length;
-  await until(() => fleet.arrivals.length >= before + 20);
+  await waitUntil(() => fleet.arrivals.length >= before + 20);
 });
 
 // Guards against repeats that go where first tries may not.
--- a/packages/router/tests/linked_routers.ts
+++ b/packages/router/tests/linked_routers.ts
@@ -16,7 +16,7 @@
   startRouter,
   testConfiguration,
   testRoute,
-  until,
+  waitUntil,
 } from "./fixtures.ts";
 import type { CallerAnswer } from "./fixtures.ts";
 
@@ -75,7 +75,7 @@
       },
     });
     this.routers.push(router);
-    await until(() => router.ready && links >= seeds.length);
+    await waitUntil(() => router.ready && links >= seeds.length);
     return router;
   }
 
--- a/packages/router/tests/restart_test.ts
+++ b/packages/router/tests/restart_test.ts
@@ -12,7 +12,7 @@
   startRouter,
   testConfiguration,
   testRoute,
-  until,
+  waitUntil,
 } from "./fixtures.ts";
 import type { FakeRunner } from "./fixtures.ts";
 
@@ -40,14 +40,14 @@
     configurations: new SettableFeed([configuration]),
     runners,
   });
-  await until(() => router.ready);
+  await waitUntil(() => router.ready);
   for (let tries = 0; tries < 2; tries++) await call(router);
   const before = runnerId("a", 100);
   assert.ok(router.loads.of(before).isEjected(router.now()));
   broken = false;
   runners.set([lifeOf(played, 200)]);
   const after = runnerId("a", 200);
-  await until(() => router.fleet("service").runners[0]?.id === after);
+  await waitUntil(() => router.fleet("service").runners[0]?.id === after);
   assert.equal((await call(router)).body, "well");
   assert.equal(router.loads.of(after).failures, 0);
 });
@@ -108,7 +108,7 @@
     ]),
     runners: new SettableFeed([lifeOf(taken, 100), lifeOf(other, 100)]),
   });
-  await until(() => router.ready);
+  await waitUntil(() => router.ready);
   for (let tries = 0; tries < 6; tries++) {
     assert.equal((await call(router)).body, "well");
   }
