--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -37,10 +37,10 @@
 export type {
   Dialect,
   RawHeaders,
-  RequestHead as CallHead,
-  ResponseHead as AnswerHead,
-  RunnerRequestHead as SendHead,
-} from "./request/call.ts";
+  RequestHead,
+  ResponseHead,
+  RunnerRequestHead,
+} from "./request/dialect.ts";
 export { endToEndHeaders, headerOf } from "./request/headers.ts";
 export { Router } from "./router.ts";
 export type { Platform } from "./router.ts";
--- a/packages/router/src/request/attempt.ts
+++ b/packages/router/src/request/attempt.ts
@@ -8,7 +8,7 @@
 import type { Buffer } from "node:buffer";
 import type { RunnerConnections } from "../connection/runner_connections.ts";
 import type { Runner } from "../process/runner.ts";
-import type { Dialect, ResponseHead } from "./call.ts";
+import type { Dialect, ResponseHead } from "./dialect.ts";
 
 /**
  * Milliseconds to open a connection. A round trip between failure domains takes
--- a/packages/router/src/request/caller.ts
+++ b/packages/router/src/request/caller.ts
@@ -6,7 +6,7 @@
 import { Buffer } from "node:buffer";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { endToEndHeaders, headerOf } from "./headers.ts";
-import type { RawHeaders } from "./call.ts";
+import type { RawHeaders } from "./dialect.ts";
 
 /** An answer of this daemon's own. */
 export interface Refusal {
--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -18,7 +18,7 @@
 import type { RequestMetrics } from "../process/metrics.ts";
 import type { Service, Workspace } from "../version/configuration.ts";
 import type { RoutingTable } from "../version/routing_table.ts";
-import type { Dialect } from "./call.ts";
+import type { Dialect } from "./dialect.ts";
 import type { RunnerFleet } from "./demand.ts";
 
 /** Parts that live as long as the process. */
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -5,7 +5,7 @@
  */
 import type { Buffer } from "node:buffer";
 import type { Quarantine } from "../process/crash_record.ts";
-import type { RequestHead } from "./call.ts";
+import type { RequestHead } from "./dialect.ts";
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
 import { logQuarantine } from "./exchange_log.ts";
--- a/packages/router/src/request/headers.ts
+++ b/packages/router/src/request/headers.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { RawHeaders } from "./call.ts";
+import type { RawHeaders } from "./dialect.ts";
 
 /** Headers that concern one connection only (RFC 9110, section 7.6.1). */
 export const HOP_BY_HOP: ReadonlySet<string> = new Set([
--- a/packages/router/src/request/runner_tries.ts
+++ b/packages/router/src/request/runner_tries.ts
@@ -9,7 +9,7 @@
 import type { Passed, TryParts } from "./answer_relay.ts";
 import type { Attempt, Sent } from "./attempt.ts";
 import { attemptOf } from "./attempt_of.ts";
-import type { ResponseHead } from "./call.ts";
+import type { ResponseHead } from "./dialect.ts";
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
 import { logChoice } from "./exchange_log.ts";
--- a/packages/router/src/request/stream_relay.ts
+++ b/packages/router/src/request/stream_relay.ts
@@ -5,7 +5,7 @@
  */
 import type { Buffer } from "node:buffer";
 import type { IncomingMessage, ServerResponse } from "node:http";
-import type { Dialect } from "./call.ts";
+import type { Dialect } from "./dialect.ts";
 import { EventSplitter } from "./event_splitter.ts";
 import { StreamBody } from "./stream_body.ts";
 
--- a/packages/router/src/request/subject.ts
+++ b/packages/router/src/request/subject.ts
@@ -7,7 +7,7 @@
 import type { Route, Service, Workspace } from "../version/configuration.ts";
 import { destinationAt } from "../version/routing_table.ts";
 import type { RoutingTable } from "../version/routing_table.ts";
-import type { RequestHead } from "./call.ts";
+import type { RequestHead } from "./dialect.ts";
 import type { Refusal } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
 import { headerBytes } from "./headers.ts";
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -37,7 +37,7 @@
 import type { RouterSettings } from "./process/settings.ts";
 import { Leadership } from "./leadership.ts";
 import type { LeaderPlatform } from "./leadership.ts";
-import type { Dialect } from "./request/call.ts";
+import type { Dialect } from "./request/dialect.ts";
 import { Caller } from "./request/caller.ts";
 import type { Daemon } from "./request/daemon.ts";
 import { Exchange } from "./request/exchange.ts";
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -26,7 +26,7 @@
 import { RunnerLimits } from "../src/process/runner_limits.ts";
 import type { StatedLimit } from "../src/process/runner_limits.ts";
 import type { RouterSettings } from "../src/process/settings.ts";
-import type { Dialect } from "../src/request/call.ts";
+import type { Dialect } from "../src/request/dialect.ts";
 import { endToEndHeaders, headerOf } from "../src/request/headers.ts";
 import { Router } from "../src/router.ts";
 import type { Configuration, Route } from "../src/version/configuration.ts";
