--- a/packages/router/src/process/leader_lease.ts
+++ b/packages/router/src/process/leader_lease.ts
@@ -12,7 +12,7 @@
 } from "@umbermast/coordination/lease_rules";
 import type { EventLog } from "./event_log.ts";
 import { FeedError } from "./feed.ts";
-import { NO_WORK } from "./leader_record.ts";
+import { INITIAL_STATE } from "./leader_record.ts";
 import type {
   LeaderRecord,
   LeaderState,
@@ -116,7 +116,7 @@
 
   /** What was decided, as it stands in the store. */
   get work(): LeaderState {
-    return this.#term?.work ?? NO_WORK;
+    return this.#term?.work ?? INITIAL_STATE;
   }
 
   /** Milliseconds since the lease was renewed last. */
@@ -224,7 +224,7 @@
   async #take(found: StoredRecord | undefined): Promise<void> {
     const ifRevision = found?.revision ?? 0;
     const fencing = fencingAfter(ifRevision);
-    const work = found?.record.work ?? NO_WORK;
+    const work = found?.record.work ?? INITIAL_STATE;
     const sentAt = momentOf(this.#clock);
     const record = this.#record(fencing, work);
     const written = await this.#write(record, ifRevision, sentAt);
--- a/packages/router/src/process/leader_record.ts
+++ b/packages/router/src/process/leader_record.ts
@@ -66,7 +66,7 @@
 }
 
 /** Work of a fleet that nobody has led yet. */
-export const NO_WORK: LeaderState = {
+export const INITIAL_STATE: LeaderState = {
   nextWindow: undefined,
   reports: [],
   checkpoint: { lives: [], windows: [] },
--- a/packages/router/src/process/usage_reports_test.ts
+++ b/packages/router/src/process/usage_reports_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { NO_WORK } from "./leader_record.ts";
+import { INITIAL_STATE } from "./leader_record.ts";
 import type { LeaderState } from "./leader_record.ts";
 import { UsageMeter } from "./usage_meter.ts";
 import { checkpointOf, fixReports, withAccepted } from "./usage_reports.ts";
@@ -13,7 +13,7 @@
 }
 
 function workFrom(nextWindow: number): LeaderState {
-  return { ...NO_WORK, nextWindow };
+  return { ...INITIAL_STATE, nextWindow };
 }
 
 test("a window is fixed once, after news of it can have come", () => {
@@ -55,7 +55,7 @@
     now: clock.now,
     complete: true,
   };
-  assert.equal(fixReports(NO_WORK, sources)?.work.nextWindow, 10);
+  assert.equal(fixReports(INITIAL_STATE, sources)?.work.nextWindow, 10);
 });
 
 test("a report stays the same whatever is heard later", () => {
