--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -151,7 +151,7 @@
     const decided = this.#decide();
     const due = lease.sinceRenewalMs >= RENEW_PART * this.#options.leaseMs;
     if (decided !== undefined || due) {
-      const work = this.#checkpointed(decided ?? lease.work);
+      const work = this.#checkpointed(decided ?? lease.state);
       if (!await lease.update(work)) return;
       changed();
     }
@@ -162,7 +162,7 @@
   /** What is to be written besides a renewal. */
   #decide(): LeaderState | undefined {
     const { lease, usage, log, metrics, steady } = this.#options;
-    let { work } = lease;
+    let { state: work } = lease;
     const sources = this.#sources();
     const decision = sources && fixReports(work, sources);
     if (decision !== undefined) {
@@ -181,7 +181,7 @@
     }
     const orders = this.#orders.decide(work.orders, steady());
     if (orders !== undefined) work = { ...work, orders };
-    return work === lease.work ? undefined : work;
+    return work === lease.state ? undefined : work;
   }
 
   #checkpointed(work: LeaderState): LeaderState {
@@ -227,7 +227,7 @@
   /** The one that was tried least, so that one that is refused holds up none. */
   #nextReport(): UsageReport | undefined {
     let next: UsageReport | undefined;
-    for (const each of this.#options.lease.work.reports) {
+    for (const each of this.#options.lease.state.reports) {
       if (!this.#isOpen(each)) continue;
       const less = next === undefined ||
         this.#triesOf(each) < this.#triesOf(next);
@@ -247,7 +247,7 @@
   /** Sends the orders that are due, one after the other. */
   async #order(): Promise<void> {
     const { lease, api, steady, metrics } = this.#options;
-    for (const order of this.#orders.due(lease.work.orders, steady())) {
+    for (const order of this.#orders.due(lease.state.orders, steady())) {
       const call = this.#call();
       if (call === undefined) return;
       const end = await this.#made(api.orderRunners(order, call));
--- a/packages/router/src/process/leader_lease.ts
+++ b/packages/router/src/process/leader_lease.ts
@@ -115,7 +115,7 @@
   }
 
   /** What was decided, as it stands in the store. */
-  get work(): LeaderState {
+  get state(): LeaderState {
     return this.#term?.work ?? INITIAL_STATE;
   }
 
--- a/packages/router/src/process/leader_lease_test.ts
+++ b/packages/router/src/process/leader_lease_test.ts
@@ -96,7 +96,7 @@
   }
 
   async look(): Promise<void> {
-    if (this.#lease.held) await this.#lease.update(this.#lease.work);
+    if (this.#lease.held) await this.#lease.update(this.#lease.state);
     else await this.#lease.tryTake();
   }
 
