--- a/packages/router/src/request/runner_tries.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -5,20 +5,20 @@
  */
 import type { Buffer } from "node:buffer";
 import type { PlacedRequest } from "../process/runner_load.ts";
-import { AnswerRelay } from "./answer_relay.ts";
-import type { Passed, TryParts } from "./answer_relay.ts";
+import { AnswerRelay } from "./response_relay.ts";
+import type { Passed, TryParts } from "./response_relay.ts";
 import type { Attempt, Sent } from "./attempt.ts";
-import { attemptOf } from "./attempt_of.ts";
+import { attemptOf } from "./create_attempt.ts";
 import type { ResponseHead } from "./dialect.ts";
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
 import { logChoice } from "./exchange_log.ts";
 import type { Outcome } from "./outcome.ts";
-import type { OwnOutcomes } from "./own_outcomes.ts";
+import type { OwnOutcomes } from "./local_outcomes.ts";
 import type { Choice } from "./placement.ts";
 import type { Progress } from "./progress.ts";
-import { Silence } from "./silence.ts";
-import type { Subject } from "./subject.ts";
+import { Silence } from "./inactivity_timer.ts";
+import type { Subject } from "./routed_request.ts";
 
 /** Targets without a first event after which a stream is tried elsewhere. */
 const STREAM_SILENCE = 2;
--- a/packages/router/src/request/room_wait_test.ts
+++ b/packages/router/src/request/capacity_wait_test.ts
@@ -3,7 +3,7 @@
 import { RunnerLoads } from "../process/runner_loads.ts";
 import type { PlacedRequest } from "../process/runner_load.ts";
 import type { QueueKey } from "../process/runner_queue.ts";
-import { RoomWait } from "./room_wait.ts";
+import { RoomWait } from "./capacity_wait.ts";
 
 const DAEMONS = 8;
 const PROMPT_TOKENS = 15_000;
--- a/packages/router/src/request/ending_test.ts
+++ b/packages/router/src/request/completion_check_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { StreamPace } from "../process/stream_pace.ts";
-import { endsInTime } from "./ending.ts";
+import { endsInTime } from "./completion_check.ts";
 
 const EVENT_TOKENS = 5;
 
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -12,13 +12,13 @@
 import { fingerprintOf } from "./fingerprint.ts";
 import { outcomeName } from "./outcome.ts";
 import type { Outcome } from "./outcome.ts";
-import { OwnOutcomes } from "./own_outcomes.ts";
+import { OwnOutcomes } from "./local_outcomes.ts";
 import { Progress } from "./progress.ts";
 import { RunnerSearch } from "./runner_search.ts";
-import { RunnerTries } from "./runner_tries.ts";
-import { findSubject } from "./subject.ts";
-import type { Subject } from "./subject.ts";
-import { readWhole } from "./whole_body.ts";
+import { RunnerTries } from "./attempt_executor.ts";
+import { findSubject } from "./routed_request.ts";
+import type { Subject } from "./routed_request.ts";
+import { readWhole } from "./read_body.ts";
 
 /** Milliseconds left under which no other runner is tried. */
 const LEAST_TIME_MS = 30;
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -7,7 +7,7 @@
 import type { QueueKey } from "../process/runner_queue.ts";
 import type { Daemon } from "./daemon.ts";
 import type { Choice } from "./placement.ts";
-import type { Subject } from "./subject.ts";
+import type { Subject } from "./routed_request.ts";
 
 /** Tells why no runner was sent a request, and how full the best was. */
 export function logOverload(
--- a/packages/router/src/request/own_outcomes.ts
+++ b/packages/router/src/request/local_outcomes.ts
@@ -6,7 +6,7 @@
 import type { Quarantine } from "../process/crash_record.ts";
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
-import { notRun, overloaded, quarantined } from "./not_run.ts";
+import { notRun, overloaded, quarantined } from "./refusals.ts";
 import type { Outcome } from "./outcome.ts";
 import type { Progress } from "./progress.ts";
 
--- a/packages/router/src/request/answer_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -8,10 +8,10 @@
 import type { Attempt, Sent } from "./attempt.ts";
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
-import type { Silence } from "./silence.ts";
+import type { Silence } from "./inactivity_timer.ts";
 import { StreamRelay } from "./stream_relay.ts";
-import type { Subject } from "./subject.ts";
-import { readWhole } from "./whole_body.ts";
+import type { Subject } from "./routed_request.ts";
+import { readWhole } from "./read_body.ts";
 
 /** Largest answer that is held to be checked before it is passed on, in bytes. */
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -9,11 +9,11 @@
 import type { Daemon } from "./daemon.ts";
 import type { Demand } from "./demand.ts";
 import { logLimited, logOverload, logWait } from "./exchange_log.ts";
-import { endsInTime } from "./ending.ts";
+import { endsInTime } from "./completion_check.ts";
 import { chooseRunner, hasRoom } from "./placement.ts";
 import type { Choice } from "./placement.ts";
-import { RoomWait } from "./room_wait.ts";
-import type { Subject } from "./subject.ts";
+import { RoomWait } from "./capacity_wait.ts";
+import type { Subject } from "./routed_request.ts";
 
 /**
  * Part of the time that a caller has for which its request waits for room. The
