--- a/packages/router/src/process/autoscaler.ts
+++ b/packages/router/src/process/autoscaler.ts
@@ -222,7 +222,7 @@
     this.#sources.log.event("runners_planned", {
       service,
       needed_now: told.needed.now,
-      needed_most: told.needed.most,
+      needed_most: told.needed.peak,
       busy: Math.round(10 * told.busy) / 10,
       ready: told.ready,
       preemptible_and_regular: plan,
--- a/packages/router/src/process/runner_need.ts
+++ b/packages/router/src/process/runner_need.ts
@@ -38,7 +38,7 @@
   /** For what is seen now. */
   readonly now: number;
   /** For the worst that was seen lately. */
-  readonly most: number;
+  readonly peak: number;
 }
 
 /**
@@ -78,7 +78,7 @@
     this.#most = this.#decayed(now);
     return {
       now: this.#nowHeld.of(this.#busy / BUSY_SHARE),
-      most: this.#mostHeld.of(this.#most),
+      peak: this.#mostHeld.of(this.#most),
     };
   }
 
--- a/packages/router/src/process/runner_need_test.ts
+++ b/packages/router/src/process/runner_need_test.ts
@@ -18,21 +18,21 @@
 
 test("more are needed while those that there are have work all the time", () => {
   const need = new DemandEstimator(12);
-  const { now, most } = seeFor(need, 12, { from: 0, to: 8_000 });
+  const { now, peak: most } = seeFor(need, 12, { from: 0, to: 8_000 });
   assert.ok(now >= 20 && most >= 20, `${now}, ${most}`);
 });
 
 test("a burst that ends keeps its runners for the next one", () => {
   const need = new DemandEstimator(12);
-  const { most } = seeFor(need, 12, { from: 0, to: 9_000 });
+  const { peak: most } = seeFor(need, 12, { from: 0, to: 9_000 });
   const after = seeFor(need, 2, { from: 9_000, to: 40_000 });
   assert.ok(after.now <= 6, `${after.now} now`);
-  assert.equal(after.most, most);
+  assert.equal(after.peak, most);
 });
 
 test("what was needed long ago is needed no more", () => {
   const need = new DemandEstimator(12);
-  const { most } = seeFor(need, 1, { from: 0, to: 1_200_000 });
+  const { peak: most } = seeFor(need, 1, { from: 0, to: 1_200_000 });
   assert.ok(most <= 3, `${most}`);
 });
 
--- a/packages/router/src/process/runner_plan.ts
+++ b/packages/router/src/process/runner_plan.ts
@@ -51,9 +51,9 @@
   bounds: ScalingBounds,
   domains: readonly DomainState[],
 ): readonly DomainPlan[] {
-  const perDomain = preemptiblePerDomain(needed.most, bounds, domains);
+  const perDomain = preemptiblePerDomain(needed.peak, bounds, domains);
   const serving = sum(domains, (each) => each.preemptible + each.regular);
-  const spare = Math.max(0, serving - needed.most);
+  const spare = Math.max(0, serving - needed.peak);
   const preemptible = planPreemptible(perDomain, bounds, domains, {
     replaceable: Math.floor(spare / Math.max(1, domains.length)),
   });
@@ -113,7 +113,7 @@
   const serving = sum(domains, (each) => each.preemptible);
   const depleted = domains.some((each) => each.depleted);
   // Without preemptible ones, regular runners are all that there is.
-  if (perDomain === 0) return { runners: needed.most - serving, more: true };
+  if (perDomain === 0) return { runners: needed.peak - serving, more: true };
   const total = perDomain * domains.length;
   if (!depleted) return { runners: total - serving, more: false };
   return { runners: Math.min(needed.now, total) - serving, more: true };
--- a/packages/router/src/process/runner_plan_test.ts
+++ b/packages/router/src/process/runner_plan_test.ts
@@ -19,7 +19,7 @@
 
 /** A need that is now what it was at most. */
 function steady(runners: number): RunnersNeeded {
-  return { now: runners, most: runners };
+  return { now: runners, peak: runners };
 }
 
 function shown(plan: readonly DomainPlan[]): string {
@@ -104,7 +104,7 @@
       (now, most, each, states) => {
         for (
           const { preemptible, regular } of planRunners(
-            { now, most },
+            { now, peak: most },
             each,
             states,
           )
