--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -7,7 +7,7 @@
 import type { LeaderLease } from "./leader_lease.ts";
 import type { LeaderState, UsageReport } from "./leader_record.ts";
 import type { RequestMetrics } from "./metrics.ts";
-import { OrderDesk } from "./order_desk.ts";
+import { OrderTracker } from "./order_desk.ts";
 import { pause } from "./pause.ts";
 import type { CallEnd, PlatformApi, PlatformCall } from "./platform_api.ts";
 import type { ScalingPolicy } from "./runner_order.ts";
@@ -81,7 +81,7 @@
  */
 export class Leader {
   readonly #options: LeaderOptions;
-  readonly #orders: OrderDesk;
+  readonly #orders: OrderTracker;
   readonly #accepted = new Set<number>();
   /** Sends of each window in this term. */
   readonly #tries = new Map<number, number>();
@@ -93,7 +93,7 @@
 
   constructor(options: LeaderOptions) {
     this.#options = options;
-    this.#orders = new OrderDesk(options.demand, options.log);
+    this.#orders = new OrderTracker(options.demand, options.log);
   }
 
   /** Works until {@linkcode leave}. */
--- a/packages/router/src/process/order_desk.ts
+++ b/packages/router/src/process/order_desk.ts
@@ -21,7 +21,7 @@
 }
 
 /** Keeps what became of the orders of one term. */
-export class OrderDesk {
+export class OrderTracker {
   readonly #demand: ScalingPolicy | undefined;
   readonly #log: EventLog;
   #sent: readonly Sending[] = [];
--- a/packages/router/src/process/order_desk_test.ts
+++ b/packages/router/src/process/order_desk_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { SILENT_LOG } from "../../tests/fixtures.ts";
-import { OrderDesk } from "./order_desk.ts";
+import { OrderTracker } from "./order_desk.ts";
 import type { CallEnd } from "./platform_api.ts";
 import type { RunnerOrder, ScalingPolicy } from "./runner_order.ts";
 
@@ -22,7 +22,7 @@
     desiredOrders: () => wanted,
     recordNoneLeft: (each) => void noneLeft.push(each),
   };
-  return { desk: new OrderDesk(demand, SILENT_LOG), noneLeft };
+  return { desk: new OrderTracker(demand, SILENT_LOG), noneLeft };
 }
 
 const ACCEPTED: CallEnd = { kind: "accepted" };
