--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -252,7 +252,7 @@
       if (call === undefined) return;
       const end = await this.#made(api.orderRunners(order, call));
       metrics.platformCall("runners", end.kind);
-      this.#orders.ended(order, end, {
+      this.#orders.recordResult(order, end, {
         fencing: call.fence.fencing,
         now: steady(),
       });
--- a/packages/router/src/process/order_desk.ts
+++ b/packages/router/src/process/order_desk.ts
@@ -69,7 +69,7 @@
   }
 
   /** An order has been sent. */
-  ended(order: RunnerOrder, end: CallEnd, sent: {
+  recordResult(order: RunnerOrder, end: CallEnd, sent: {
     readonly fencing: number;
     readonly now: number;
   }): void {
--- a/packages/router/src/process/order_desk_test.ts
+++ b/packages/router/src/process/order_desk_test.ts
@@ -39,7 +39,7 @@
 test("an order that was accepted is not sent again", () => {
   const { desk } = deskFor([]);
   assert.deepEqual(desk.due([order()], 0), [order()]);
-  desk.ended(order(), ACCEPTED, { fencing: 1, now: 0 });
+  desk.recordResult(order(), ACCEPTED, { fencing: 1, now: 0 });
   assert.deepEqual(desk.due([order()], 60_000), []);
   const more = order({ runners: 6 });
   assert.deepEqual(desk.due([more], 60_000), [more]);
@@ -51,7 +51,7 @@
   for (let now = 0; now < 20_000; now += 100) {
     for (const each of desk.due([order()], now)) {
       sentAt.push(now);
-      desk.ended(each, FAILED, { fencing: 1, now });
+      desk.recordResult(each, FAILED, { fencing: 1, now });
     }
   }
   assert.deepEqual(sentAt, [0, 400, 1_200, 2_800, 6_000, 12_400, 18_800]);
@@ -59,14 +59,14 @@
 
 test("a new leader sends what stands, as it may not have arrived", () => {
   const { desk } = deskFor([]);
-  desk.ended(order(), ACCEPTED, { fencing: 1, now: 0 });
+  desk.recordResult(order(), ACCEPTED, { fencing: 1, now: 0 });
   desk.begin();
   assert.deepEqual(desk.due([order()], 100), [order()]);
 });
 
 test("that there are none left is told to who decides", () => {
   const { desk, noneLeft } = deskFor([]);
-  desk.ended(order(), { kind: "none-left" }, { fencing: 1, now: 0 });
+  desk.recordResult(order(), { kind: "none-left" }, { fencing: 1, now: 0 });
   assert.deepEqual(noneLeft, [order()]);
 });
 
