--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -136,7 +136,7 @@
     if (!look) return;
     await lease.tryTake();
     if (!lease.held) return;
-    this.#orders.begin();
+    this.#orders.reset();
     this.#accepted.clear();
     this.#tries.clear();
     changed();
--- a/packages/router/src/process/order_desk.ts
+++ b/packages/router/src/process/order_desk.ts
@@ -32,7 +32,7 @@
   }
 
   /** A new term: whether an earlier leader's orders arrived is not known. */
-  begin(): void {
+  reset(): void {
     this.#sent = [];
   }
 
--- a/packages/router/src/process/order_desk_test.ts
+++ b/packages/router/src/process/order_desk_test.ts
@@ -60,7 +60,7 @@
 test("a new leader sends what stands, as it may not have arrived", () => {
   const { desk } = deskFor([]);
   desk.recordResult(order(), ACCEPTED, { fencing: 1, now: 0 });
-  desk.begin();
+  desk.reset();
   assert.deepEqual(desk.due([order()], 100), [order()]);
 });
 
