--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -179,7 +179,7 @@
         log.event("usage_missed", { window });
       }
     }
-    const orders = this.#orders.decide(work.orders, steady());
+    const orders = this.#orders.reconcile(work.orders, steady());
     if (orders !== undefined) work = { ...work, orders };
     return work === lease.state ? undefined : work;
   }
--- a/packages/router/src/process/order_desk.ts
+++ b/packages/router/src/process/order_desk.ts
@@ -37,7 +37,7 @@
   }
 
   /** The orders as they should stand, if that differs from how they stand. */
-  decide(
+  reconcile(
     orders: readonly RunnerOrder[],
     now: number,
   ): readonly RunnerOrder[] | undefined {
--- a/packages/router/src/process/order_desk_test.ts
+++ b/packages/router/src/process/order_desk_test.ts
@@ -31,9 +31,9 @@
 test("only what differs from how it stands is decided", () => {
   const other = order({ failureDomain: "b" });
   const { desk } = deskFor([order({ runners: 7 }), other]);
-  const decided = desk.decide([order(), other], 0);
+  const decided = desk.reconcile([order(), other], 0);
   assert.deepEqual(decided, [other, order({ runners: 7 })]);
-  assert.equal(desk.decide(decided!, 0), undefined);
+  assert.equal(desk.reconcile(decided!, 0), undefined);
 });
 
 test("an order that was accepted is not sent again", () => {
