--- a/packages/router/src/process/reading.ts
+++ b/packages/router/src/process/reading.ts
@@ -8,6 +8,6 @@
 const READ_TOKENS_PER_MS = 50;
 
 /** Milliseconds in which an engine reads tokens of prompts. */
-export function readMs(tokens: number): number {
+export function prefillMs(tokens: number): number {
   return tokens / READ_TOKENS_PER_MS;
 }
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { FailureRate } from "./failure_rate.ts";
-import { readMs } from "./reading.ts";
+import { prefillMs } from "./reading.ts";
 import { RunnerQueue } from "./runner_queue.ts";
 import type { NeighbourFilter, WaitingEntry } from "./runner_queue.ts";
 import { addLoads, NO_LOAD, subtractLoads } from "./share.ts";
@@ -265,7 +265,7 @@
    */
   #silenceMs(): number {
     const begun = this.#placed.size > this.#starting.size;
-    return SILENCE_MS + (begun ? 0 : readMs(this.#all.unreadTokens));
+    return SILENCE_MS + (begun ? 0 : prefillMs(this.#all.unreadTokens));
   }
 
   #change(change: LoadTotals): void {
--- a/packages/router/src/request/admission.ts
+++ b/packages/router/src/request/admission.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Runner } from "../process/runner.ts";
-import { readMs } from "../process/reading.ts";
+import { prefillMs } from "../process/reading.ts";
 import { BEARABLE_MS } from "./demand.ts";
 import type { Demand, RunnerFleet } from "./demand.ts";
 
@@ -61,8 +61,8 @@
   const share = Math.min(1, FILL_SHARE + FILL_BY_RANK * above);
   const memory = memoryTokens + demand.promptTokens + demand.answerTokens;
   const more = urgencyFactor(ranksBelow);
-  return readMs(workTokens) > MAX_WORK_MS * more ||
-    readMs(unreadTokens + ahead.unreadTokens) > MAX_BACKLOG_MS * more ||
+  return prefillMs(workTokens) > MAX_WORK_MS * more ||
+    prefillMs(unreadTokens + ahead.unreadTokens) > MAX_BACKLOG_MS * more ||
     inFlight + ahead.requests >= share * engine!.slots ||
     memory > share * engine!.memoryTokens;
 }
@@ -82,5 +82,5 @@
   if (tight === 0) return false;
   const { prompt, promptTokens } = demand;
   const cached = fleet.prefixes.cachedTokens(runner.id, prompt, fleet.now);
-  return readMs(unreadTokens + promptTokens - cached) > BEARABLE_MS;
+  return prefillMs(unreadTokens + promptTokens - cached) > BEARABLE_MS;
 }
--- a/packages/router/src/request/completion_check.ts
+++ b/packages/router/src/request/completion_check.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { readMs } from "../process/reading.ts";
+import { prefillMs } from "../process/reading.ts";
 import { urgencyFactor } from "./admission.ts";
 
 /** What is known of an answer before its request is sent. */
@@ -40,6 +40,6 @@
   const { leftMs, unreadTokens, answerTokens, msPerToken, ranksBelow } =
     expected;
   if (msPerToken === undefined) return true;
-  const neededMs = readMs(unreadTokens) + answerTokens * msPerToken;
+  const neededMs = prefillMs(unreadTokens) + answerTokens * msPerToken;
   return neededMs <= leftMs * urgencyFactor(ranksBelow);
 }
--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Runner } from "../process/runner.ts";
-import { readMs } from "../process/reading.ts";
+import { prefillMs } from "../process/reading.ts";
 import { BEARABLE_MS, isLongAnswer, isTight } from "./demand.ts";
 import type { Demand, RunnerFleet } from "./demand.ts";
 
@@ -143,16 +143,16 @@
   const missing = holder === undefined ? 0 : holder.tokens - cached;
   const fetchMsPerToken = demand.engine!.fetchMsPerToken ?? Infinity;
   const fetchMs = missing * fetchMsPerToken;
-  const fetches = missing > 0 && fetchMs < readMs(missing);
+  const fetches = missing > 0 && fetchMs < prefillMs(missing);
   const held = cached + (fetches ? missing : 0);
   const unreadTokens = Math.max(0, demand.promptTokens - held);
-  const againMs = readMs(Math.max(0, promisedTokens - held));
+  const againMs = prefillMs(Math.max(0, promisedTokens - held));
   const tight = isTight(demand);
-  const waitMs = readMs(
+  const waitMs = prefillMs(
     load.total.unreadTokens +
       load.queue.workAhead(demand.turn, fleet.now).unreadTokens,
   );
-  const ownMs = readMs(unreadTokens) + (fetches ? fetchMs + FETCH_MS : 0);
+  const ownMs = prefillMs(unreadTokens) + (fetches ? fetchMs + FETCH_MS : 0);
   const away = atHome ? 0 : holder === undefined ? AWAY_UNKNOWN_MS : AWAY_MS;
   const misplaced = misplacedMs(demand, kept);
   const harm = !tight && waitMs + ownMs > BEARABLE_MS
