--- a/packages/router/src/process/decay.ts
+++ b/packages/router/src/process/decay.ts
@@ -23,7 +23,7 @@
   }
 
   /** Part that is left since the last call, from 0 to 1. */
-  left(now: number): number {
+  remaining(now: number): number {
     if (now <= this.#at) return 1;
     const part = 0.5 ** ((now - this.#at) / this.#halfLifeMs);
     this.#at = now;
--- a/packages/router/src/process/failure_rate.ts
+++ b/packages/router/src/process/failure_rate.ts
@@ -37,7 +37,7 @@
   }
 
   #decay(now: number): void {
-    const left = this.#age.left(now);
+    const left = this.#age.remaining(now);
     this.#answered *= left;
     this.#failed *= left;
   }
--- a/packages/router/src/process/runner_need.ts
+++ b/packages/router/src/process/runner_need.ts
@@ -68,7 +68,7 @@
 
   /** Takes how many runners have work now, with parts of others. */
   observe(busy: number, now: number): void {
-    const left = this.#age.left(now);
+    const left = this.#age.remaining(now);
     this.#busy = left * this.#busy + (1 - left) * busy;
     this.#most = Math.max(this.#decayed(now), this.#busy / BUSY_SHARE);
   }
@@ -83,6 +83,6 @@
   }
 
   #decayed(now: number): number {
-    return this.#most * this.#mostAge.left(now);
+    return this.#most * this.#mostAge.remaining(now);
   }
 }
--- a/packages/router/src/process/stream_pace.ts
+++ b/packages/router/src/process/stream_pace.ts
@@ -37,7 +37,7 @@
   }
 
   #decay(now: number): void {
-    const left = this.#age.left(now);
+    const left = this.#age.remaining(now);
     this.#ms *= left;
     this.#tokens *= left;
   }
