--- a/packages/router/src/process/failure_rate.ts
+++ b/packages/router/src/process/failure_rate.ts
@@ -31,7 +31,7 @@
   }
 
   /** Part of the answers that were failures, from 0 to 1. */
-  share(now: number): number {
+  rate(now: number): number {
     this.#decay(now);
     return this.#failed / (this.#answered + PRIOR_ANSWERS);
   }
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -215,7 +215,7 @@
 
   /** Part of the whole answers to all daemons that were failures lately. */
   failureRate(now: number): number {
-    return this.#failureRate.share(now);
+    return this.#failureRate.rate(now);
   }
 
   /** A whole answer came; it may be a failure of the runner's own. */
