--- a/packages/router/src/process/failure_rate.ts
+++ b/packages/router/src/process/failure_rate.ts
@@ -24,7 +24,7 @@
   readonly #age = new Decay(HALF_LIFE_MS);
 
   /** Notes answers, and how many of them were failures. */
-  note(answered: number, failed: number, now: number): void {
+  record(answered: number, failed: number, now: number): void {
     this.#decay(now);
     this.#answered += answered;
     this.#failed += failed;
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -158,7 +158,7 @@
       share.inFlight >= before.inFlight;
     if (began) this.recordActivity(now);
     const { answered, failed } = this.#newAnswers(neighbour, share);
-    if (answered > 0) this.#failureRate.note(answered, failed, now);
+    if (answered > 0) this.#failureRate.record(answered, failed, now);
     const after = {
       ...share,
       answered: before.answered + answered,
@@ -221,7 +221,7 @@
   /** A whole answer came; it may be a failure of the runner's own. */
   recordAnswer(failed: boolean, now: number): void {
     const count = failed ? 1 : 0;
-    this.#failureRate.note(1, count, now);
+    this.#failureRate.record(1, count, now);
     this.#change({ ...NO_LOAD, answered: 1, failed: count });
   }
 
