--- a/packages/router/src/process/stream_pace.ts
+++ b/packages/router/src/process/stream_pace.ts
@@ -57,7 +57,7 @@
   readonly #runners = new Map<string, DecayedMean>();
 
   /** Notes the time between two events of a stream, and what the later holds. */
-  note(
+  record(
     runner: string,
     seen: {
       readonly ms: number;
--- a/packages/router/src/request/completion_check_test.ts
+++ b/packages/router/src/request/completion_check_test.ts
@@ -9,7 +9,7 @@
 function paceOf(runner: string, ms: number, until: number): StreamPace {
   const pace = new StreamPace();
   for (let now = 0; now <= until; now += ms) {
-    pace.note(runner, { ms, tokens: EVENT_TOKENS, now });
+    pace.record(runner, { ms, tokens: EVENT_TOKENS, now });
   }
   return pace;
 }
@@ -53,7 +53,7 @@
 test("the pace of one runner does not hide that of another", () => {
   const pace = paceOf("slow", 40 * EVENT_TOKENS, 4_000);
   for (let now = 0; now <= 4_000; now += 40) {
-    pace.note("fast", { ms: 40, tokens: EVENT_TOKENS, now });
+    pace.record("fast", { ms: 40, tokens: EVENT_TOKENS, now });
   }
   assert.ok(pace.msPerToken("slow", 4_000)! > 25);
   assert.ok(pace.msPerToken("fast", 4_000)! < 12);
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -152,7 +152,7 @@
     let before: number | undefined;
     return (now) => {
       if (before !== undefined) {
-        pace.note(id, { ms: now - before, tokens, now });
+        pace.record(id, { ms: now - before, tokens, now });
       }
       before = now;
     };
