--- a/packages/router/src/process/runner_plan_test.ts
+++ b/packages/router/src/process/runner_plan_test.ts
@@ -56,7 +56,7 @@
   const [a, ...others] = three({ preemptible: 8 });
   const bounds = { ...BOUNDS, most: 8 };
   const before = { ...a!, preemptible: 0, regular: 8 };
-  const needed = { now: 4, most: 14 };
+  const needed = { now: 4, peak: 14 };
   const plan = planRunners(needed, bounds, [before, ...others]);
   assert.equal(shown(plan), "a:3+5 b:7+0 c:7+0");
 });
