--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -11,7 +11,7 @@
 export type {
   LeaderRecord,
   LeaderStore,
-  RecordWritten,
+  RecordWriteResult as RecordWritten,
   StoredRecord,
 } from "./process/leader_record.ts";
 export type {
--- a/packages/router/src/process/leader_lease.ts
+++ b/packages/router/src/process/leader_lease.ts
@@ -17,7 +17,7 @@
   LeaderRecord,
   LeaderState,
   LeaderStore,
-  RecordWritten,
+  RecordWriteResult,
   StoredRecord,
 } from "./leader_record.ts";
 
@@ -275,7 +275,7 @@
     record: LeaderRecord,
     ifRevision: number,
     sentAt: Moment,
-  ): Promise<RecordWritten | "unknown"> {
+  ): Promise<RecordWriteResult | "unknown"> {
     const written = await this.#asked(() =>
       this.#store.write(record, ifRevision)
     );
--- a/packages/router/src/process/leader_record.ts
+++ b/packages/router/src/process/leader_record.ts
@@ -49,7 +49,7 @@
 }
 
 /** What became of a conditional write. */
-export type RecordWritten =
+export type RecordWriteResult =
   | { readonly kind: "written"; readonly revision: number }
   /** Another revision is there, or none. */
   | { readonly kind: "conflict"; readonly found: StoredRecord | undefined };
@@ -62,7 +62,7 @@
   /** The record, if there is one. */
   read(): Promise<StoredRecord | undefined>;
   /** @param ifRevision revision that it replaces; 0 when there is none. */
-  write(record: LeaderRecord, ifRevision: number): Promise<RecordWritten>;
+  write(record: LeaderRecord, ifRevision: number): Promise<RecordWriteResult>;
 }
 
 /** Work of a fleet that nobody has led yet. */
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -18,7 +18,7 @@
 import type {
   LeaderRecord,
   LeaderStore,
-  RecordWritten,
+  RecordWriteResult,
   StoredRecord,
 } from "../src/process/leader_record.ts";
 import type { Changes, Feed, Listing } from "../src/process/feed.ts";
@@ -117,7 +117,7 @@
   async write(
     record: LeaderRecord,
     ifRevision: number,
-  ): Promise<RecordWritten> {
+  ): Promise<RecordWriteResult> {
     await this.#called();
     const revision = this.record?.revision ?? 0;
     if (revision !== ifRevision) {
