--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -18,7 +18,7 @@
 import type { Choice } from "./placement.ts";
 import type { Progress } from "./progress.ts";
 import { Silence } from "./inactivity_timer.ts";
-import type { Subject } from "./routed_request.ts";
+import type { RoutedRequest } from "./routed_request.ts";
 
 /** Targets without a first event after which a stream is tried elsewhere. */
 const STREAM_SILENCE = 2;
@@ -68,7 +68,11 @@
   }
 
   /** Sends to one runner and passes on what comes. */
-  async at(choice: Choice, subject: Subject, body: Buffer): Promise<Tried> {
+  async at(
+    choice: Choice,
+    subject: RoutedRequest,
+    body: Buffer,
+  ): Promise<Tried> {
     const { call } = subject;
     const { runner } = choice;
     const { fingerprint, leftMs } = this.#progress;
@@ -126,7 +130,7 @@
    * A runner that says nothing for long is given up where another one may go
    * on: callers leave a silent stream after two seconds or more.
    */
-  #watchSilence({ route }: Subject, attempt: Attempt): Silence {
+  #watchSilence({ route }: RoutedRequest, attempt: Attempt): Silence {
     const last = route.maxAttempts <= this.#progress.attempts + 1;
     if (route.repetition === "never" || last) return new Silence(() => {});
     const silence = new Silence(() => attempt.cancel("silent"));
@@ -135,7 +139,11 @@
     return silence;
   }
 
-  async #take(subject: Subject, sent: Sent, parts: TryParts): Promise<Tried> {
+  async #take(
+    subject: RoutedRequest,
+    sent: Sent,
+    parts: TryParts,
+  ): Promise<Tried> {
     const { load } = parts;
     const now = this.#daemon.now();
     if (sent.kind === "answer" || sent.kind === "not-run") {
@@ -194,7 +202,7 @@
     return this.#repeat(reason);
   }
 
-  #ended(subject: Subject, passed: Passed): Tried {
+  #ended(subject: RoutedRequest, passed: Passed): Tried {
     if (passed.kind === "broken") return this.#repeat(passed.reason);
     const { fingerprint, over } = this.#progress;
     this.#daemon.crashes.recordAnswer(fingerprint, this.#daemon.now());
--- a/packages/router/src/request/create_attempt.ts
+++ b/packages/router/src/request/create_attempt.ts
@@ -8,7 +8,7 @@
 import { Attempt } from "./attempt.ts";
 import type { Daemon } from "./daemon.ts";
 import type { Choice } from "./placement.ts";
-import type { Subject } from "./routed_request.ts";
+import type { RoutedRequest } from "./routed_request.ts";
 
 /**
  * Makes an attempt to have a request run by the runner that was chosen; nothing
@@ -16,7 +16,7 @@
  */
 export function attemptOf(
   daemon: Daemon,
-  subject: Subject,
+  subject: RoutedRequest,
   options: {
     readonly request: IncomingMessage;
     readonly choice: Choice;
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -17,7 +17,7 @@
 import { RunnerSearch } from "./runner_search.ts";
 import { RunnerTries } from "./attempt_executor.ts";
 import { findSubject } from "./routed_request.ts";
-import type { Subject } from "./routed_request.ts";
+import type { RoutedRequest } from "./routed_request.ts";
 import { readWhole } from "./read_body.ts";
 
 /** Milliseconds left under which no other runner is tried. */
@@ -69,7 +69,7 @@
   }
 
   /** The caller gets its final answer at the timeout, not some time after it. */
-  #startTimer({ call, route }: Subject): NodeJS.Timeout {
+  #startTimer({ call, route }: RoutedRequest): NodeJS.Timeout {
     const span = Math.min(route.timeoutMs, call.deadlineMs ?? Infinity);
     this.#progress.expiresAt = this.#progress.startedAt + span;
     return setTimeout(() => {
@@ -80,7 +80,7 @@
     }, span);
   }
 
-  async #serve(subject: Subject): Promise<Outcome> {
+  async #serve(subject: RoutedRequest): Promise<Outcome> {
     const limits = this.#daemon.routingTable()!.limits;
     this.#reading = true;
     const whole = await readWhole(this.#caller.request, limits.maxBodyBytes);
@@ -97,7 +97,7 @@
     return await this.#tryRunners(subject, whole.body);
   }
 
-  #fingerprintOf({ call, workspace }: Subject, body: Buffer): string {
+  #fingerprintOf({ call, workspace }: RoutedRequest, body: Buffer): string {
     const { method, url } = this.#caller.request;
     return fingerprintOf({
       host: call.host,
@@ -108,7 +108,7 @@
     });
   }
 
-  async #tryRunners(subject: Subject, body: Buffer): Promise<Outcome> {
+  async #tryRunners(subject: RoutedRequest, body: Buffer): Promise<Outcome> {
     const progress = this.#progress;
     let fallback: (() => Outcome) | undefined;
     const search = new RunnerSearch(this.#daemon, subject, {
@@ -148,7 +148,7 @@
     }
   }
 
-  #mayTryAgain({ route, service }: Subject): boolean {
+  #mayTryAgain({ route, service }: RoutedRequest): boolean {
     const { over, attempts, mayHaveRun, tried } = this.#progress;
     if (over || attempts >= route.maxAttempts) return false;
     if (mayHaveRun && route.repetition === "never") return false;
@@ -163,13 +163,13 @@
     return this.#daemon.crashes.quarantine(fingerprint, this.#daemon.now());
   }
 
-  #refuse({ call }: Subject, quarantine: Quarantine): Outcome {
+  #refuse({ call }: RoutedRequest, quarantine: Quarantine): Outcome {
     const { fingerprint } = this.#progress;
     logQuarantine(this.#daemon, call.id, { quarantine, fingerprint });
     return this.#own.quarantine(quarantine);
   }
 
-  #end(call: RequestHead, ended: Outcome, subject?: Subject): void {
+  #end(call: RequestHead, ended: Outcome, subject?: RoutedRequest): void {
     const gone = this.#caller.disconnected && ended.kind !== "answered";
     const outcome: Outcome = gone ? { kind: "left" } : ended;
     if (outcome.kind === "refused") this.#caller.refuse(outcome.refusal);
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -7,12 +7,12 @@
 import type { QueueKey } from "../process/runner_queue.ts";
 import type { Daemon } from "./daemon.ts";
 import type { Choice } from "./placement.ts";
-import type { Subject } from "./routed_request.ts";
+import type { RoutedRequest } from "./routed_request.ts";
 
 /** Tells why no runner was sent a request, and how full the best was. */
 export function logOverload(
   daemon: Daemon,
-  subject: Subject,
+  subject: RoutedRequest,
   overload: {
     readonly choice: Choice;
     readonly waitedMs: number;
@@ -44,7 +44,7 @@
 /** Tells that all runners which are left have had what they take. */
 export function logLimited(
   daemon: Daemon,
-  subject: Subject,
+  subject: RoutedRequest,
   limits: {
     readonly limited: number;
     readonly waitedMs: number;
@@ -65,7 +65,7 @@
 /** Tells that a request waits for a runner, and for what. */
 export function logWait(
   daemon: Daemon,
-  subject: Subject,
+  subject: RoutedRequest,
   wait: { readonly choice: Choice; readonly turn: QueueKey },
 ): void {
   const { runner, candidates, unreadTokens } = wait.choice;
@@ -101,7 +101,7 @@
 /** Tells which runner was chosen, and what was known of it. */
 export function logChoice(
   daemon: Daemon,
-  subject: Subject,
+  subject: RoutedRequest,
   chosen: {
     readonly choice: Choice;
     /** The same for each try of the request. */
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -10,7 +10,7 @@
 import type { Daemon } from "./daemon.ts";
 import type { Silence } from "./inactivity_timer.ts";
 import { StreamRelay } from "./stream_relay.ts";
-import type { Subject } from "./routed_request.ts";
+import type { RoutedRequest } from "./routed_request.ts";
 import { readWhole } from "./read_body.ts";
 
 /** Largest answer that is held to be checked before it is passed on, in bytes. */
@@ -79,7 +79,7 @@
   }
 
   /** Passes one answer on, if its runner vouches for it. */
-  pass(subject: Subject, sent: Answer, parts: TryParts): Promise<Passed> {
+  pass(subject: RoutedRequest, sent: Answer, parts: TryParts): Promise<Passed> {
     const { status, head } = sent;
     const success = status < FIRST_ERROR;
     if (success && (!head.sealed || head.encoded)) {
@@ -94,7 +94,7 @@
   }
 
   async #passWhole(
-    subject: Subject,
+    subject: RoutedRequest,
     sent: Answer,
     parts: TryParts,
   ): Promise<Passed> {
@@ -115,7 +115,7 @@
   }
 
   async #passStream(
-    subject: Subject,
+    subject: RoutedRequest,
     sent: Answer,
     parts: TryParts,
   ): Promise<Passed> {
@@ -143,7 +143,7 @@
   }
 
   /** Takes the times of a stream's events. */
-  #paceOf(subject: Subject, parts: TryParts): (now: number) => void {
+  #paceOf(subject: RoutedRequest, parts: TryParts): (now: number) => void {
     const { service } = subject;
     if (service.engine === undefined) return () => {};
     const { eventTokens: tokens } = service.engine;
@@ -158,7 +158,7 @@
     };
   }
 
-  #streamOf(subject: Subject): StreamRelay {
+  #streamOf(subject: RoutedRequest): StreamRelay {
     this.#stream ??= new StreamRelay(this.#caller.response, {
       dialect: this.#daemon.dialect,
       lastId: subject.call.lastEventId,
@@ -167,7 +167,7 @@
   }
 
   /** The first event came: the prompt has been read. */
-  #begin(subject: Subject, sent: Answer, parts: TryParts): void {
+  #begin(subject: RoutedRequest, sent: Answer, parts: TryParts): void {
     const { load, placed, attempt } = parts;
     this.#daemon.requestStarted(subject);
     load.recordFirstEvent(placed);
--- a/packages/router/src/request/routed_request.ts
+++ b/packages/router/src/request/routed_request.ts
@@ -16,7 +16,7 @@
 const KNOWN_LATER_MS = 1_000;
 
 /** What is known of a request once its route is found. */
-export interface Subject {
+export interface RoutedRequest {
   readonly call: RequestHead;
   readonly route: Route;
   readonly service: Service;
@@ -35,7 +35,7 @@
   daemon: Daemon,
   request: IncomingMessage,
   call: RequestHead,
-): Subject | Refusal {
+): RoutedRequest | Refusal {
   const table = daemon.routingTable();
   if (daemon.closed) {
     return { status: 503, code: "leaving", retryAfterMs: 0, close: true };
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -13,7 +13,7 @@
 import { chooseRunner, hasRoom } from "./placement.ts";
 import type { Choice } from "./placement.ts";
 import { RoomWait } from "./capacity_wait.ts";
-import type { Subject } from "./routed_request.ts";
+import type { RoutedRequest } from "./routed_request.ts";
 
 /**
  * Part of the time that a caller has for which its request waits for room. The
@@ -73,11 +73,11 @@
 /** Finds runners for one request, one for each try. */
 export class RunnerSearch {
   readonly #daemon: Daemon;
-  readonly #subject: Subject;
+  readonly #subject: RoutedRequest;
   readonly #limits: SearchLimits;
   readonly #turn: QueueKey;
 
-  constructor(daemon: Daemon, subject: Subject, limits: SearchLimits) {
+  constructor(daemon: Daemon, subject: RoutedRequest, limits: SearchLimits) {
     this.#daemon = daemon;
     this.#subject = subject;
     this.#limits = limits;
