--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -16,7 +16,7 @@
 import { Progress } from "./progress.ts";
 import { RunnerSearch } from "./runner_search.ts";
 import { RunnerTries } from "./attempt_executor.ts";
-import { findSubject } from "./routed_request.ts";
+import { routeRequest } from "./routed_request.ts";
 import type { RoutedRequest } from "./routed_request.ts";
 import { readWhole } from "./read_body.ts";
 
@@ -51,7 +51,7 @@
     const call = this.#daemon.dialect.parseRequest(
       this.#caller.request.rawHeaders,
     );
-    const found = findSubject(this.#daemon, this.#caller.request, call);
+    const found = routeRequest(this.#daemon, this.#caller.request, call);
     if ("status" in found) {
       return this.#end(call, { kind: "refused", refusal: found });
     }
--- a/packages/router/src/request/routed_request.ts
+++ b/packages/router/src/request/routed_request.ts
@@ -31,7 +31,7 @@
 }
 
 /** Finds what a request is about, or why it is refused. */
-export function findSubject(
+export function routeRequest(
   daemon: Daemon,
   request: IncomingMessage,
   call: RequestHead,
