--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -73,7 +73,7 @@
     subject: RoutedRequest,
     body: Buffer,
   ): Promise<Tried> {
-    const { call } = subject;
+    const { head: call } = subject;
     const { runner } = choice;
     const { fingerprint, leftMs } = this.#progress;
     const load = this.#daemon.loads.of(runner.id);
--- a/packages/router/src/request/create_attempt.ts
+++ b/packages/router/src/request/create_attempt.ts
@@ -28,7 +28,7 @@
   },
 ): Attempt {
   const { request, choice, body, leftMs, lastEventId } = options;
-  const { call, service, workspace } = subject;
+  const { head: call, service, workspace } = subject;
   const { runner, fetchFrom } = choice;
   const headers = daemon.dialect.runnerHeaders(request.rawHeaders, {
     runnerName: runner.name,
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -69,7 +69,7 @@
   }
 
   /** The caller gets its final answer at the timeout, not some time after it. */
-  #startTimer({ call, route }: RoutedRequest): NodeJS.Timeout {
+  #startTimer({ head: call, route }: RoutedRequest): NodeJS.Timeout {
     const span = Math.min(route.timeoutMs, call.deadlineMs ?? Infinity);
     this.#progress.expiresAt = this.#progress.startedAt + span;
     return setTimeout(() => {
@@ -97,7 +97,10 @@
     return await this.#tryRunners(subject, whole.body);
   }
 
-  #fingerprintOf({ call, workspace }: RoutedRequest, body: Buffer): string {
+  #fingerprintOf(
+    { head: call, workspace }: RoutedRequest,
+    body: Buffer,
+  ): string {
     const { method, url } = this.#caller.request;
     return fingerprintOf({
       host: call.host,
@@ -135,7 +138,7 @@
       const tried = await this.#tries.at(choice, subject, body);
       if (tried.kind === "done") return tried.outcome;
       const again = !progress.expired && this.#mayTryAgain(subject);
-      this.#daemon.log.decision("attempt_failed", subject.call.id, {
+      this.#daemon.log.decision("attempt_failed", subject.head.id, {
         fingerprint: progress.fingerprint,
         runner: choice.runner.id,
         reason: tried.reason,
@@ -163,7 +166,7 @@
     return this.#daemon.crashes.quarantine(fingerprint, this.#daemon.now());
   }
 
-  #refuse({ call }: RoutedRequest, quarantine: Quarantine): Outcome {
+  #refuse({ head: call }: RoutedRequest, quarantine: Quarantine): Outcome {
     const { fingerprint } = this.#progress;
     logQuarantine(this.#daemon, call.id, { quarantine, fingerprint });
     return this.#own.quarantine(quarantine);
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -24,7 +24,7 @@
   const pace = daemon.pace(subject.service.name)
     .msPerToken(choice.runner.id, daemon.now());
   const { total: all } = daemon.loads.of(choice.runner.id);
-  daemon.log.decision("overload_found", subject.call.id, {
+  daemon.log.decision("overload_found", subject.head.id, {
     service: subject.service.name,
     runner: choice.runner.id,
     rank: subject.rank,
@@ -36,7 +36,7 @@
     waited_ms: Math.round(waitedMs),
     in_time: inTime,
     ms_per_token: pace === undefined ? undefined : Math.round(pace),
-    expected_tokens: subject.call.expectedOutputTokens,
+    expected_tokens: subject.head.expectedOutputTokens,
     runners_age_ms: Math.round(daemon.runnersAgeMs()),
   });
 }
@@ -52,7 +52,7 @@
     readonly hasPart: boolean;
   },
 ): void {
-  daemon.log.decision("limits_reached", subject.call.id, {
+  daemon.log.decision("limits_reached", subject.head.id, {
     service: subject.service.name,
     rank: subject.rank,
     limited: limits.limited,
@@ -70,7 +70,7 @@
 ): void {
   const { runner, candidates, unreadTokens } = wait.choice;
   const load = daemon.loads.of(runner.id);
-  daemon.log.decision("room_awaited", subject.call.id, {
+  daemon.log.decision("room_awaited", subject.head.id, {
     service: subject.service.name,
     runner: runner.id,
     rank: subject.rank,
@@ -109,7 +109,7 @@
     readonly leftMs: number;
   },
 ): void {
-  const { call, route, service, version } = subject;
+  const { head: call, route, service, version } = subject;
   const { choice, fingerprint, leftMs } = chosen;
   const load = daemon.loads.of(choice.runner.id);
   daemon.log.decision("runner_chosen", call.id, {
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -161,7 +161,7 @@
   #streamOf(subject: RoutedRequest): StreamRelay {
     this.#stream ??= new StreamRelay(this.#caller.response, {
       dialect: this.#daemon.dialect,
-      lastId: subject.call.lastEventId,
+      lastId: subject.head.lastEventId,
     });
     return this.#stream;
   }
@@ -172,7 +172,7 @@
     this.#daemon.requestStarted(subject);
     load.recordFirstEvent(placed);
     load.recordSuccess();
-    const { prompt } = subject.call;
+    const { prompt } = subject.head;
     this.#daemon.prefixes.recordRead(
       attempt.runner.id,
       prompt,
--- a/packages/router/src/request/routed_request.ts
+++ b/packages/router/src/request/routed_request.ts
@@ -17,7 +17,7 @@
 
 /** What is known of a request once its route is found. */
 export interface RoutedRequest {
-  readonly call: RequestHead;
+  readonly head: RequestHead;
   readonly route: Route;
   readonly service: Service;
   readonly workspace: Workspace | undefined;
@@ -57,7 +57,7 @@
   }
   const rank = table.rank(route, workspace);
   return {
-    call,
+    head: call,
     route,
     service,
     workspace,
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -197,7 +197,7 @@
    * not is read and made in vain, and slows down those that would.
    */
   #endsInTime(choice: Choice, leftMs: number): boolean {
-    const { call, service, ranksBelow } = this.#subject;
+    const { head: call, service, ranksBelow } = this.#subject;
     if (service.engine === undefined) return true;
     const msPerToken = this.#daemon.pace(service.name)
       .msPerToken(choice.runner.id, this.#daemon.now());
@@ -264,7 +264,7 @@
   }
 
   #demand(waitsFor?: string): Demand {
-    const { call, route, service, ranksBelow } = this.#subject;
+    const { head: call, route, service, ranksBelow } = this.#subject;
     return {
       prompt: call.prompt,
       promptTokens: call.promptTokens,
