--- a/packages/router/src/request/demand.ts
+++ b/packages/router/src/request/demand.ts
@@ -81,7 +81,7 @@
  * pause, and each token takes a step with a chunk. What callers expect is right
  * in the middle and often far off; it only decides between runners.
  */
-export function isLongAnswer(demand: Demand): boolean {
+export function hasLongOutput(demand: Demand): boolean {
   const { expectedTokens, timeoutMs } = demand;
   if (expectedTokens === undefined) return false;
   return expectedTokens * CHUNK_STEP_MS > LONG_ANSWER_SHARE * timeoutMs;
--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -5,7 +5,7 @@
  */
 import type { Runner } from "../process/runner.ts";
 import { prefillMs } from "../process/reading.ts";
-import { BEARABLE_MS, isLongAnswer, isTight } from "./demand.ts";
+import { BEARABLE_MS, hasLongOutput, isTight } from "./demand.ts";
 import type { Demand, RunnerFleet } from "./demand.ts";
 
 /**
@@ -120,7 +120,7 @@
 /** What a request risks, or makes others risk, by the runner's kind, in ms. */
 function misplacedMs(demand: Demand, kept: boolean): number {
   if (isTight(demand)) return kept ? 0 : AMONG_LONG_MS;
-  if (isLongAnswer(demand)) return kept ? 0 : LONG_ANSWER_MS;
+  if (hasLongOutput(demand)) return kept ? 0 : LONG_ANSWER_MS;
   return kept ? AMONG_TIGHT_MS : 0;
 }
 
