--- a/packages/router/src/connection/apply_update.ts
+++ b/packages/router/src/connection/apply_update.ts
@@ -12,7 +12,7 @@
 import type { UsageMeter } from "../process/usage_meter.ts";
 import { newsOf } from "./crash_ages.ts";
 import type { ToldNews } from "./neighbour_news.ts";
-import type { LoadShare, StateUpdate } from "./peer_message.ts";
+import type { RunnerLoadEntry, StateUpdate } from "./peer_message.ts";
 
 /** What daemons tell each other of runners. */
 export interface RunnerKnowledge {
@@ -68,7 +68,7 @@
 }
 
 function takeLoad(loads: RunnerLoads, neighbour: string, told: {
-  readonly share: LoadShare;
+  readonly share: RunnerLoadEntry;
   readonly now: number;
 }): void {
   const { share, now } = told;
--- a/packages/router/src/connection/load_sums.ts
+++ b/packages/router/src/connection/load_sums.ts
@@ -7,7 +7,7 @@
 import type { RunnerLoads } from "../process/runner_loads.ts";
 import { precedes } from "../process/runner_queue.ts";
 import type { NeighbourFilter, WaitingEntry } from "../process/runner_queue.ts";
-import type { LoadShare, WaitingNews } from "./peer_message.ts";
+import type { QueuedRequests, RunnerLoadEntry } from "./peer_message.ts";
 
 /** Milliseconds told of a request without target. */
 const LONGEST_LEFT_MS = 3_600_000;
@@ -31,7 +31,10 @@
    * The loads on some runners, of this daemon and of those that some neighbours
    * told of. Nobody is told what came from itself.
    */
-  of(runners: Iterable<string>, counts: NeighbourFilter): readonly LoadShare[] {
+  of(
+    runners: Iterable<string>,
+    counts: NeighbourFilter,
+  ): readonly RunnerLoadEntry[] {
     const now = performance.now();
     return [...runners].map((runner) => this.#sum(runner, counts, now));
   }
@@ -39,8 +42,8 @@
   /** The same loads for one neighbour, without what came from itself. */
   without(
     neighbour: string,
-    loads: readonly LoadShare[],
-  ): readonly LoadShare[] {
+    loads: readonly RunnerLoadEntry[],
+  ): readonly RunnerLoadEntry[] {
     const now = performance.now();
     return loads.map((each) =>
       this.#loads.of(each.runner).hasLoadFrom(neighbour)
@@ -50,11 +53,11 @@
   }
 
   /** All loads that there are. */
-  all(counts: NeighbourFilter): readonly LoadShare[] {
+  all(counts: NeighbourFilter): readonly RunnerLoadEntry[] {
     return this.of(this.#loads.ids(), counts).filter(isLoaded);
   }
 
-  #sum(runner: string, counts: NeighbourFilter, now: number): LoadShare {
+  #sum(runner: string, counts: NeighbourFilter, now: number): RunnerLoadEntry {
     const load = this.#loads.of(runner);
     const waiting = inFewEntries(load.queue.entriesFrom(counts), now);
     return {
@@ -65,11 +68,11 @@
   }
 }
 
-function isLoaded({ inFlight, answered, waiting }: LoadShare): boolean {
+function isLoaded({ inFlight, answered, waiting }: RunnerLoadEntry): boolean {
   return inFlight > 0 || answered > 0 || waiting.length > 0;
 }
 
-function newsOf(waiting: WaitingEntry, now: number): WaitingNews {
+function newsOf(waiting: WaitingEntry, now: number): QueuedRequests {
   const { rank, arrivedAt: since, startBy, requests, unreadTokens } = waiting;
   return {
     rank,
--- a/packages/router/src/connection/membership_counts.ts
+++ b/packages/router/src/connection/membership_counts.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { SlidingMax } from "../process/recent_most.ts";
-import type { Members } from "./peer_message.ts";
+import type { MemberCounts } from "./peer_message.ts";
 
 /**
  * Milliseconds for which the largest size of the fleet counts. Retries and
@@ -21,7 +21,7 @@
 
 /** Adds up for how many daemons each neighbour speaks. */
 export class MembershipCounts {
-  readonly #told = new Map<string, Members>();
+  readonly #told = new Map<string, MemberCounts>();
   readonly #fleet = new SlidingMax(FLEET_MS);
   readonly #domain = new SlidingMax(DOMAIN_MS);
 
@@ -30,7 +30,7 @@
    *
    * @returns whether it differs from what it told before.
    */
-  toldBy(neighbour: string, members: Members): boolean {
+  toldBy(neighbour: string, members: MemberCounts): boolean {
     const before = this.#told.get(neighbour);
     this.#told.set(neighbour, members);
     return before?.fleet !== members.fleet || before.domain !== members.domain;
@@ -42,7 +42,7 @@
   }
 
   /** This daemon and those that some neighbours speak for. */
-  sumBy(counts: (neighbour: string) => boolean): Members {
+  sumBy(counts: (neighbour: string) => boolean): MemberCounts {
     let fleet = 1;
     let domain = 1;
     for (const [neighbour, members] of this.#told) {
@@ -54,7 +54,7 @@
   }
 
   /** The largest counts of the last while. */
-  recent(now: number): Members {
+  recent(now: number): MemberCounts {
     const { fleet, domain } = this.sumBy(() => true);
     return {
       fleet: this.#fleet.update(fleet, now),
--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/neighbour_news.ts
@@ -22,7 +22,7 @@
 import type { Post, Told } from "./outbox.ts";
 import type { Overlay, Role } from "./overlay.ts";
 import { encodeMessage } from "./peer_link.ts";
-import type { LoadShare, StateUpdate, Versions } from "./peer_message.ts";
+import type { RunnerLoadEntry, StateUpdate, Versions } from "./peer_message.ts";
 import type { Peer, Peers } from "./peers.ts";
 
 /** Bytes of a runner's load in a message, about, while requests wait for it. */
@@ -252,7 +252,7 @@
   #frameFor(
     child: string,
     post: Post,
-    everything: readonly LoadShare[],
+    everything: readonly RunnerLoadEntry[],
   ): Buffer {
     const others: NeighbourFilter = (name) => name !== child;
     const loads = this.#sums.without(child, everything);
@@ -269,7 +269,7 @@
 
   #state(
     { parts, contacts, crashes, limits, usage, lease }: StateNews,
-    loads: readonly LoadShare[],
+    loads: readonly RunnerLoadEntry[],
     counts: NeighbourFilter,
   ): StateUpdate {
     const now = performance.now();
--- a/packages/router/src/connection/overlay.ts
+++ b/packages/router/src/connection/overlay.ts
@@ -10,7 +10,7 @@
 import type { EventLog } from "../process/event_log.ts";
 import { planLinks, relaysOf } from "../process/link_plan.ts";
 import type { LinkPlan } from "../process/link_plan.ts";
-import type { Members, Subscribe } from "./peer_message.ts";
+import type { MemberCounts, Subscribe } from "./peer_message.ts";
 import type { Peer, Peers } from "./peers.ts";
 
 /**
@@ -60,7 +60,7 @@
   readonly relaysFrom: number;
   readonly peers: Peers;
   /** Daemons that can be heard of, with this one. */
-  members(): Members;
+  members(): MemberCounts;
   /** The role of a peer has changed from `before`. */
   roleChanged(peer: Peer, before: Role | undefined): void;
 }
--- a/packages/router/src/connection/peer_encoding.ts
+++ b/packages/router/src/connection/peer_encoding.ts
@@ -15,14 +15,14 @@
 import type { RunnerListUpdate } from "../process/runner_directory.ts";
 import type { Configuration } from "../version/configuration.ts";
 import type {
-  Give,
+  FetchResponse,
   Hello,
   LeaseAge,
   LimitAge,
-  LoadShare,
   PeerMessage,
+  QueuedRequests,
+  RunnerLoadEntry,
   StateUpdate,
-  WaitingNews,
 } from "./peer_message.ts";
 
 type PackedWaiting = readonly [
@@ -96,7 +96,7 @@
 
 const ADDRESS = /^[^\s:]+:\d{1,5}$/;
 
-function packLoad(load: LoadShare): PackedLoad {
+function packLoad(load: RunnerLoadEntry): PackedLoad {
   return [
     load.runner,
     load.inFlight,
@@ -112,7 +112,7 @@
   ];
 }
 
-function unpackWaiting(packed: PackedWaiting): WaitingNews {
+function unpackWaiting(packed: PackedWaiting): QueuedRequests {
   const [rank, ageMs, unreadTokens, leftMs, requests] = packed;
   return {
     rank,
@@ -124,7 +124,7 @@
 }
 
 /** One that is too low draws all requests to a runner, so none is taken on trust. */
-function unpackLoad(packed: PackedLoad): LoadShare {
+function unpackLoad(packed: PackedLoad): RunnerLoadEntry {
   const [runner, inFlight, unreadTokens, workTokens, memoryTokens, tight] =
     packed;
   const [, , , , , , waiting, answered, failed] = packed;
@@ -269,16 +269,16 @@
 
 /** A message that goes with the names of its fields. */
 type PackedNamed =
-  | Exclude<PeerMessage, Give | Hello | StateUpdate>
+  | Exclude<PeerMessage, FetchResponse | Hello | StateUpdate>
   | (Omit<Hello, "known"> & { readonly known: readonly PackedContact[] })
   | PackedGive;
 
-type PackedGive = Omit<Give, "configuration" | "runners"> & {
+type PackedGive = Omit<FetchResponse, "configuration" | "runners"> & {
   readonly configuration: Uint8Array | undefined;
   readonly runners: Uint8Array | undefined;
 };
 
-function packGive(give: Give): PackedGive {
+function packGive(give: FetchResponse): PackedGive {
   const { configuration, runners } = give;
   return {
     ...give,
@@ -287,7 +287,7 @@
   };
 }
 
-function unpackGive(packed: PackedGive): Give {
+function unpackGive(packed: PackedGive): FetchResponse {
   const { configuration, runners } = packed;
   return {
     ...packed,
--- a/packages/router/src/connection/peer_link_test.ts
+++ b/packages/router/src/connection/peer_link_test.ts
@@ -11,7 +11,7 @@
 import type { CrashAges } from "./crash_ages.ts";
 import { encodeMessage, PeerLink, SILENCE_MS } from "./peer_link.ts";
 import { NO_LOAD } from "../process/share.ts";
-import { PROTOCOL } from "./peer_message.ts";
+import { PROTOCOL_VERSION } from "./peer_message.ts";
 import type { PeerMessage } from "./peer_message.ts";
 
 const WANT: PeerMessage = {
@@ -197,7 +197,12 @@
     linkMbps: 10,
   };
   const known = [sound, { ...sound, address: "nowhere" }];
-  const hello = { kind: "hello", protocol: PROTOCOL, ...sound, known } as const;
+  const hello = {
+    kind: "hello",
+    protocol: PROTOCOL_VERSION,
+    ...sound,
+    known,
+  } as const;
   far.end(encodeMessage(hello));
   await closed;
   assert.deepEqual(received, [{ ...hello, known: [sound] }]);
--- a/packages/router/src/connection/peer_message.ts
+++ b/packages/router/src/connection/peer_message.ts
@@ -18,10 +18,10 @@
  * Version of this protocol. Daemons of different versions keep no links, as each
  * would take the other's sums for something else.
  */
-export const PROTOCOL = 3;
+export const PROTOCOL_VERSION = 3;
 
 /** Requests that wait, as they are told. */
-export interface WaitingNews {
+export interface QueuedRequests {
   readonly rank: number;
   /** Milliseconds since they came. */
   readonly ageMs: number;
@@ -32,9 +32,9 @@
 }
 
 /** Load that the sender, and those it speaks for, put on one runner. */
-export interface LoadShare extends LoadTotals {
+export interface RunnerLoadEntry extends LoadTotals {
   readonly runner: string;
-  readonly waiting: readonly WaitingNews[];
+  readonly waiting: readonly QueuedRequests[];
 }
 
 /** First message on a link, in both directions. */
@@ -54,7 +54,7 @@
 }
 
 /** For how many daemons a message speaks. */
-export interface Members {
+export interface MemberCounts {
   readonly fleet: number;
   /** Those of them in the sender's failure domain. */
   readonly domain: number;
@@ -69,10 +69,10 @@
 };
 
 /** What changed on runners, put together from one daemon or many. */
-export interface LoadNews {
+export interface RunnerUpdate {
   /** Whether it names all loads, not only changed ones. */
   readonly whole: boolean;
-  readonly loads: readonly LoadShare[];
+  readonly loads: readonly RunnerLoadEntry[];
   readonly parts: readonly PrefixUpdate[];
   /** Requests at runners that ended, and answers that clear some of them. */
   readonly crashes: CrashAges;
@@ -80,9 +80,9 @@
 }
 
 /** What changed since the last one; also the heartbeat of a link. */
-export interface StateUpdate extends Versions, LoadNews, ContactUpdates {
+export interface StateUpdate extends Versions, RunnerUpdate, ContactUpdates {
   readonly kind: "state";
-  readonly members: Members;
+  readonly members: MemberCounts;
   /** The time of day as the sender takes it to be, in epoch ms, if it tells. */
   readonly timeMs: number | undefined;
   /** Requests that runners began, for those that may lead. */
@@ -91,7 +91,7 @@
 }
 
 /** Asks for what the other side has newer. */
-export interface Want {
+export interface FetchRequest {
   readonly kind: "want";
   readonly configuration: boolean;
   /** Revision of the list of runners that the sender has; none to get no list. */
@@ -100,8 +100,8 @@
   readonly parts: boolean;
 }
 
-/** Answers a {@linkcode Want}. */
-export interface Give {
+/** Answers a {@linkcode FetchRequest}. */
+export interface FetchResponse {
   readonly kind: "give";
   readonly configuration: Configuration | undefined;
   readonly runners: RunnerListUpdate | undefined;
@@ -119,7 +119,7 @@
 }
 
 /** Says that the sender does not need the link; whoever does keeps it. */
-export interface Unneeded {
+export interface LinkUnneeded {
   readonly kind: "unneeded";
 }
 
@@ -127,7 +127,7 @@
 export type PeerMessage =
   | Hello
   | StateUpdate
-  | Want
-  | Give
+  | FetchRequest
+  | FetchResponse
   | Subscribe
-  | Unneeded;
+  | LinkUnneeded;
--- a/packages/router/src/connection/peers.ts
+++ b/packages/router/src/connection/peers.ts
@@ -8,7 +8,7 @@
 import type { EventLog } from "../process/event_log.ts";
 import type { ListenAddress } from "../process/settings.ts";
 import type { Link } from "./peer_link.ts";
-import { PROTOCOL } from "./peer_message.ts";
+import { PROTOCOL_VERSION } from "./peer_message.ts";
 import type { Hello, PeerMessage } from "./peer_message.ts";
 import type { LinkOpening, PeerNetwork } from "./peer_network.ts";
 
@@ -238,7 +238,7 @@
 
   #hello(to: Contact | undefined): Hello {
     const known = this.#listener.knownFor(to);
-    return { kind: "hello", protocol: PROTOCOL, ...this.#own, known };
+    return { kind: "hello", protocol: PROTOCOL_VERSION, ...this.#own, known };
   }
 
   #greeted(hello: Hello, link: Link, dialled: boolean): Peer | undefined {
@@ -278,7 +278,7 @@
 
   #isWelcome({ name, protocol, address }: Hello): boolean {
     if (name === this.#own.name) return false;
-    if (protocol === PROTOCOL) return this.#peers.size < MAX_LINKS;
+    if (protocol === PROTOCOL_VERSION) return this.#peers.size < MAX_LINKS;
     if (!this.#foreign.has(address)) {
       if (this.#foreign.size >= MAX_FOREIGN) this.#foreign.clear();
       this.#foreign.add(address);
--- a/packages/router/src/connection/sharing.ts
+++ b/packages/router/src/connection/sharing.ts
@@ -15,7 +15,7 @@
 import { Overlay } from "./overlay.ts";
 import type { Role } from "./overlay.ts";
 import { SILENCE_MS } from "./peer_link.ts";
-import type { Members, PeerMessage, StateUpdate } from "./peer_message.ts";
+import type { MemberCounts, PeerMessage, StateUpdate } from "./peer_message.ts";
 import type { Peer, PeerListener, Peers } from "./peers.ts";
 import { StateTimer } from "./state_timer.ts";
 import { periodMs, settleMs } from "./sharing_pace.ts";
@@ -267,7 +267,7 @@
     this.wake();
   }
 
-  #takeMembers(peer: Peer, { fleet, domain }: Members): void {
+  #takeMembers(peer: Peer, { fleet, domain }: MemberCounts): void {
     const near = peer.failureDomain === this.#own.failureDomain;
     const told = { fleet, domain: near ? domain : 0 };
     if (!this.#counts.toldBy(peer.name, told)) return;
--- a/packages/router/src/connection/version_exchange.ts
+++ b/packages/router/src/connection/version_exchange.ts
@@ -6,7 +6,7 @@
 import type { PrefixIndex } from "../process/prefix_record.ts";
 import type { RunnerDirectory } from "../process/runner_directory.ts";
 import type { Configuration } from "../version/configuration.ts";
-import type { Give, Versions, Want } from "./peer_message.ts";
+import type { FetchRequest, FetchResponse, Versions } from "./peer_message.ts";
 import type { Peer } from "./peers.ts";
 
 /** Milliseconds before newer data is asked for again. */
@@ -110,7 +110,7 @@
   }
 
   /** Gives a peer what it asks for. */
-  give(peer: Peer, { configuration, runnersSince, parts }: Want): void {
+  give(peer: Peer, { configuration, runnersSince, parts }: FetchRequest): void {
     const { directory, prefixes } = this.#known;
     peer.link.send({
       kind: "give",
@@ -123,7 +123,10 @@
   }
 
   /** Takes what a peer gives. */
-  take(peer: Peer, { configuration, runners, parts = [] }: Give): void {
+  take(
+    peer: Peer,
+    { configuration, runners, parts = [] }: FetchResponse,
+  ): void {
     const now = performance.now();
     this.#wantedAt = -Infinity;
     this.#givenAt = now;
