--- a/packages/router/src/connection/apply_update.ts
+++ b/packages/router/src/connection/apply_update.ts
@@ -11,11 +11,11 @@
 import type { LeaderLease } from "../process/leader_lease.ts";
 import type { UsageMeter } from "../process/usage_meter.ts";
 import { newsOf } from "./crash_ages.ts";
-import type { ToldNews } from "./neighbour_news.ts";
+import type { ReceivedUpdate } from "./update_broadcaster.ts";
 import type { RunnerLoadEntry, StateUpdate } from "./peer_message.ts";
 
 /** What daemons tell each other of runners. */
-export interface RunnerKnowledge {
+export interface SharedRunnerState {
   readonly loads: RunnerLoads;
   readonly prefixes: PrefixIndex;
   readonly crashes: CrashRecord;
@@ -36,11 +36,11 @@
  *
  * @returns what of it others may lack.
  */
-export function takeNews(
-  known: RunnerKnowledge & SharedLeaderState,
+export function applyUpdate(
+  known: SharedRunnerState & SharedLeaderState,
   neighbour: string,
   state: StateUpdate,
-): ToldNews {
+): ReceivedUpdate {
   const { whole, loads, parts, crashes, limits } = state;
   const now = performance.now();
   const { timeMs, lease } = state;
--- a/packages/router/src/connection/sharing_pace.ts
+++ b/packages/router/src/connection/broadcast_interval.ts
@@ -42,7 +42,7 @@
 const RELAYS_OF_LARGE_DOMAINS = 4;
 
 /** What the pace follows from. */
-export interface SharingMoment {
+export interface IntervalInputs {
   /** How many links are up. */
   readonly peers: number;
   /** Whether loads go through relays. */
@@ -59,7 +59,7 @@
 }
 
 /** Milliseconds between two states. */
-export function periodMs(moment: SharingMoment): number {
+export function broadcastIntervalMs(moment: IntervalInputs): number {
   const { peers, relayed, newer, waits } = moment;
   if (!relayed) return Math.max(SHORTEST_PERIOD_MS, PERIOD_PER_PEER_MS * peers);
   if (newer.configuration) return SHORTEST_PERIOD_MS;
@@ -68,10 +68,10 @@
 }
 
 /** Milliseconds in which all daemons know of a request that waits here. */
-export function settleMs(moment: SharingMoment): number {
+export function propagationMs(moment: IntervalInputs): number {
   const { peers, relayed, domainSize } = moment;
   if (peers === 0) return 0;
-  if (!relayed) return SETTLE_PERIODS * periodMs(moment);
+  if (!relayed) return SETTLE_PERIODS * broadcastIntervalMs(moment);
   const relays = relaysOf(domainSize) > 1
     ? RELAYS_OF_LARGE_DOMAINS
     : RELAYS_OF_SMALL_DOMAINS;
--- a/packages/router/src/connection/sharing_pace_test.ts
+++ b/packages/router/src/connection/broadcast_interval_test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { periodMs, settleMs } from "./sharing_pace.ts";
-import type { SharingMoment } from "./sharing_pace.ts";
+import { broadcastIntervalMs, propagationMs } from "./broadcast_interval.ts";
+import type { IntervalInputs } from "./broadcast_interval.ts";
 
-function momentOf(fields: Partial<SharingMoment> = {}): SharingMoment {
+function momentOf(fields: Partial<IntervalInputs> = {}): IntervalInputs {
   return {
     peers: 3,
     relayed: true,
@@ -17,8 +17,8 @@
 // A state wakes whoever is told. While runners have room, none needs to know at
 // once what another one has sent; while requests wait, several want the same room.
 test("while nothing waits, states are half as frequent", () => {
-  const calm = periodMs(momentOf());
-  assert.ok(calm >= 2 * periodMs(momentOf({ waits: true })));
+  const calm = broadcastIntervalMs(momentOf());
+  assert.ok(calm >= 2 * broadcastIntervalMs(momentOf({ waits: true })));
 });
 
 // The operator edits the table while nothing is sent; what waits for the next
@@ -26,13 +26,14 @@
 test("a newer configuration does not wait for the pace of loads", () => {
   const newer = { configuration: true, runners: false };
   assert.ok(
-    periodMs(momentOf({ newer })) < periodMs(momentOf({ waits: true })),
+    broadcastIntervalMs(momentOf({ newer })) <
+      broadcastIntervalMs(momentOf({ waits: true })),
   );
 });
 
 test("with more relays on the way a load takes longer to be known", () => {
-  const small = settleMs(momentOf({ domainSize: 12 }));
-  const large = settleMs(momentOf({ domainSize: 63 }));
+  const small = propagationMs(momentOf({ domainSize: 12 }));
+  const large = propagationMs(momentOf({ domainSize: 63 }));
   assert.ok(small < large && large <= 200, `${small}, ${large} ms`);
-  assert.equal(settleMs(momentOf({ peers: 0 })), 0);
+  assert.equal(propagationMs(momentOf({ peers: 0 })), 0);
 });
--- a/packages/router/src/connection/state_timer.ts
+++ b/packages/router/src/connection/broadcast_timer.ts
@@ -5,16 +5,16 @@
  */
 
 /** When to tell, in ms. */
-export interface StateTiming {
+export interface BroadcastTiming {
   /** Shortest time between two states now. */
-  periodMs(): number;
+  intervalMs(): number;
   /** Time between two looks while nothing changes. */
   readonly restMs: number;
 }
 
 /** Calls back soon after something has changed, and now and then. */
-export class StateTimer {
-  readonly #timing: StateTiming;
+export class BroadcastTimer {
+  readonly #timing: BroadcastTiming;
   readonly #tick: () => void;
   #timer: NodeJS.Timeout | undefined;
   /** Whether the timer is set for the next state, and not to rest. */
@@ -23,7 +23,7 @@
   #tickedAt = -Infinity;
   #dueAt = -Infinity;
 
-  constructor(timing: StateTiming, tick: () => void) {
+  constructor(timing: BroadcastTiming, tick: () => void) {
     this.#timing = timing;
     this.#tick = tick;
   }
@@ -41,7 +41,7 @@
   /** Something has changed: one period after the last state, or at once. */
   wake(): void {
     if (!this.#started) return;
-    const dueAt = this.#tickedAt + this.#timing.periodMs();
+    const dueAt = this.#tickedAt + this.#timing.intervalMs();
     if (this.#awake && this.#dueAt <= dueAt) return;
     this.#awake = true;
     this.#schedule(Math.max(0, dueAt - performance.now()));
--- a/packages/router/src/connection/crash_detector.ts
+++ b/packages/router/src/connection/crash_detector.ts
@@ -33,7 +33,7 @@
  * connection has ended: a single answer also breaks off where a connection has
  * been reset on its way, or when a runner fails part of its requests.
  */
-export class CrashWatch {
+export class CrashDetector {
   readonly #log: EventLog;
   readonly #metrics: Pick<RequestMetrics, "runnerEnded">;
   readonly #record: CrashRecord;
--- a/packages/router/src/connection/crash_detector_test.ts
+++ b/packages/router/src/connection/crash_detector_test.ts
@@ -8,17 +8,17 @@
 import type { FakeRunner } from "../../tests/fixtures.ts";
 import { CrashRecord } from "../process/crash_record.ts";
 import type { Fields } from "../process/line.ts";
-import { CrashWatch } from "./crash_detector.ts";
+import { CrashDetector } from "./crash_detector.ts";
 
 /** A watch, and what it has found out. */
-function watch(): { readonly watch: CrashWatch; readonly found: Fields[] } {
+function watch(): { readonly watch: CrashDetector; readonly found: Fields[] } {
   const found: Fields[] = [];
   const log = {
     event: (_: string, fields: Fields) => void found.push(fields),
     decision() {},
   };
   return {
-    watch: new CrashWatch({
+    watch: new CrashDetector({
       log,
       metrics: { runnerEnded() {} },
       record: new CrashRecord(SILENT_LOG),
@@ -27,7 +27,7 @@
   };
 }
 
-function breakTwo(watch: CrashWatch, { runner }: FakeRunner): void {
+function breakTwo(watch: CrashDetector, { runner }: FakeRunner): void {
   watch.recordBrokenRun(runner, { fingerprint: "one", beganAt: 0 });
   watch.recordBrokenRun(runner, { fingerprint: "two", beganAt: 0 });
 }
--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -19,8 +19,8 @@
 import type { PeerNetwork } from "./peer_network.ts";
 import { Peers } from "./peers.ts";
 import type { Peer } from "./peers.ts";
-import { Sharing } from "./sharing.ts";
-import type { SharedKnowledge } from "./sharing.ts";
+import { StateExchange } from "./state_exchange.ts";
+import type { SharedState } from "./state_exchange.ts";
 import { StoreFollowers } from "./store_followers.ts";
 
 /** Daemons of all that are known which read the store at their start for others. */
@@ -34,7 +34,7 @@
 }
 
 /** How a neighbourhood is made up. */
-export interface NeighbourhoodOptions {
+export interface FleetSyncOptions {
   readonly own: Contact;
   readonly store: SharedStore;
   readonly network: PeerNetwork;
@@ -59,19 +59,19 @@
  */
 export class FleetSync {
   readonly #own: Contact;
-  readonly #known: SharedKnowledge;
+  readonly #known: SharedState;
   readonly #gate = new StartGate();
   readonly #peers: Peers;
-  readonly #sharing: Sharing;
+  readonly #exchange: StateExchange;
   readonly #followers: StoreFollowers;
   readonly #registration: Registration;
   #seeds: readonly string[] = [];
 
-  constructor(known: SharedKnowledge, options: NeighbourhoodOptions) {
+  constructor(known: SharedState, options: FleetSyncOptions) {
     const { own, store, network, log, metrics } = options;
     this.#own = own;
     this.#known = known;
-    this.#sharing = new Sharing(known, {
+    this.#exchange = new StateExchange(known, {
       own,
       log,
       peers: () => this.#peers,
@@ -83,11 +83,11 @@
       network,
       log,
       listener: {
-        knownFor: (peer) => this.#sharing.knownFor(peer),
-        joined: (peer, contacts) => this.#sharing.joined(peer, contacts),
+        knownFor: (peer) => this.#exchange.knownFor(peer),
+        joined: (peer, contacts) => this.#exchange.joined(peer, contacts),
         left: (peer) => this.#left(peer),
-        received: (peer, message) => this.#sharing.received(peer, message),
-        unreachable: (address) => this.#sharing.unreachable(address),
+        received: (peer, message) => this.#exchange.received(peer, message),
+        unreachable: (address) => this.#exchange.unreachable(address),
       },
     });
     this.#followers = new StoreFollowers({
@@ -98,7 +98,7 @@
       peers: () => this.#reachable,
       random: options.random,
       configured: () => known.configuration() !== undefined,
-      givenAt: () => this.#sharing.givenAt,
+      givenAt: () => this.#exchange.givenAt,
       adopt: (configuration) => known.adopt(configuration, "store"),
     }, store);
     this.#registration = new Registration(store.daemons, {
@@ -108,7 +108,7 @@
         isContact: () => this.#isContact(),
         isAlone: () => this.#peers.count === 0,
         isKnown: (address) =>
-          this.#sharing.known().some((each) => each.address === address),
+          this.#exchange.known().some((each) => each.address === address),
         found: (addresses) => this.#peers.seek([...this.#seeds, ...addresses]),
       },
     });
@@ -122,33 +122,33 @@
 
   /** Daemons of the fleet: the most that were heard of lately. */
   get fleetSize(): number {
-    return this.#sharing.fleetSize;
+    return this.#exchange.fleetSize;
   }
 
   /** Milliseconds in which all daemons know of a request that waits here. */
   get propagationMs(): number {
-    return this.#sharing.settleMs;
+    return this.#exchange.propagationMs;
   }
 
   /** Daemons that divide what is to be done, or may be done, once for all. */
   get sharers(): FleetView {
-    return this.#sharing.sharers;
+    return this.#exchange.sharers;
   }
 
   /** Whether this daemon may lead: others tell it what a leader has to know. */
   get mayLead(): boolean {
     const alone = this.#peers.count === 0 && this.fleetSize > 1;
-    return !alone && this.#sharing.isCentral;
+    return !alone && this.#exchange.isCentral;
   }
 
   /** Whether all daemons are heard of that there were lately. */
   get seesWholeFleet(): boolean {
-    return this.#sharing.seesWholeFleet;
+    return this.#exchange.seesWholeFleet;
   }
 
   /** Others should hear of the leader's lease. */
   leaseChanged(): void {
-    this.#sharing.wake();
+    this.#exchange.wake();
   }
 
   /** Steady milliseconds at which the store last confirmed the runners. */
@@ -164,7 +164,7 @@
   /** @param seeds addresses of daemons that may be there. */
   start(seeds: readonly string[]): void {
     this.seek(seeds);
-    this.#sharing.start();
+    this.#exchange.start();
     // Others ask a seed first; it has something for them as soon as can be.
     if (seeds.includes(this.#own.address)) this.#gate.open();
     this.#followers.start(this.#gate.wait(() => !this.#readsForOthers()));
@@ -179,7 +179,7 @@
 
   /** A configuration came in force. */
   configurationChanged(): void {
-    this.#sharing.wake();
+    this.#exchange.wake();
     this.#openIfKnown();
   }
 
@@ -187,7 +187,7 @@
   stop(): void {
     this.#gate.open();
     this.#followers.stop();
-    this.#sharing.stop();
+    this.#exchange.stop();
     this.#peers.stop();
     this.#registration.stop();
   }
@@ -198,7 +198,7 @@
   }
 
   get #reachable(): readonly Contact[] {
-    return this.#sharing.reachable;
+    return this.#exchange.reachable;
   }
 
   /**
@@ -207,7 +207,7 @@
    * among all that are.
    */
   #readsForOthers(): boolean {
-    const known = this.#sharing.known();
+    const known = this.#exchange.known();
     const before = known.filter((each) => ranksBefore(each, this.#own));
     return this.#peers.count === 0 || before.length < FIRST_READERS;
   }
@@ -219,7 +219,7 @@
   }
 
   #left(peer: Peer): void {
-    this.#sharing.left(peer);
+    this.#exchange.left(peer);
     if (this.#peers.count > 0) return;
     // Alone, the watches must find by themselves what peers would have told.
     this.#followers.hurry();
--- a/packages/router/src/connection/hand_over.ts
+++ b/packages/router/src/connection/graceful_shutdown.ts
@@ -24,7 +24,7 @@
  *
  * @returns how many requests were cut off.
  */
-export async function handOver(
+export async function shutDownGracefully(
   server: CallerServer,
   options: {
     /** Time from SIGTERM to the kill, in ms; it may change meanwhile. */
--- a/packages/router/src/connection/outbox.ts
+++ b/packages/router/src/connection/outbox.ts
@@ -32,25 +32,25 @@
 const MAX_LIMITS = 100;
 
 /** Who told something. */
-export interface Told {
+export interface Sourced {
   /** Name of the neighbour that told it; none for what comes from here. */
   readonly from: string | undefined;
 }
 
 /** Requests at runners that ended, with the neighbours that told of them. */
-export interface ToldCrashes {
-  readonly crashed: readonly (CrashedRun & Told)[];
-  readonly answers: readonly (CompleteAnswer & Told)[];
+export interface SourcedCrashes {
+  readonly crashed: readonly (CrashedRun & Sourced)[];
+  readonly answers: readonly (CompleteAnswer & Sourced)[];
 }
 
 /** What goes out with the next messages. */
-export interface Post {
+export interface OutgoingUpdate {
   /** Ids of runners whose loads have changed. */
   readonly runners: readonly string[];
-  readonly parts: readonly (PrefixUpdate & Told)[];
+  readonly parts: readonly (PrefixUpdate & Sourced)[];
   readonly contacts: ContactUpdates;
-  readonly crashes: ToldCrashes;
-  readonly limits: readonly (LimitUpdate & Told)[];
+  readonly crashes: SourcedCrashes;
+  readonly limits: readonly (LimitUpdate & Sourced)[];
   readonly usage: readonly UsageCount[];
   readonly lease: LeaseObservation | undefined;
 }
@@ -59,12 +59,12 @@
 export class Outbox {
   readonly #urgent = new Set<string>();
   readonly #calm = new Set<string>();
-  #parts: (PrefixUpdate & Told)[] = [];
+  #parts: (PrefixUpdate & Sourced)[] = [];
   #contacts: ContactUpdates[] = [];
-  readonly #crashed: (CrashedRun & Told)[] = [];
-  readonly #answers: (CompleteAnswer & Told)[] = [];
+  readonly #crashed: (CrashedRun & Sourced)[] = [];
+  readonly #answers: (CompleteAnswer & Sourced)[] = [];
   /** What each runner said last. */
-  readonly #limits = new Map<string, LimitUpdate & Told>();
+  readonly #limits = new Map<string, LimitUpdate & Sourced>();
   /** By life and window, what was counted last for each workspace. */
   readonly #usage = new Map<string, UsageCount>();
   #lease: LeaseObservation | undefined;
@@ -134,7 +134,7 @@
    * Takes what is to be sent now. Loads beyond `mostRunners` stay for the next
    * time, those first that have waited longest.
    */
-  take(mostRunners: number): Post {
+  take(mostRunners: number): OutgoingUpdate {
     const urgent = takeFrom(this.#urgent, mostRunners);
     const calm = takeFrom(this.#calm, mostRunners - urgent.length);
     const post = {
@@ -163,7 +163,7 @@
 
 /** Adds crashes to those that wait, as far as there is room. */
 function wait<Item>(
-  waiting: (Item & Told)[],
+  waiting: (Item & Sourced)[],
   items: readonly Item[],
   from: string | undefined,
 ): void {
--- a/packages/router/src/connection/overlay.ts
+++ b/packages/router/src/connection/overlay.ts
@@ -52,7 +52,7 @@
 const MEET_MS = 500;
 
 /** What the overlay is made of, and who is told of changes. */
-export interface OverlayHost {
+export interface OverlayDependencies {
   readonly own: Contact;
   readonly book: ContactBook;
   readonly log: EventLog;
@@ -74,7 +74,7 @@
  * its children, so that no load is counted twice.
  */
 export class Overlay {
-  readonly #host: OverlayHost;
+  readonly #host: OverlayDependencies;
   readonly #own: Contact;
   /** Where this daemon has subscribed, and for what. */
   readonly #asked = new Map<string, Subscribe["scope"]>();
@@ -95,7 +95,7 @@
   #relays = 1;
   #stale = true;
 
-  constructor(host: OverlayHost) {
+  constructor(host: OverlayDependencies) {
     this.#host = host;
     this.#own = host.own;
   }
--- a/packages/router/src/connection/sharing.ts
+++ b/packages/router/src/connection/state_exchange.ts
@@ -11,20 +11,20 @@
 import { knownToAll, toldTo } from "../process/known_daemons.ts";
 import type { FleetView } from "../process/sharers.ts";
 import { MembershipCounts } from "./membership_counts.ts";
-import { NeighbourNews } from "./neighbour_news.ts";
+import { UpdateBroadcaster } from "./update_broadcaster.ts";
 import { Overlay } from "./overlay.ts";
 import type { Role } from "./overlay.ts";
 import { SILENCE_MS } from "./peer_link.ts";
 import type { MemberCounts, PeerMessage, StateUpdate } from "./peer_message.ts";
 import type { Peer, PeerListener, Peers } from "./peers.ts";
-import { StateTimer } from "./state_timer.ts";
-import { periodMs, settleMs } from "./sharing_pace.ts";
-import type { SharingMoment } from "./sharing_pace.ts";
+import { BroadcastTimer } from "./broadcast_timer.ts";
+import { broadcastIntervalMs, propagationMs } from "./broadcast_interval.ts";
+import type { IntervalInputs } from "./broadcast_interval.ts";
 import { watches } from "../process/watch_plan.ts";
-import { takeNews } from "./apply_update.ts";
-import type { RunnerKnowledge, SharedLeaderState } from "./apply_update.ts";
+import { applyUpdate } from "./apply_update.ts";
+import type { SharedLeaderState, SharedRunnerState } from "./apply_update.ts";
 import { VersionExchange } from "./version_exchange.ts";
-import type { VersionedKnowledge } from "./version_exchange.ts";
+import type { VersionedState } from "./version_exchange.ts";
 
 /** Longest time without a state, so that silence tells a lost peer. */
 const HEARTBEAT_MS = 400;
@@ -44,11 +44,11 @@
 const MAX_CONTACTS = 48;
 
 /** What is shared, and who takes what peers give. */
-export interface SharedKnowledge
-  extends VersionedKnowledge, RunnerKnowledge, SharedLeaderState {}
+export interface SharedState
+  extends VersionedState, SharedRunnerState, SharedLeaderState {}
 
 /** Whom a daemon shares with. */
-export interface SharingOptions {
+export interface StateExchangeOptions {
   readonly own: Contact;
   readonly peers: () => Peers;
   readonly log: EventLog;
@@ -73,24 +73,24 @@
  * its other neighbours told it, so that what it sends and hears follows the
  * number of runners and not that of daemons.
  */
-export class Sharing implements PeerListener {
+export class StateExchange implements PeerListener {
   readonly #own: Contact;
-  readonly #known: SharedKnowledge;
+  readonly #known: SharedState;
   readonly #peers: () => Peers;
   readonly #book: ContactBook;
   readonly #counts = new MembershipCounts();
   readonly #overlay: Overlay;
   readonly #versions: VersionExchange;
-  readonly #news: NeighbourNews;
-  readonly #timer = new StateTimer({
-    periodMs: () => periodMs(this.#moment),
+  readonly #news: UpdateBroadcaster;
+  readonly #timer = new BroadcastTimer({
+    intervalMs: () => broadcastIntervalMs(this.#moment),
     restMs: REST_MS,
   }, () => this.#tick());
   #sentAt = -Infinity;
   #sentSpareAt = -Infinity;
   #countsChanged = false;
 
-  constructor(known: SharedKnowledge, options: SharingOptions) {
+  constructor(known: SharedState, options: StateExchangeOptions) {
     const { own, peers, log, relaysFrom, controlBytesPerS } = options;
     this.#own = own;
     this.#known = known;
@@ -108,7 +108,7 @@
       roleChanged: (peer, before) => this.#roleChanged(peer, before),
     });
     this.#versions = new VersionExchange(known, options.offered);
-    this.#news = new NeighbourNews({
+    this.#news = new UpdateBroadcaster({
       loads: known.loads,
       prefixes: known.prefixes,
       crashes: known.crashes,
@@ -245,7 +245,7 @@
     const { relayed } = this.#overlay;
     if (role !== undefined || !relayed) {
       this.#takeMembers(peer, state.members);
-      const told = takeNews(this.#known, peer.name, state);
+      const told = applyUpdate(this.#known, peer.name, state);
       if (this.#news.passOn(peer, told)) this.wake();
     }
     const mayGiveParts = !relayed || role === "parent" || role === "head";
@@ -295,11 +295,11 @@
   }
 
   /** Milliseconds in which all daemons know of a request that waits here. */
-  get settleMs(): number {
-    return settleMs(this.#moment);
+  get propagationMs(): number {
+    return propagationMs(this.#moment);
   }
 
-  get #moment(): SharingMoment {
+  get #moment(): IntervalInputs {
     return {
       peers: this.#peers().count,
       relayed: this.#overlay.relayed,
--- a/packages/router/src/connection/sharing_test.ts
+++ b/packages/router/src/connection/state_exchange_test.ts
@@ -16,20 +16,20 @@
 import { unpackMessage } from "./peer_encoding.ts";
 import type { PeerMessage, StateUpdate } from "./peer_message.ts";
 import type { Peers } from "./peers.ts";
-import { Sharing } from "./sharing.ts";
+import { StateExchange } from "./state_exchange.ts";
 
-/** A daemon with peers that only note when what is told to them. */
-class Told {
+/** A daemon with peers that only note when what is recorder to them. */
+class BroadcastRecorder {
   readonly loads = new RunnerLoads();
   readonly states: { readonly at: number; readonly state: StateUpdate }[] = [];
-  readonly #sharing: Sharing;
+  readonly #exchange: StateExchange;
   #now = 0;
 
   constructor(t: TestContext) {
     mock.timers.enable({ apis: ["setTimeout"] });
     t.after(() => mock.timers.reset());
     t.mock.method(performance, "now", () => this.#now);
-    this.#sharing = new Sharing({
+    this.#exchange = new StateExchange({
       loads: this.loads,
       prefixes: new PrefixIndex(),
       crashes: new CrashRecord(SILENT_LOG),
@@ -52,7 +52,7 @@
       controlBytesPerS: 29_000,
       offered() {},
     });
-    this.#sharing.start();
+    this.#exchange.start();
   }
 
   pass(millis: number): void {
@@ -85,26 +85,26 @@
 // A fleet at rest spends a third of what it spends under traffic: 60 daemons that
 // serve nothing look every 20 ms whether there is something to tell.
 test("a daemon without requests is woken a few times a second", (t) => {
-  const told = new Told(t);
-  told.pass(1_000);
+  const recorder = new BroadcastRecorder(t);
+  recorder.pass(1_000);
   const timers = t.mock.method(globalThis, "setTimeout");
-  told.pass(2_000);
+  recorder.pass(2_000);
   assert.ok(timers.mock.callCount() <= 11, `${timers.mock.callCount()} timers`);
-  const gaps = told.states.slice(1)
-    .map(({ at }, index) => at - told.states[index]!.at);
+  const gaps = recorder.states.slice(1)
+    .map(({ at }, index) => at - recorder.states[index]!.at);
   assert.ok(Math.max(...gaps) <= 600, `silent for ${Math.max(...gaps)} ms`);
 });
 
 test("after a rest a change is told at once, the next one a period later", (t) => {
-  const told = new Told(t);
-  told.pass(1_050);
-  const before = told.states.length;
-  told.place();
-  told.pass(2);
-  told.place();
-  told.pass(40);
-  const times = told.states.slice(before).map(({ at }) => at);
+  const recorder = new BroadcastRecorder(t);
+  recorder.pass(1_050);
+  const before = recorder.states.length;
+  recorder.place();
+  recorder.pass(2);
+  recorder.place();
+  recorder.pass(40);
+  const times = recorder.states.slice(before).map(({ at }) => at);
   assert.deepEqual(times, [1_051, 1_071]);
-  const loads = told.states.at(-1)!.state.loads;
+  const loads = recorder.states.at(-1)!.state.loads;
   assert.equal(loads[0]?.inFlight, 2);
 });
--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -32,7 +32,7 @@
 const LOOK_MS = 500;
 
 /** Who is told, and what decides how often the store is read. */
-export interface FollowerHost {
+export interface FollowerDependencies {
   readonly own: Watcher;
   readonly log: EventLog;
   readonly metrics: Pick<RequestMetrics, "dependency">;
@@ -51,13 +51,13 @@
 
 /** Follows both kinds of objects for as long as the process lives. */
 export class StoreFollowers {
-  readonly #host: FollowerHost;
+  readonly #host: FollowerDependencies;
   readonly #configurations: Follower<Configuration>;
   readonly #runners: Follower<Runner>;
   /** Wakes both followers at once while this daemon does not watch. */
   readonly #looks = new Pulse(LOOK_MS);
 
-  constructor(host: FollowerHost, feeds: {
+  constructor(host: FollowerDependencies, feeds: {
     readonly configurations: Feed<Configuration>;
     readonly runners: Feed<Runner>;
   }) {
--- a/packages/router/src/connection/neighbour_news.ts
+++ b/packages/router/src/connection/update_broadcaster.ts
@@ -19,7 +19,7 @@
 import { LoadSums } from "./load_sums.ts";
 import type { MembershipCounts } from "./membership_counts.ts";
 import { Outbox } from "./outbox.ts";
-import type { Post, Told } from "./outbox.ts";
+import type { OutgoingUpdate, Sourced } from "./outbox.ts";
 import type { Overlay, Role } from "./overlay.ts";
 import { encodeMessage } from "./peer_link.ts";
 import type { RunnerLoadEntry, StateUpdate, Versions } from "./peer_message.ts";
@@ -35,7 +35,7 @@
 const BURST_SECONDS = 600;
 
 /** What a message tells beside loads. */
-interface StateNews {
+interface UpdateParts {
   readonly parts: readonly PrefixUpdate[];
   readonly contacts: ContactUpdates;
   readonly crashes: CrashUpdate;
@@ -45,7 +45,7 @@
 }
 
 /** A message without news. */
-const NOTHING: StateNews = {
+const NOTHING: UpdateParts = {
   parts: [],
   contacts: { contacts: [], gone: [] },
   crashes: { crashed: [], answers: [] },
@@ -55,7 +55,7 @@
 };
 
 /** What is told, and to whom. */
-export interface NewsSources {
+export interface BroadcastSources {
   readonly loads: RunnerLoads;
   readonly prefixes: PrefixIndex;
   readonly crashes: CrashRecord;
@@ -76,7 +76,7 @@
 }
 
 /** What a neighbour told, to be passed on. */
-export interface ToldNews {
+export interface ReceivedUpdate {
   /** Ids of runners. */
   readonly changed: ReadonlySet<string>;
   readonly parts: readonly PrefixUpdate[];
@@ -93,8 +93,8 @@
  * other heads what this daemon and its children have, to each child what all
  * others have. In a small fleet everybody is told what this daemon has.
  */
-export class NeighbourNews {
-  readonly #sources: NewsSources;
+export class UpdateBroadcaster {
+  readonly #sources: BroadcastSources;
   readonly #sums: LoadSums;
   /** For the parent or the other heads, or for everybody in a small fleet. */
   readonly #near = new Outbox();
@@ -105,7 +105,7 @@
   /** Revision of the leader's lease that was told last. */
   #leaseTold = 0;
 
-  constructor(sources: NewsSources) {
+  constructor(sources: BroadcastSources) {
     this.#sources = sources;
     this.#sums = new LoadSums(sources.loads);
     const perSecond = sources.controlBytesPerS;
@@ -158,7 +158,7 @@
    *
    * @returns whether there is anybody to tell.
    */
-  passOn({ name }: Peer, told: ToldNews): boolean {
+  passOn({ name }: Peer, told: ReceivedUpdate): boolean {
     const { changed, parts, crashes, limits, usage, urgent } = told;
     const { overlay } = this.#sources;
     // Counts go up the tree only, to those that may lead.
@@ -251,12 +251,12 @@
   /** What a child is told: all but what came from itself. */
   #frameFor(
     child: string,
-    post: Post,
+    post: OutgoingUpdate,
     everything: readonly RunnerLoadEntry[],
   ): Buffer {
     const others: NeighbourFilter = (name) => name !== child;
     const loads = this.#sums.without(child, everything);
-    const isOthers = ({ from }: Told) => from !== child;
+    const isOthers = ({ from }: Sourced) => from !== child;
     const parts = post.parts.filter(isOthers);
     const crashes = {
       crashed: post.crashes.crashed.filter(isOthers),
@@ -268,7 +268,7 @@
   }
 
   #state(
-    { parts, contacts, crashes, limits, usage, lease }: StateNews,
+    { parts, contacts, crashes, limits, usage, lease }: UpdateParts,
     loads: readonly RunnerLoadEntry[],
     counts: NeighbourFilter,
   ): StateUpdate {
--- a/packages/router/src/connection/version_exchange.ts
+++ b/packages/router/src/connection/version_exchange.ts
@@ -13,7 +13,7 @@
 const WANT_AGAIN_MS = 300;
 
 /** What versions are of, and who takes what peers give. */
-export interface VersionedKnowledge {
+export interface VersionedState {
   readonly prefixes: PrefixIndex;
   readonly directory: RunnerDirectory;
   /** The configuration in force. */
@@ -28,7 +28,7 @@
  * others also while the store turns them away.
  */
 export class VersionExchange {
-  readonly #known: VersionedKnowledge;
+  readonly #known: VersionedState;
   readonly #offered: () => void;
   /** Versions that each peer has told to have. */
   readonly #versionsOf = new WeakMap<Peer, Versions>();
@@ -38,7 +38,7 @@
   #askedForParts = false;
 
   /** @param offered called when a peer has something newer. */
-  constructor(known: VersionedKnowledge, offered: () => void) {
+  constructor(known: VersionedState, offered: () => void) {
     this.#known = known;
     this.#offered = offered;
   }
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -5,9 +5,9 @@
  */
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import { randomBytes } from "node:crypto";
-import { handOver } from "./connection/hand_over.ts";
+import { shutDownGracefully } from "./connection/graceful_shutdown.ts";
 import { CallerServer, listen } from "./connection/caller_server.ts";
-import { CrashWatch } from "./connection/crash_detector.ts";
+import { CrashDetector } from "./connection/crash_detector.ts";
 import type { BrokenRun } from "./connection/crash_detector.ts";
 import { FleetSync } from "./connection/fleet_sync.ts";
 import type { SharedStore } from "./connection/fleet_sync.ts";
@@ -105,7 +105,7 @@
   readonly #leadership: Leadership;
   readonly #survey: CacheSurvey;
   readonly #restarts: RestartDetector;
-  readonly #crashWatch: CrashWatch;
+  readonly #crashWatch: CrashDetector;
   #surveyed = false;
   #statusServers: readonly Server[] = [];
   #configuration: Configuration | undefined;
@@ -176,7 +176,7 @@
       log,
       mayAsk,
     });
-    this.#crashWatch = new CrashWatch({
+    this.#crashWatch = new CrashDetector({
       log,
       metrics: this.metrics,
       record: this.crashes,
@@ -313,7 +313,7 @@
   }
 
   /**
-   * Hands over; see {@linkcode handOver}.
+   * Hands over; see {@linkcode shutDownGracefully}.
    *
    * @returns whether nothing was cut off.
    */
@@ -321,7 +321,7 @@
     this.#lifecycle.leave();
     void this.#leadership.leave();
     void this.#neighbourhood.leave();
-    const cut = await handOver(this.#server, {
+    const cut = await shutDownGracefully(this.#server, {
       graceMs: () => this.#settings.graceMs,
       lifecycle: this.#lifecycle,
       log: this.log,
