--- a/packages/router/src/request/admission.ts
+++ b/packages/router/src/request/admission.ts
@@ -5,7 +5,7 @@
  */
 import type { Runner } from "../process/runner.ts";
 import { prefillMs } from "../process/reading.ts";
-import { BEARABLE_MS } from "./demand.ts";
+import { MAX_TIGHT_PREFILL_MS } from "./demand.ts";
 import type { Demand, RunnerFleet } from "./demand.ts";
 
 /** Work in ms that a runner may have in flight when the least urgent start. */
@@ -82,5 +82,5 @@
   if (tight === 0) return false;
   const { prompt, promptTokens } = demand;
   const cached = fleet.prefixes.cachedTokens(runner.id, prompt, fleet.now);
-  return prefillMs(unreadTokens + promptTokens - cached) > BEARABLE_MS;
+  return prefillMs(unreadTokens + promptTokens - cached) > MAX_TIGHT_PREFILL_MS;
 }
--- a/packages/router/src/request/demand.ts
+++ b/packages/router/src/request/demand.ts
@@ -64,7 +64,7 @@
  * fewer long prompts found a runner in a burst: 1,478 of 2,017 in time instead
  * of 1,510.
  */
-export const BEARABLE_MS = 160;
+export const MAX_TIGHT_PREFILL_MS = 160;
 
 /**
  * Whether chunks of prompts beside a stream make its gaps too long. An event
--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -5,7 +5,7 @@
  */
 import type { Runner } from "../process/runner.ts";
 import { prefillMs } from "../process/reading.ts";
-import { BEARABLE_MS, hasLongOutput, isTight } from "./demand.ts";
+import { hasLongOutput, isTight, MAX_TIGHT_PREFILL_MS } from "./demand.ts";
 import type { Demand, RunnerFleet } from "./demand.ts";
 
 /**
@@ -155,7 +155,7 @@
   const ownMs = prefillMs(unreadTokens) + (fetches ? fetchMs + FETCH_MS : 0);
   const away = atHome ? 0 : holder === undefined ? AWAY_UNKNOWN_MS : AWAY_MS;
   const misplaced = misplacedMs(demand, kept);
-  const harm = !tight && waitMs + ownMs > BEARABLE_MS
+  const harm = !tight && waitMs + ownMs > MAX_TIGHT_PREFILL_MS
     ? TIGHT_STREAM_MS * load.total.tight
     : 0;
   const fill = load.total.inFlight / demand.engine!.slots;
