--- a/packages/router/src/process/retry_budget.ts
+++ b/packages/router/src/process/retry_budget.ts
@@ -47,7 +47,7 @@
   }
 
   /** Counts a request of a caller. */
-  request(now: number): void {
+  recordRequest(now: number): void {
     this.#span(now).requests += 1;
   }
 
--- a/packages/router/src/process/retry_budget_test.ts
+++ b/packages/router/src/process/retry_budget_test.ts
@@ -19,7 +19,7 @@
   let repeats = 0;
   for (let each = 0; each < daemons; each += 1) {
     const budget = new RetryBudget(BOUNDS, () => daemons);
-    for (let i = 0; i < requests; i += 1) budget.request(1_000);
+    for (let i = 0; i < requests; i += 1) budget.recordRequest(1_000);
     repeats += takeAll(budget, 1_000);
   }
   const bound = BOUNDS.ratio * daemons * requests + BOUNDS.extra;
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -91,7 +91,9 @@
       return { kind: "refused", refusal };
     }
     this.#progress.fingerprint = this.#fingerprintOf(subject, whole.body);
-    this.#daemon.retryBudget(subject.service.name).request(this.#daemon.now());
+    this.#daemon.retryBudget(subject.service.name).recordRequest(
+      this.#daemon.now(),
+    );
     const quarantine = this.#quarantine();
     if (quarantine !== undefined) return this.#refuse(subject, quarantine);
     return await this.#tryRunners(subject, whole.body);
