--- a/packages/router/src/process/runner_directory.ts
+++ b/packages/router/src/process/runner_directory.ts
@@ -6,7 +6,7 @@
 
 import { isDeepStrictEqual } from "node:util";
 import { groupBy } from "./group.ts";
-import { isStale, StaleEntries } from "./late_entries.ts";
+import { isStale, StaleEntries } from "./stale_entries.ts";
 import { runnerId } from "./runner.ts";
 import type { Runner } from "./runner.ts";
 
