--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -9,7 +9,7 @@
 import type { Contact } from "../process/contact.ts";
 import type { EventLog } from "../process/event_log.ts";
 import type { Feed } from "../process/feed.ts";
-import type { FleetView } from "../process/sharers.ts";
+import type { FleetView } from "../process/fleet_view.ts";
 import type { RequestMetrics } from "../process/metrics.ts";
 import type { Runner } from "../process/runner.ts";
 import type { ListenAddress } from "../process/settings.ts";
--- a/packages/router/src/connection/state_exchange.ts
+++ b/packages/router/src/connection/state_exchange.ts
@@ -9,7 +9,7 @@
 import type { ContactUpdates } from "../process/contact_book.ts";
 import type { EventLog } from "../process/event_log.ts";
 import { knownToAll, toldTo } from "../process/known_daemons.ts";
-import type { FleetView } from "../process/sharers.ts";
+import type { FleetView } from "../process/fleet_view.ts";
 import { MembershipCounts } from "./membership_counts.ts";
 import { UpdateBroadcaster } from "./update_broadcaster.ts";
 import { Overlay } from "./overlay.ts";
--- a/packages/router/src/process/limit_share.ts
+++ b/packages/router/src/process/limit_share.ts
@@ -5,7 +5,7 @@
  */
 import { Rendezvous } from "@umbermast/coordination/rendezvous";
 import type { Rate } from "./allowance.ts";
-import type { FleetView } from "./sharers.ts";
+import type { FleetView } from "./fleet_view.ts";
 
 /** No part at all. */
 export const NO_SHARE: Rate = { perSecond: 0, burst: 0 };
--- a/packages/router/src/process/memory_survey.ts
+++ b/packages/router/src/process/memory_survey.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { Rendezvous } from "@umbermast/coordination/rendezvous";
-import type { FleetView } from "./sharers.ts";
+import type { FleetView } from "./fleet_view.ts";
 import type { EventLog } from "./event_log.ts";
 import { pause } from "./pause.ts";
 import type { PrefixIndex, PromptPart } from "./prefix_record.ts";
--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -8,7 +8,7 @@
 import type { Rate } from "./allowance.ts";
 import type { EventLog } from "./event_log.ts";
 import { NO_SHARE, shareOf } from "./limit_share.ts";
-import type { FleetView } from "./sharers.ts";
+import type { FleetView } from "./fleet_view.ts";
 
 /** What a runner's answer says of how much the runner takes. */
 export type StatedLimit =
