--- a/packages/router/src/connection/update_broadcaster.ts
+++ b/packages/router/src/connection/update_broadcaster.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Buffer } from "node:buffer";
-import { TokenBucket } from "../process/allowance.ts";
+import { TokenBucket } from "../process/token_bucket.ts";
 import type { Contact } from "../process/contact.ts";
 import type { ContactBook, ContactUpdates } from "../process/contact_book.ts";
 import type { FleetTime } from "../process/fleet_time.ts";
--- a/packages/router/src/process/limit_share.ts
+++ b/packages/router/src/process/limit_share.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { Rendezvous } from "@umbermast/coordination/rendezvous";
-import type { Rate } from "./allowance.ts";
+import type { Rate } from "./token_bucket.ts";
 import type { FleetView } from "./fleet_view.ts";
 
 /** No part at all. */
--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import { isDeepStrictEqual } from "node:util";
-import { TokenBucket } from "./allowance.ts";
-import type { Rate } from "./allowance.ts";
+import { TokenBucket } from "./token_bucket.ts";
+import type { Rate } from "./token_bucket.ts";
 import type { EventLog } from "./event_log.ts";
 import { NO_SHARE, shareOf } from "./limit_share.ts";
 import type { FleetView } from "./fleet_view.ts";
--- a/packages/router/src/process/allowance_test.ts
+++ b/packages/router/src/process/token_bucket_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { TokenBucket } from "./allowance.ts";
+import { TokenBucket } from "./token_bucket.ts";
 
 test("what is sent keeps to the rate, bursts apart", () => {
   const allowance = new TokenBucket({ perSecond: 1_000, burst: 2_000 });
