--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -7,7 +7,7 @@
 import type { RunnerConnections } from "../connection/runner_connections.ts";
 import type { CrashRecord } from "../process/crash_record.ts";
 import type { EventLog } from "../process/event_log.ts";
-import type { LimitQueue } from "../process/limit_waits.ts";
+import type { LimitQueue } from "../process/limit_queue.ts";
 import type { Pulse } from "../process/pulse.ts";
 import type { PrefixIndex } from "../process/prefix_record.ts";
 import type { RetryBudget } from "../process/retry_budget.ts";
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { LimitQueue } from "../process/limit_waits.ts";
+import type { LimitQueue } from "../process/limit_queue.ts";
 import type { Runner } from "../process/runner.ts";
 import type { QueueKey } from "../process/runner_queue.ts";
 import type { Daemon } from "./daemon.ts";
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -21,7 +21,7 @@
 import type { EventLog } from "./process/event_log.ts";
 import { CacheSurvey } from "./process/memory_survey.ts";
 import type { EngineCache } from "./process/memory_survey.ts";
-import { LimitQueue } from "./process/limit_waits.ts";
+import { LimitQueue } from "./process/limit_queue.ts";
 import { Lifecycle } from "./process/lifecycle.ts";
 import { RequestMetrics } from "./process/metrics.ts";
 import { Pulse } from "./process/pulse.ts";
