--- a/packages/router/src/process/runner_need_test.ts
+++ b/packages/router/src/process/demand_estimator_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { DemandEstimator } from "./runner_need.ts";
+import { DemandEstimator } from "./demand_estimator.ts";
 
 /** Sees the same for some seconds; returns what is needed then. */
 function seeFor(need: DemandEstimator, busy: number, span: {
--- a/packages/router/src/process/runner_plan.ts
+++ b/packages/router/src/process/runner_plan.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import type { RunnersNeeded } from "./runner_need.ts";
+import type { RunnersNeeded } from "./demand_estimator.ts";
 import type { Scaling } from "./scaling.ts";
 
 /** What an operator allows. */
--- a/packages/router/src/process/runner_plan_test.ts
+++ b/packages/router/src/process/runner_plan_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import { planRunners } from "./runner_plan.ts";
-import type { RunnersNeeded } from "./runner_need.ts";
+import type { RunnersNeeded } from "./demand_estimator.ts";
 import type { DomainPlan, DomainState, ScalingBounds } from "./runner_plan.ts";
 
 const BOUNDS: ScalingBounds = { least: 1, most: 42, preemptiblePrice: 0.22 };
