--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -7,7 +7,7 @@
 import type { LeaderLease } from "./leader_lease.ts";
 import type { LeaderState, UsageReport } from "./leader_record.ts";
 import type { RequestMetrics } from "./metrics.ts";
-import { OrderTracker } from "./order_desk.ts";
+import { OrderTracker } from "./order_tracker.ts";
 import { pause } from "./pause.ts";
 import type { CallEnd, PlatformApi, PlatformCall } from "./platform_api.ts";
 import type { ScalingPolicy } from "./runner_order.ts";
--- a/packages/router/src/process/order_desk_test.ts
+++ b/packages/router/src/process/order_tracker_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { SILENT_LOG } from "../../tests/fixtures.ts";
-import { OrderTracker } from "./order_desk.ts";
+import { OrderTracker } from "./order_tracker.ts";
 import type { CallEnd } from "./platform_api.ts";
 import type { RunnerOrder, ScalingPolicy } from "./runner_order.ts";
 
