--- a/packages/router/src/request/admission.ts
+++ b/packages/router/src/request/admission.ts
@@ -55,7 +55,7 @@
 ): boolean {
   const load = fleet.loads.of(runner.id);
   const { workTokens, unreadTokens, inFlight, memoryTokens } = load.total;
-  const ahead = load.queue.workAhead(demand.turn, fleet.now);
+  const ahead = load.queue.workAhead(demand.queueKey, fleet.now);
   const { engine, ranksBelow } = demand;
   const above = Math.min(MAX_STEPS, ranksBelow);
   const share = Math.min(1, FILL_SHARE + FILL_BY_RANK * above);
--- a/packages/router/src/request/admission_test.ts
+++ b/packages/router/src/request/admission_test.ts
@@ -36,7 +36,7 @@
     timeoutMs: 3_000,
     targetMs: 1_500,
     gapTargetMs: 400,
-    turn: turnOf(1, 0),
+    queueKey: turnOf(1, 0),
     waitsFor: undefined,
     ranksBelow: 2,
     engine: {
@@ -80,7 +80,7 @@
     for (const each of turns) {
       queue.add({ ...each, requests: 1, unreadTokens: 300 });
     }
-    return !isOverloaded(fleet, demandOf({ turn }), RUNNER);
+    return !isOverloaded(fleet, demandOf({ queueKey: turn }), RUNNER);
   });
   assert.deepEqual(admitted, [turns[0]]);
 });
@@ -92,7 +92,10 @@
     queue.add({ ...turnOf(2, since), requests: 1, unreadTokens: 300 });
   }
   const turn = turnOf(0, 50);
-  assert.equal(isOverloaded(fleet, demandOf({ turn }), RUNNER), false);
+  assert.equal(
+    isOverloaded(fleet, demandOf({ queueKey: turn }), RUNNER),
+    false,
+  );
 });
 
 // A burst: more wait for a runner than it can begin in time. Oldest first, each
@@ -107,7 +110,7 @@
     queue.add({ ...turn, requests: 1, unreadTokens: 300 });
   }
   const admits = (turn: QueueKey) =>
-    !isOverloaded(fleet, demandOf({ turn }), RUNNER);
+    !isOverloaded(fleet, demandOf({ queueKey: turn }), RUNNER);
   assert.equal(admits(late), false);
   assert.equal(admits(onTime), true);
   queue.add({ ...turnOf(0, 0, 900), requests: 1, unreadTokens: 300 });
--- a/packages/router/src/request/demand.ts
+++ b/packages/router/src/request/demand.ts
@@ -23,7 +23,7 @@
   readonly targetMs: number;
   readonly gapTargetMs: number | undefined;
   /** Where it stands among requests that wait for the same runner. */
-  readonly turn: QueueKey;
+  readonly queueKey: QueueKey;
   /** Id of the runner that it waits for. */
   readonly waitsFor: string | undefined;
   /** Kinds of requests that are less urgent. */
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -50,7 +50,7 @@
     timeoutMs: 8_000,
     targetMs: 1_500,
     gapTargetMs: 800,
-    turn: { rank: 2, arrivedAt: 0, startBy: Infinity },
+    queueKey: { rank: 2, arrivedAt: 0, startBy: Infinity },
     waitsFor: undefined,
     ranksBelow: 0,
     engine: ENGINE,
@@ -67,7 +67,7 @@
     promptTokens: 1_100,
     targetMs: 300,
     gapTargetMs: 200,
-    turn: { rank: 0, arrivedAt: 0, startBy: Infinity },
+    queueKey: { rank: 0, arrivedAt: 0, startBy: Infinity },
     ranksBelow: 2,
   };
 }
--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -150,7 +150,7 @@
   const tight = isTight(demand);
   const waitMs = prefillMs(
     load.total.unreadTokens +
-      load.queue.workAhead(demand.turn, fleet.now).unreadTokens,
+      load.queue.workAhead(demand.queueKey, fleet.now).unreadTokens,
   );
   const ownMs = prefillMs(unreadTokens) + (fetches ? fetchMs + FETCH_MS : 0);
   const away = atHome ? 0 : holder === undefined ? AWAY_UNKNOWN_MS : AWAY_MS;
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -273,7 +273,7 @@
       timeoutMs: route.timeoutMs,
       targetMs: route.targetMs,
       gapTargetMs: route.gapTargetMs,
-      turn: this.#turn,
+      queueKey: this.#turn,
       waitsFor,
       ranksBelow,
       engine: service.engine,
