--- a/packages/router/src/connection/load_sums_test.ts
+++ b/packages/router/src/connection/load_sums_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { RunnerLoads } from "../process/runner_loads.ts";
 import type { WaitingEntry } from "../process/runner_queue.ts";
-import { NO_LOAD } from "../process/share.ts";
+import { NO_LOAD } from "../process/load_totals.ts";
 import { LoadSums } from "./load_sums.ts";
 
 function waiting(rank: number, since: number): WaitingEntry {
--- a/packages/router/src/connection/peer_link_test.ts
+++ b/packages/router/src/connection/peer_link_test.ts
@@ -10,7 +10,7 @@
 import { testUpdate } from "../../tests/fixtures.ts";
 import type { CrashAges } from "./crash_ages.ts";
 import { encodeMessage, PeerLink, SILENCE_MS } from "./peer_link.ts";
-import { NO_LOAD } from "../process/share.ts";
+import { NO_LOAD } from "../process/load_totals.ts";
 import { PROTOCOL_VERSION } from "./peer_message.ts";
 import type { PeerMessage } from "./peer_message.ts";
 
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -7,8 +7,8 @@
 import { prefillMs } from "./reading.ts";
 import { RunnerQueue } from "./runner_queue.ts";
 import type { NeighbourFilter, WaitingEntry } from "./runner_queue.ts";
-import { addLoads, NO_LOAD, subtractLoads } from "./share.ts";
-import type { AnswerCounts, LoadTotals } from "./share.ts";
+import { addLoads, NO_LOAD, subtractLoads } from "./load_totals.ts";
+import type { AnswerCounts, LoadTotals } from "./load_totals.ts";
 
 /** Load of a runner as it told with an answer. */
 export interface ReportedLoad {
--- a/packages/router/src/process/runner_load_test.ts
+++ b/packages/router/src/process/runner_load_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { RunnerLoads } from "./runner_loads.ts";
-import type { LoadTotals } from "./share.ts";
+import type { LoadTotals } from "./load_totals.ts";
 
 const PLACED = { unreadTokens: 100, memoryTokens: 120, tight: true };
 const SHARE: LoadTotals = {
