--- a/packages/router/src/request/admission_test.ts
+++ b/packages/router/src/request/admission_test.ts
@@ -37,7 +37,7 @@
     targetMs: 1_500,
     gapTargetMs: 400,
     queueKey: turnOf(1, 0),
-    waitsFor: undefined,
+    awaitedRunner: undefined,
     ranksBelow: 2,
     engine: {
       slots: SLOTS,
--- a/packages/router/src/request/demand.ts
+++ b/packages/router/src/request/demand.ts
@@ -25,7 +25,7 @@
   /** Where it stands among requests that wait for the same runner. */
   readonly queueKey: QueueKey;
   /** Id of the runner that it waits for. */
-  readonly waitsFor: string | undefined;
+  readonly awaitedRunner: string | undefined;
   /** Kinds of requests that are less urgent. */
   readonly ranksBelow: number;
   /** Absent for a plain service. */
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -51,7 +51,7 @@
     targetMs: 1_500,
     gapTargetMs: 800,
     queueKey: { rank: 2, arrivedAt: 0, startBy: Infinity },
-    waitsFor: undefined,
+    awaitedRunner: undefined,
     ranksBelow: 0,
     engine: ENGINE,
   };
--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -161,7 +161,7 @@
   const fill = load.total.inFlight / demand.engine!.slots;
   const batch = load.total.inFlight * BESIDE_MS + CROWD_MS * fill ** 2;
   const slow = runner.warmUpMs > 0 ? WARM_UP_FACTOR : 1;
-  const stays = demand.waitsFor === runner.id ? STAY_MS : 0;
+  const stays = demand.awaitedRunner === runner.id ? STAY_MS : 0;
   const costMs = slow * (waitMs + WORK_WEIGHT * ownMs) +
     AGAIN_WEIGHT * againMs + away + misplaced + harm + batch +
     FAILURE_MS * load.failures - stays;
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -274,7 +274,7 @@
       targetMs: route.targetMs,
       gapTargetMs: route.gapTargetMs,
       queueKey: this.#turn,
-      waitsFor,
+      awaitedRunner: waitsFor,
       ranksBelow,
       engine: service.engine,
     };
