--- a/packages/router/src/connection/apply_update.ts
+++ b/packages/router/src/connection/apply_update.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { CrashRecord } from "../process/crash_record.ts";
-import type { PrefixIndex } from "../process/prefix_record.ts";
+import type { PrefixIndex } from "../process/prefix_index.ts";
 import type { RunnerLimits } from "../process/runner_limits.ts";
 import type { RunnerLoads } from "../process/runner_loads.ts";
 import type { FleetTime } from "../process/fleet_time.ts";
--- a/packages/router/src/connection/outbox.ts
+++ b/packages/router/src/connection/outbox.ts
@@ -9,7 +9,7 @@
 import type { LimitUpdate } from "../process/runner_limits.ts";
 import type { LeaseObservation } from "../process/leader_lease.ts";
 import type { UsageCount } from "../process/usage_meter.ts";
-import type { PrefixUpdate } from "../process/prefix_record.ts";
+import type { PrefixUpdate } from "../process/prefix_index.ts";
 
 /**
  * Prompts told at once; of more the oldest are left out. An engine may then read
--- a/packages/router/src/connection/peer_encoding.ts
+++ b/packages/router/src/connection/peer_encoding.ts
@@ -10,7 +10,7 @@
 import type { PackedCrashes } from "./crash_encoding.ts";
 import type { Contact } from "../process/contact.ts";
 import type { DeadContact } from "../process/contact_book.ts";
-import type { PrefixUpdate } from "../process/prefix_record.ts";
+import type { PrefixUpdate } from "../process/prefix_index.ts";
 import type { UsageCount, WorkspaceCount } from "../process/usage_meter.ts";
 import type { RunnerListUpdate } from "../process/runner_directory.ts";
 import type { Configuration } from "../version/configuration.ts";
--- a/packages/router/src/connection/peer_message.ts
+++ b/packages/router/src/connection/peer_message.ts
@@ -8,7 +8,7 @@
 import type { ContactUpdates } from "../process/contact_book.ts";
 import type { LeaseObservation } from "../process/leader_lease.ts";
 import type { LimitUpdate } from "../process/runner_limits.ts";
-import type { PrefixUpdate } from "../process/prefix_record.ts";
+import type { PrefixUpdate } from "../process/prefix_index.ts";
 import type { LoadTotals } from "../process/load_totals.ts";
 import type { RunnerListUpdate } from "../process/runner_directory.ts";
 import type { UsageCount } from "../process/usage_meter.ts";
--- a/packages/router/src/connection/state_exchange_test.ts
+++ b/packages/router/src/connection/state_exchange_test.ts
@@ -10,7 +10,7 @@
   withoutLeadership,
 } from "../../tests/fixtures.ts";
 import { CrashRecord } from "../process/crash_record.ts";
-import { PrefixIndex } from "../process/prefix_record.ts";
+import { PrefixIndex } from "../process/prefix_index.ts";
 import { RunnerDirectory } from "../process/runner_directory.ts";
 import { RunnerLoads } from "../process/runner_loads.ts";
 import { unpackMessage } from "./peer_encoding.ts";
--- a/packages/router/src/connection/update_broadcaster.ts
+++ b/packages/router/src/connection/update_broadcaster.ts
@@ -11,7 +11,7 @@
 import type { LeaderLease, LeaseObservation } from "../process/leader_lease.ts";
 import type { UsageCount, UsageMeter } from "../process/usage_meter.ts";
 import type { CrashRecord, CrashUpdate } from "../process/crash_record.ts";
-import type { PrefixIndex, PrefixUpdate } from "../process/prefix_record.ts";
+import type { PrefixIndex, PrefixUpdate } from "../process/prefix_index.ts";
 import type { LimitUpdate, RunnerLimits } from "../process/runner_limits.ts";
 import type { RunnerLoads } from "../process/runner_loads.ts";
 import type { NeighbourFilter } from "../process/runner_queue.ts";
--- a/packages/router/src/connection/version_exchange.ts
+++ b/packages/router/src/connection/version_exchange.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { PrefixIndex } from "../process/prefix_record.ts";
+import type { PrefixIndex } from "../process/prefix_index.ts";
 import type { RunnerDirectory } from "../process/runner_directory.ts";
 import type { Configuration } from "../version/configuration.ts";
 import type { FetchRequest, FetchResponse, Versions } from "./peer_message.ts";
--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -26,7 +26,7 @@
   CachedParts as HeldMemory,
   EngineCache as EngineMemory,
 } from "./process/memory_survey.ts";
-export type { PromptPart } from "./process/prefix_record.ts";
+export type { PromptPart } from "./process/prefix_index.ts";
 export type { ReportedLoad } from "./process/runner_load.ts";
 export type { StatedLimit } from "./process/runner_limits.ts";
 export type { Scaling } from "./process/scaling.ts";
--- a/packages/router/src/process/memory_survey.ts
+++ b/packages/router/src/process/memory_survey.ts
@@ -7,7 +7,7 @@
 import type { FleetView } from "./fleet_view.ts";
 import type { EventLog } from "./event_log.ts";
 import { pause } from "./pause.ts";
-import type { PrefixIndex, PromptPart } from "./prefix_record.ts";
+import type { PrefixIndex, PromptPart } from "./prefix_index.ts";
 import { runnerId } from "./runner.ts";
 import type { Runner } from "./runner.ts";
 
--- a/packages/router/src/process/prefix_record_test.ts
+++ b/packages/router/src/process/prefix_index_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { PrefixIndex } from "./prefix_record.ts";
+import { PrefixIndex } from "./prefix_index.ts";
 
 const PROMPT = [
   { id: "brief", tokens: 13_000 },
--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -9,7 +9,7 @@
 import type { EventLog } from "../process/event_log.ts";
 import type { LimitQueue } from "../process/limit_queue.ts";
 import type { Pulse } from "../process/pulse.ts";
-import type { PrefixIndex } from "../process/prefix_record.ts";
+import type { PrefixIndex } from "../process/prefix_index.ts";
 import type { RetryBudget } from "../process/retry_budget.ts";
 import type { StreamPace } from "../process/stream_pace.ts";
 import type { RunnerLoads } from "../process/runner_loads.ts";
--- a/packages/router/src/request/demand.ts
+++ b/packages/router/src/request/demand.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { PrefixIndex, PromptPart } from "../process/prefix_record.ts";
+import type { PrefixIndex, PromptPart } from "../process/prefix_index.ts";
 import type { Runner } from "../process/runner.ts";
 import type { RunnerLimits } from "../process/runner_limits.ts";
 import type { RunnerLoads } from "../process/runner_loads.ts";
--- a/packages/router/src/request/dialect.ts
+++ b/packages/router/src/request/dialect.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import type { PromptPart } from "../process/prefix_record.ts";
+import type { PromptPart } from "../process/prefix_index.ts";
 import type { ReportedLoad } from "../process/runner_load.ts";
 import type { StatedLimit } from "../process/runner_limits.ts";
 
--- a/packages/router/src/request/placement.ts
+++ b/packages/router/src/request/placement.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { PromptPart } from "../process/prefix_record.ts";
+import type { PromptPart } from "../process/prefix_index.ts";
 import type { Runner } from "../process/runner.ts";
 import { disturbsTight, isOverloaded } from "./admission.ts";
 import { isTight } from "./demand.ts";
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { emptyLimits } from "../../tests/fixtures.ts";
-import { PrefixIndex } from "../process/prefix_record.ts";
+import { PrefixIndex } from "../process/prefix_index.ts";
 import type { Runner } from "../process/runner.ts";
 import { RunnerLoads } from "../process/runner_loads.ts";
 import { chooseRunner } from "./placement.ts";
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -26,7 +26,7 @@
 import { RequestMetrics } from "./process/metrics.ts";
 import { Pulse } from "./process/pulse.ts";
 import { PerService } from "./process/per_service.ts";
-import { PrefixIndex } from "./process/prefix_record.ts";
+import { PrefixIndex } from "./process/prefix_index.ts";
 import { RestartDetector } from "./process/restart_watch.ts";
 import { RetryBudget } from "./process/retry_budget.ts";
 import { RunnerDirectory } from "./process/runner_directory.ts";
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -32,7 +32,7 @@
   PlatformCall,
 } from "../src/process/platform_api.ts";
 import type { Fields } from "../src/process/line.ts";
-import { PrefixIndex } from "../src/process/prefix_record.ts";
+import { PrefixIndex } from "../src/process/prefix_index.ts";
 import type { Runner } from "../src/process/runner.ts";
 import { RunnerDirectory } from "../src/process/runner_directory.ts";
 import { RunnerLimits } from "../src/process/runner_limits.ts";
--- a/packages/router/tests/restart_test.ts
+++ b/packages/router/tests/restart_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { LoadSums } from "../src/connection/load_sums.ts";
-import { PrefixIndex } from "../src/process/prefix_record.ts";
+import { PrefixIndex } from "../src/process/prefix_index.ts";
 import { runnerId } from "../src/process/runner.ts";
 import { RunnerLoads } from "../src/process/runner_loads.ts";
 import {
