--- a/packages/router/src/request/completion_check.ts
+++ b/packages/router/src/request/completion_check.ts
@@ -7,7 +7,7 @@
 import { urgencyFactor } from "./admission.ts";
 
 /** What is known of an answer before its request is sent. */
-export interface ExpectedAnswer {
+export interface ExpectedResponse {
   /** Milliseconds until its caller has left, or gets a timeout. */
   readonly leftMs: number;
   /** Tokens of the prompt that its runner has to read. */
@@ -36,7 +36,7 @@
  *   msPerToken: 40, ranksBelow: 0 }); // false
  * ```
  */
-export function endsInTime(expected: ExpectedAnswer): boolean {
+export function endsInTime(expected: ExpectedResponse): boolean {
   const { leftMs, unreadTokens, answerTokens, msPerToken, ranksBelow } =
     expected;
   if (msPerToken === undefined) return true;
