--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -25,7 +25,7 @@
 export type {
   CachedParts as HeldMemory,
   EngineCache as EngineMemory,
-} from "./process/memory_survey.ts";
+} from "./process/cache_survey.ts";
 export type { PromptPart } from "./process/prefix_index.ts";
 export type { ReportedLoad } from "./process/runner_load.ts";
 export type { StatedLimit } from "./process/runner_limits.ts";
--- a/packages/router/src/process/restart_watch.ts
+++ b/packages/router/src/process/restart_watch.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { EventLog } from "./event_log.ts";
-import type { EngineCache } from "./memory_survey.ts";
+import type { EngineCache } from "./cache_survey.ts";
 import { pause } from "./pause.ts";
 import type { Runner } from "./runner.ts";
 import type { RunnerDirectory } from "./runner_directory.ts";
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -19,8 +19,8 @@
 } from "./connection/status_server.ts";
 import { CrashRecord } from "./process/crash_record.ts";
 import type { EventLog } from "./process/event_log.ts";
-import { CacheSurvey } from "./process/memory_survey.ts";
-import type { EngineCache } from "./process/memory_survey.ts";
+import { CacheSurvey } from "./process/cache_survey.ts";
+import type { EngineCache } from "./process/cache_survey.ts";
 import { LimitQueue } from "./process/limit_queue.ts";
 import { Lifecycle } from "./process/lifecycle.ts";
 import { RequestMetrics } from "./process/metrics.ts";
