--- a/packages/router/src/process/restart_watch_test.ts
+++ b/packages/router/src/process/restart_detector_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { SILENT_LOG } from "../../tests/fixtures.ts";
-import { RestartDetector } from "./restart_watch.ts";
+import { RestartDetector } from "./restart_detector.ts";
 import { runnerId } from "./runner.ts";
 import { RunnerDirectory } from "./runner_directory.ts";
 import type { Runner } from "./runner.ts";
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -27,7 +27,7 @@
 import { Pulse } from "./process/pulse.ts";
 import { PerService } from "./process/per_service.ts";
 import { PrefixIndex } from "./process/prefix_index.ts";
-import { RestartDetector } from "./process/restart_watch.ts";
+import { RestartDetector } from "./process/restart_detector.ts";
 import { RetryBudget } from "./process/retry_budget.ts";
 import { RunnerDirectory } from "./process/runner_directory.ts";
 import type { Runner } from "./process/runner.ts";
