--- a/packages/router/src/request/completion_check.ts
+++ b/packages/router/src/request/completion_check.ts
@@ -36,7 +36,7 @@
  *   msPerToken: 40, ranksBelow: 0 }); // false
  * ```
  */
-export function endsInTime(expected: ExpectedResponse): boolean {
+export function finishesInTime(expected: ExpectedResponse): boolean {
   const { leftMs, unreadTokens, answerTokens, msPerToken, ranksBelow } =
     expected;
   if (msPerToken === undefined) return true;
--- a/packages/router/src/request/completion_check_test.ts
+++ b/packages/router/src/request/completion_check_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { StreamPace } from "../process/stream_pace.ts";
-import { endsInTime } from "./completion_check.ts";
+import { finishesInTime } from "./completion_check.ts";
 
 const EVENT_TOKENS = 5;
 
@@ -31,9 +31,9 @@
 test("a long answer is not begun where it cannot end", () => {
   const calm = paceOf("r", 8 * EVENT_TOKENS, 2_000).msPerToken("r", 2_000);
   const burst = paceOf("r", 40 * EVENT_TOKENS, 4_000).msPerToken("r", 4_000);
-  assert.equal(endsInTime(answerOf(300, calm)), true);
-  assert.equal(endsInTime(answerOf(300, burst)), false);
-  assert.equal(endsInTime(answerOf(100, burst)), true);
+  assert.equal(finishesInTime(answerOf(300, calm)), true);
+  assert.equal(finishesInTime(answerOf(300, burst)), false);
+  assert.equal(finishesInTime(answerOf(100, burst)), true);
 });
 
 // The same burst, and an urgent answer that seems to need half more time than
@@ -41,13 +41,13 @@
 // its runner down go on; they are refused before it, and the pace rises again.
 test("an urgent answer is not refused for what less urgent ones do", () => {
   const answer = { ...answerOf(300, 40) };
-  assert.equal(endsInTime(answer), false);
-  assert.equal(endsInTime({ ...answer, ranksBelow: 2 }), true);
+  assert.equal(finishesInTime(answer), false);
+  assert.equal(finishesInTime({ ...answer, ranksBelow: 2 }), true);
 });
 
 test("nothing is refused before a pace is known", () => {
   const pace = new StreamPace();
-  assert.equal(endsInTime(answerOf(300, pace.msPerToken("r", 0))), true);
+  assert.equal(finishesInTime(answerOf(300, pace.msPerToken("r", 0))), true);
 });
 
 test("the pace of one runner does not hide that of another", () => {
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -9,7 +9,7 @@
 import type { Daemon } from "./daemon.ts";
 import type { Demand } from "./demand.ts";
 import { logLimited, logOverload, logWait } from "./exchange_log.ts";
-import { endsInTime } from "./completion_check.ts";
+import { finishesInTime } from "./completion_check.ts";
 import { chooseRunner, hasRoom } from "./placement.ts";
 import type { Choice } from "./placement.ts";
 import { RoomWait } from "./capacity_wait.ts";
@@ -201,7 +201,7 @@
     if (service.engine === undefined) return true;
     const msPerToken = this.#daemon.pace(service.name)
       .msPerToken(choice.runner.id, this.#daemon.now());
-    return endsInTime({
+    return finishesInTime({
       leftMs,
       unreadTokens: choice.unreadTokens,
       answerTokens: Math.min(
