--- a/packages/router/src/connection/membership_counts.ts
+++ b/packages/router/src/connection/membership_counts.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { SlidingMax } from "../process/recent_most.ts";
+import { SlidingMax } from "../process/sliding_max.ts";
 import type { MemberCounts } from "./peer_message.ts";
 
 /**
