--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { FailureRate } from "./failure_rate.ts";
-import { prefillMs } from "./reading.ts";
+import { prefillMs } from "./prefill_time.ts";
 import { RunnerQueue } from "./runner_queue.ts";
 import type { NeighbourFilter, WaitingEntry } from "./runner_queue.ts";
 import { addLoads, NO_LOAD, subtractLoads } from "./load_totals.ts";
--- a/packages/router/src/request/admission.ts
+++ b/packages/router/src/request/admission.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Runner } from "../process/runner.ts";
-import { prefillMs } from "../process/reading.ts";
+import { prefillMs } from "../process/prefill_time.ts";
 import { MAX_TIGHT_PREFILL_MS } from "./demand.ts";
 import type { Demand, RunnerFleet } from "./demand.ts";
 
--- a/packages/router/src/request/completion_check.ts
+++ b/packages/router/src/request/completion_check.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { prefillMs } from "../process/reading.ts";
+import { prefillMs } from "../process/prefill_time.ts";
 import { urgencyFactor } from "./admission.ts";
 
 /** What is known of an answer before its request is sent. */
