--- a/packages/router/src/request/completion_check.ts
+++ b/packages/router/src/request/completion_check.ts
@@ -9,7 +9,7 @@
 /** What is known of an answer before its request is sent. */
 export interface ExpectedResponse {
   /** Milliseconds until its caller has left, or gets a timeout. */
-  readonly leftMs: number;
+  readonly remainingMs: number;
   /** Tokens of the prompt that its runner has to read. */
   readonly unreadTokens: number;
   /** Tokens of the answer, as its caller expects; 0 if it does not say. */
@@ -37,8 +37,13 @@
  * ```
  */
 export function finishesInTime(expected: ExpectedResponse): boolean {
-  const { leftMs, unreadTokens, answerTokens, msPerToken, ranksBelow } =
-    expected;
+  const {
+    remainingMs: leftMs,
+    unreadTokens,
+    answerTokens,
+    msPerToken,
+    ranksBelow,
+  } = expected;
   if (msPerToken === undefined) return true;
   const neededMs = prefillMs(unreadTokens) + answerTokens * msPerToken;
   return neededMs <= leftMs * urgencyFactor(ranksBelow);
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -202,7 +202,7 @@
     const msPerToken = this.#daemon.pace(service.name)
       .msPerToken(choice.runner.id, this.#daemon.now());
     return finishesInTime({
-      leftMs,
+      remainingMs: leftMs,
       unreadTokens: choice.unreadTokens,
       answerTokens: Math.min(
         call.maxOutputTokens,
