--- a/packages/router/src/request/completion_check.ts
+++ b/packages/router/src/request/completion_check.ts
@@ -11,7 +11,7 @@
   /** Milliseconds until its caller has left, or gets a timeout. */
   readonly remainingMs: number;
   /** Tokens of the prompt that its runner has to read. */
-  readonly unreadTokens: number;
+  readonly prefillTokens: number;
   /** Tokens of the answer, as its caller expects; 0 if it does not say. */
   readonly answerTokens: number;
   /** Kinds of requests that are less urgent. */
@@ -39,7 +39,7 @@
 export function finishesInTime(expected: ExpectedResponse): boolean {
   const {
     remainingMs: leftMs,
-    unreadTokens,
+    prefillTokens: unreadTokens,
     answerTokens,
     msPerToken,
     ranksBelow,
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -203,7 +203,7 @@
       .msPerToken(choice.runner.id, this.#daemon.now());
     return finishesInTime({
       remainingMs: leftMs,
-      unreadTokens: choice.unreadTokens,
+      prefillTokens: choice.unreadTokens,
       answerTokens: Math.min(
         call.maxOutputTokens,
         call.expectedOutputTokens ?? 0,
