--- a/packages/router/src/request/completion_check.ts
+++ b/packages/router/src/request/completion_check.ts
@@ -13,7 +13,7 @@
   /** Tokens of the prompt that its runner has to read. */
   readonly prefillTokens: number;
   /** Tokens of the answer, as its caller expects; 0 if it does not say. */
-  readonly answerTokens: number;
+  readonly outputTokens: number;
   /** Kinds of requests that are less urgent. */
   readonly ranksBelow: number;
   /** What its runner takes for a token now; none while it is not known. */
@@ -40,7 +40,7 @@
   const {
     remainingMs: leftMs,
     prefillTokens: unreadTokens,
-    answerTokens,
+    outputTokens: answerTokens,
     msPerToken,
     ranksBelow,
   } = expected;
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -204,7 +204,7 @@
     return finishesInTime({
       remainingMs: leftMs,
       prefillTokens: choice.unreadTokens,
-      answerTokens: Math.min(
+      outputTokens: Math.min(
         call.maxOutputTokens,
         call.expectedOutputTokens ?? 0,
       ),
