--- a/packages/router/src/request/admission.ts
+++ b/packages/router/src/request/admission.ts
@@ -73,7 +73,7 @@
  * long prompts would otherwise fill these too, and urgent streams would wait
  * for seconds behind them.
  */
-export function disturbsTight(
+export function delaysTightStreams(
   fleet: RunnerFleet,
   demand: Demand,
   runner: Runner,
--- a/packages/router/src/request/placement.ts
+++ b/packages/router/src/request/placement.ts
@@ -5,7 +5,7 @@
  */
 import type { PromptPart } from "../process/prefix_index.ts";
 import type { Runner } from "../process/runner.ts";
-import { disturbsTight, isOverloaded } from "./admission.ts";
+import { delaysTightStreams, isOverloaded } from "./admission.ts";
 import { isTight } from "./demand.ts";
 import type { Demand, RunnerFleet } from "./demand.ts";
 import { holdingsOf, quoteOf, WARM_UP_FACTOR } from "./runner_cost.ts";
@@ -104,7 +104,7 @@
   runner: Runner,
 ): boolean {
   return isTight(demand) || !poolsOf(fleet.runners).kept.has(runner.name) ||
-    !disturbsTight(fleet, demand, runner);
+    !delaysTightStreams(fleet, demand, runner);
 }
 
 function byPrefix(
