--- a/packages/router/src/request/placement.ts
+++ b/packages/router/src/request/placement.ts
@@ -9,7 +9,7 @@
 import { isTight } from "./demand.ts";
 import type { Demand, RunnerFleet } from "./demand.ts";
 import { holdingsOf, quoteOf, WARM_UP_FACTOR } from "./runner_cost.ts";
-import type { Quote } from "./runner_cost.ts";
+import type { CostEstimate } from "./runner_cost.ts";
 import { poolsOf } from "./runner_pools.ts";
 
 /** A runner and what the choice was based on, for the log. */
@@ -119,7 +119,7 @@
   const home = pools.home(part.id, { tight, usable: names });
   const holdings = holdingsOf(fleet, demand, runners);
   const bearable = runners.filter((each) => isBearable(fleet, demand, each));
-  let best: Quote | undefined;
+  let best: CostEstimate | undefined;
   for (const runner of bearable.length > 0 ? bearable : runners) {
     const quote = quoteOf(fleet, demand, {
       runner,
--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -69,7 +69,7 @@
 const FAILURE_MS = 300;
 
 /** What a runner would cost a request, in ms. */
-export interface Quote {
+export interface CostEstimate {
   readonly runner: Runner;
   readonly unreadTokens: number;
   readonly fetchFrom: Runner | undefined;
@@ -135,7 +135,7 @@
     readonly kept: boolean;
     readonly holdings: Holdings;
   },
-): Quote {
+): CostEstimate {
   const { runner, atHome, kept, holdings } = place;
   const { holder, promisedTokens } = holdings;
   const load = fleet.loads.of(runner.id);
