--- a/packages/router/src/request/placement.ts
+++ b/packages/router/src/request/placement.ts
@@ -8,7 +8,7 @@
 import { delaysTightStreams, isOverloaded } from "./admission.ts";
 import { isTight } from "./demand.ts";
 import type { Demand, RunnerFleet } from "./demand.ts";
-import { holdingsOf, quoteOf, WARM_UP_FACTOR } from "./runner_cost.ts";
+import { estimateCost, holdingsOf, WARM_UP_FACTOR } from "./runner_cost.ts";
 import type { CostEstimate } from "./runner_cost.ts";
 import { poolsOf } from "./runner_pools.ts";
 
@@ -121,7 +121,7 @@
   const bearable = runners.filter((each) => isBearable(fleet, demand, each));
   let best: CostEstimate | undefined;
   for (const runner of bearable.length > 0 ? bearable : runners) {
-    const quote = quoteOf(fleet, demand, {
+    const quote = estimateCost(fleet, demand, {
       runner,
       atHome: runner.name === home,
       kept: pools.kept.has(runner.name),
--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -125,7 +125,7 @@
 }
 
 /** What a runner would cost a request. */
-export function quoteOf(
+export function estimateCost(
   fleet: RunnerFleet,
   demand: Demand,
   place: {
