--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -77,7 +77,7 @@
 }
 
 /** A runner that holds part of a prompt. */
-export interface Holder {
+export interface PrefixHolder {
   readonly runner: Runner;
   readonly tokens: number;
 }
@@ -93,7 +93,7 @@
 /** What runners hold of a prompt. */
 export interface Holdings {
   /** The runner that has read most of it; none when nobody has. */
-  readonly holder: Holder | undefined;
+  readonly holder: PrefixHolder | undefined;
   /** Most tokens that any runner has read, or is about to read. */
   readonly promisedTokens: number;
 }
@@ -104,7 +104,7 @@
   demand: Demand,
   runners: readonly Runner[],
 ): Holdings {
-  let holder: Holder | undefined;
+  let holder: PrefixHolder | undefined;
   let promisedTokens = 0;
   for (const runner of runners) {
     const { id } = runner;
