--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -91,7 +91,7 @@
 }
 
 /** What runners hold of a prompt. */
-export interface Holdings {
+export interface PrefixHoldings {
   /** The runner that has read most of it; none when nobody has. */
   readonly holder: PrefixHolder | undefined;
   /** Most tokens that any runner has read, or is about to read. */
@@ -103,7 +103,7 @@
   fleet: RunnerFleet,
   demand: Demand,
   runners: readonly Runner[],
-): Holdings {
+): PrefixHoldings {
   let holder: PrefixHolder | undefined;
   let promisedTokens = 0;
   for (const runner of runners) {
@@ -133,7 +133,7 @@
     /** Whether the prompt is at home there, by its rendezvous hash. */
     readonly atHome: boolean;
     readonly kept: boolean;
-    readonly holdings: Holdings;
+    readonly holdings: PrefixHoldings;
   },
 ): CostEstimate {
   const { runner, atHome, kept, holdings } = place;
