--- a/packages/router/src/request/placement.ts
+++ b/packages/router/src/request/placement.ts
@@ -8,7 +8,11 @@
 import { delaysTightStreams, isOverloaded } from "./admission.ts";
 import { isTight } from "./demand.ts";
 import type { Demand, RunnerFleet } from "./demand.ts";
-import { estimateCost, holdingsOf, WARM_UP_FACTOR } from "./runner_cost.ts";
+import {
+  estimateCost,
+  findPrefixHoldings,
+  WARM_UP_FACTOR,
+} from "./runner_cost.ts";
 import type { CostEstimate } from "./runner_cost.ts";
 import { poolsOf } from "./runner_pools.ts";
 
@@ -117,7 +121,7 @@
   const part = sharedPart(demand.prompt)!;
   const names = new Set(runners.map(({ name }) => name));
   const home = pools.home(part.id, { tight, usable: names });
-  const holdings = holdingsOf(fleet, demand, runners);
+  const holdings = findPrefixHoldings(fleet, demand, runners);
   const bearable = runners.filter((each) => isBearable(fleet, demand, each));
   let best: CostEstimate | undefined;
   for (const runner of bearable.length > 0 ? bearable : runners) {
--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -99,7 +99,7 @@
 }
 
 /** Finds what runners hold of a prompt. */
-export function holdingsOf(
+export function findPrefixHoldings(
   fleet: RunnerFleet,
   demand: Demand,
   runners: readonly Runner[],
