--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -95,7 +95,7 @@
   /** The runner that has read most of it; none when nobody has. */
   readonly holder: PrefixHolder | undefined;
   /** Most tokens that any runner has read, or is about to read. */
-  readonly promisedTokens: number;
+  readonly maxCachedTokens: number;
 }
 
 /** Finds what runners hold of a prompt. */
@@ -114,7 +114,7 @@
     const tokens = fleet.prefixes.fetchableTokens(id, demand.prompt, fleet.now);
     if (tokens > (holder?.tokens ?? 0)) holder = { runner, tokens };
   }
-  return { holder, promisedTokens };
+  return { holder, maxCachedTokens: promisedTokens };
 }
 
 /** What a request risks, or makes others risk, by the runner's kind, in ms. */
@@ -137,7 +137,7 @@
   },
 ): CostEstimate {
   const { runner, atHome, kept, holdings } = place;
-  const { holder, promisedTokens } = holdings;
+  const { holder, maxCachedTokens: promisedTokens } = holdings;
   const load = fleet.loads.of(runner.id);
   const cached = cachedTokens(fleet, demand, runner);
   const missing = holder === undefined ? 0 : holder.tokens - cached;
