--- a/packages/router/src/request/placement.ts
+++ b/packages/router/src/request/placement.ts
@@ -133,7 +133,7 @@
     });
     if (best === undefined || quote.costMs < best.costMs) best = quote;
   }
-  const { runner, unreadTokens, fetchFrom } = best!;
+  const { runner, prefillTokens: unreadTokens, fetchFrom } = best!;
   return {
     runner,
     unreadTokens,
--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -71,7 +71,7 @@
 /** What a runner would cost a request, in ms. */
 export interface CostEstimate {
   readonly runner: Runner;
-  readonly unreadTokens: number;
+  readonly prefillTokens: number;
   readonly fetchFrom: Runner | undefined;
   readonly costMs: number;
 }
@@ -167,7 +167,7 @@
     FAILURE_MS * load.failures - stays;
   return {
     runner,
-    unreadTokens,
+    prefillTokens: unreadTokens,
     fetchFrom: fetches ? holder!.runner : undefined,
     costMs,
   };
