--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -15,7 +15,7 @@
 import { logChoice } from "./exchange_log.ts";
 import type { Outcome } from "./outcome.ts";
 import type { OwnOutcomes } from "./local_outcomes.ts";
-import type { Choice } from "./placement.ts";
+import type { RunnerChoice } from "./placement.ts";
 import type { Progress } from "./progress.ts";
 import { Silence } from "./inactivity_timer.ts";
 import type { RoutedRequest } from "./routed_request.ts";
@@ -69,7 +69,7 @@
 
   /** Sends to one runner and passes on what comes. */
   async at(
-    choice: Choice,
+    choice: RunnerChoice,
     subject: RoutedRequest,
     body: Buffer,
   ): Promise<Tried> {
--- a/packages/router/src/request/create_attempt.ts
+++ b/packages/router/src/request/create_attempt.ts
@@ -7,7 +7,7 @@
 import type { IncomingMessage } from "node:http";
 import { Attempt } from "./attempt.ts";
 import type { Daemon } from "./daemon.ts";
-import type { Choice } from "./placement.ts";
+import type { RunnerChoice } from "./placement.ts";
 import type { RoutedRequest } from "./routed_request.ts";
 
 /**
@@ -19,7 +19,7 @@
   subject: RoutedRequest,
   options: {
     readonly request: IncomingMessage;
-    readonly choice: Choice;
+    readonly choice: RunnerChoice;
     readonly body: Buffer;
     /** Milliseconds until the caller gets its final answer in any case. */
     readonly leftMs: number;
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -6,7 +6,7 @@
 import type { Quarantine } from "../process/crash_record.ts";
 import type { QueueKey } from "../process/runner_queue.ts";
 import type { Daemon } from "./daemon.ts";
-import type { Choice } from "./placement.ts";
+import type { RunnerChoice } from "./placement.ts";
 import type { RoutedRequest } from "./routed_request.ts";
 
 /** Tells why no runner was sent a request, and how full the best was. */
@@ -14,7 +14,7 @@
   daemon: Daemon,
   subject: RoutedRequest,
   overload: {
-    readonly choice: Choice;
+    readonly choice: RunnerChoice;
     readonly waitedMs: number;
     /** Whether its answer would have ended in its caller's time. */
     readonly inTime: boolean;
@@ -66,7 +66,7 @@
 export function logWait(
   daemon: Daemon,
   subject: RoutedRequest,
-  wait: { readonly choice: Choice; readonly turn: QueueKey },
+  wait: { readonly choice: RunnerChoice; readonly turn: QueueKey },
 ): void {
   const { runner, candidates, unreadTokens } = wait.choice;
   const load = daemon.loads.of(runner.id);
@@ -103,7 +103,7 @@
   daemon: Daemon,
   subject: RoutedRequest,
   chosen: {
-    readonly choice: Choice;
+    readonly choice: RunnerChoice;
     /** The same for each try of the request. */
     readonly fingerprint: string;
     readonly leftMs: number;
--- a/packages/router/src/request/placement.ts
+++ b/packages/router/src/request/placement.ts
@@ -17,7 +17,7 @@
 import { poolsOf } from "./runner_pools.ts";
 
 /** A runner and what the choice was based on, for the log. */
-export interface Choice {
+export interface RunnerChoice {
   readonly runner: Runner;
   /** Prompt tokens that the runner has to read, as estimated. */
   readonly unreadTokens: number;
@@ -62,7 +62,10 @@
   return sound.length > 0 ? sound : left;
 }
 
-function leastLoaded(fleet: RunnerFleet, runners: readonly Runner[]): Choice {
+function leastLoaded(
+  fleet: RunnerFleet,
+  runners: readonly Runner[],
+): RunnerChoice {
   const cost = (runner: Runner) => {
     const load = fleet.loads.of(runner.id);
     const far = runner.failureDomain === fleet.failureDomain
@@ -115,7 +118,7 @@
   fleet: RunnerFleet,
   demand: Demand,
   runners: readonly Runner[],
-): Choice {
+): RunnerChoice {
   const pools = poolsOf(fleet.runners);
   const tight = isTight(demand);
   const part = sharedPart(demand.prompt)!;
@@ -161,7 +164,7 @@
   fleet: RunnerFleet,
   demand: Demand,
   excluded: ReadonlySet<string>,
-): Choice | undefined {
+): RunnerChoice | undefined {
   const runners = usable(fleet, excluded);
   if (runners.length === 0) return undefined;
   if (demand.engine === undefined || demand.prompt.length === 0) {
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -11,7 +11,7 @@
 import { logLimited, logOverload, logWait } from "./exchange_log.ts";
 import { finishesInTime } from "./completion_check.ts";
 import { chooseRunner, hasRoom } from "./placement.ts";
-import type { Choice } from "./placement.ts";
+import type { RunnerChoice } from "./placement.ts";
 import { RoomWait } from "./capacity_wait.ts";
 import type { RoutedRequest } from "./routed_request.ts";
 
@@ -100,7 +100,7 @@
   async find(options: {
     readonly tried: ReadonlySet<string>;
     readonly reachedNone: boolean;
-  }): Promise<Choice | undefined | "overloaded"> {
+  }): Promise<RunnerChoice | undefined | "overloaded"> {
     const { tried, reachedNone } = options;
     if (!reachedNone) return this.#taken(this.#choose(tried));
     const wait = new RoomWait(this.#turn);
@@ -115,7 +115,7 @@
   async #findRoom(
     wait: RoomWait,
     tried: ReadonlySet<string>,
-  ): Promise<Choice | undefined | "overloaded"> {
+  ): Promise<RunnerChoice | undefined | "overloaded"> {
     const { since, expiresAt } = this.#limits;
     const startedAt = this.#daemon.now();
     const left = expiresAt - startedAt;
@@ -153,7 +153,7 @@
    * Counts what is sent before anything else runs: all that wait for a runner
    * look at the same moment whether it takes one more.
    */
-  #taken(choice: Choice | undefined): Choice | undefined {
+  #taken(choice: RunnerChoice | undefined): RunnerChoice | undefined {
     if (choice === undefined) return undefined;
     this.#daemon.limits.recordRequest(choice.runner.id, this.#daemon.now());
     return choice;
@@ -164,7 +164,7 @@
   }
 
   /** Whether the runner takes one more, which another request gets first. */
-  #yields({ runner }: Choice): boolean {
+  #yields({ runner }: RunnerChoice): boolean {
     const limited = this.#daemon.limits.of(runner.id) !== undefined;
     return limited &&
       !this.#limitWaits.isFirst(this.#turn, this.#daemon.now());
@@ -196,7 +196,7 @@
    * Whether the answer would end before the caller's time is over. One that does
    * not is read and made in vain, and slows down those that would.
    */
-  #endsInTime(choice: Choice, leftMs: number): boolean {
+  #endsInTime(choice: RunnerChoice, leftMs: number): boolean {
     const { head: call, service, ranksBelow } = this.#subject;
     if (service.engine === undefined) return true;
     const msPerToken = this.#daemon.pace(service.name)
@@ -213,7 +213,7 @@
     });
   }
 
-  #waitAt(wait: RoomWait, choice: Choice): void {
+  #waitAt(wait: RoomWait, choice: RunnerChoice): void {
     const { runner, unreadTokens } = choice;
     const begun = wait.at(this.#daemon.loads.of(runner.id), {
       runner: runner.id,
@@ -258,7 +258,7 @@
   #choose(
     tried: ReadonlySet<string>,
     waitsFor?: string,
-  ): Choice | undefined {
+  ): RunnerChoice | undefined {
     const fleet = this.#daemon.fleet(this.#subject.service.name);
     return chooseRunner(fleet, this.#demand(waitsFor), tried);
   }
