--- a/packages/router/tests/crash_updates_test.ts
+++ b/packages/router/tests/crash_updates_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { FakeClock } from "./fake_clock.ts";
-import { settledFleet, SIZES } from "./fleet.ts";
+import { SIZES, startSettledFleet } from "./fleet.ts";
 import type { FleetShape, Member } from "./fleet.ts";
 
 /** Milliseconds between two tries of the request, at any daemon. */
@@ -29,7 +29,7 @@
   fingerprint: string,
 ): Promise<void> {
   for (const index of [0, 1, 2]) {
-    await clock.pass(AGAIN_MS);
+    await clock.advance(AGAIN_MS);
     const member = members[(7 * index) % members.length]!;
     endRunner(member, { fingerprint, runner: `${fingerprint}-${index}` });
   }
@@ -50,38 +50,38 @@
   const { daemons } = shape;
 
   test(`all of ${daemons} daemons refuse a request that ended three runners`, async (t) => {
-    const { clock, fleet } = await settledFleet(t, shape);
+    const { clock, fleet } = await startSettledFleet(t, shape);
     await endThree(clock, fleet.members, "bad");
-    await clock.pass(SPREAD_MS);
+    await clock.advance(SPREAD_MS);
     assertAllRefuse(fleet.members, "bad");
   });
 
   test(`one of ${daemons} daemons that starts again refuses it, too`, async (t) => {
-    const { clock, fleet } = await settledFleet(t, shape);
+    const { clock, fleet } = await startSettledFleet(t, shape);
     await endThree(clock, fleet.members, "bad");
-    await clock.pass(SPREAD_MS);
+    await clock.advance(SPREAD_MS);
     const [member] = fleet.members;
     member!.end();
-    await clock.pass(500);
+    await clock.advance(500);
     const again = fleet.restart(member!);
-    await clock.pass(2 * SPREAD_MS);
+    await clock.advance(2 * SPREAD_MS);
     assertAllRefuse([again], "bad");
   });
 }
 
 // Guards against a cut failure domain that learns nothing of what it missed.
 test("a failure domain that was cut off catches up, and others with it", async (t) => {
-  const { clock, fleet } = await settledFleet(t, LARGE);
+  const { clock, fleet } = await startSettledFleet(t, LARGE);
   const [inside, outside] = fleet.sides("d-0");
-  fleet.cutOff("d-0");
+  fleet.partition("d-0");
   await endThree(clock, inside, "bad-inside");
   await endThree(clock, outside, "bad-outside");
-  await clock.pass(10_000);
+  await clock.advance(10_000);
   assertAllRefuse(inside, "bad-inside");
   assertAllRefuse(outside, "bad-outside");
   assert.equal(refusing(outside, "bad-inside").length, 0);
   fleet.heal();
-  await clock.pass(10_000);
+  await clock.advance(10_000);
   assertAllRefuse(fleet.members, "bad-inside");
   assertAllRefuse(fleet.members, "bad-outside");
 });
@@ -91,19 +91,19 @@
 
 // Guards against a caller that ends runners with ever new bodies, and fills links.
 test("requests at ends of runners by the hundred fill no link", async (t) => {
-  const { clock, fleet } = await settledFleet(t, LARGE);
+  const { clock, fleet } = await startSettledFleet(t, LARGE);
   const seconds = 10;
   for (let count = 0; count < 200 * seconds; count++) {
     const member = fleet.members[count % LARGE.daemons]!;
     const runner = `r-${Math.floor(count / 10)}`;
     endRunner(member, { fingerprint: `varied-${count}`, runner });
-    await clock.pass(5);
+    await clock.advance(5);
   }
   for (const { counts, links, contact } of fleet.members) {
     const each = counts.bytes / seconds / links.size;
     assert.ok(each < CONTROL_BYTES_PER_S, `${contact.name}: ${each} bytes`);
   }
   await endThree(clock, fleet.members, "bad");
-  await clock.pass(SPREAD_MS);
+  await clock.advance(SPREAD_MS);
   assertAllRefuse(fleet.members, "bad");
 });
--- a/packages/router/tests/crashing_fleet.ts
+++ b/packages/router/tests/crashing_fleet.ts
@@ -8,7 +8,7 @@
 import { setTimeout as pause } from "node:timers/promises";
 import type { Runner } from "../src/process/runner.ts";
 import type { Route } from "../src/version/configuration.ts";
-import { answer, startFakeRunner, waitUntil } from "./fixtures.ts";
+import { runnerResponse, startFakeRunner, waitUntil } from "./fixtures.ts";
 import type { FakeRunner } from "./fixtures.ts";
 import { LinkedRouters } from "./linked_routers.ts";
 
@@ -27,9 +27,9 @@
   /** Bodies of all requests that reached runners, in turn. */
   readonly arrivals: string[] = [];
   /** Runners that have ended. */
-  ends = 0;
+  crashedRunners = 0;
   /** Requests that end runners which wait there, of those that come next. */
-  waiting = 0;
+  requestsToQueue = 0;
   /** Requests that were taken back while they waited. */
   withdrawn = 0;
   readonly #context: TestContext;
@@ -60,7 +60,7 @@
   }
 
   /** Waits until another runner has taken the place of each that ended. */
-  async restored(): Promise<void> {
+  async waitUntilRestored(): Promise<void> {
     await waitUntil(() => this.#listed.size === this.#size);
     const names = [...this.#listed.keys()].sort().join();
     await waitUntil(() =>
@@ -72,7 +72,7 @@
   }
 
   /** Requests whose body begins so that have reached runners. */
-  arrived(body: string): number {
+  countArrivals(body: string): number {
     return this.arrivals.filter((each) => each.startsWith(body)).length;
   }
 
@@ -96,17 +96,17 @@
     this.arrivals.push(body);
     if (!body.startsWith(CRASHING)) {
       await pause(WORK_MS);
-      run.socket.write(answer(run.id, body));
+      run.socket.write(runnerResponse(run.id, body));
       return;
     }
-    if (this.waiting > 0) {
-      this.waiting -= 1;
+    if (this.requestsToQueue > 0) {
+      this.requestsToQueue -= 1;
       run.socket.once("close", () => this.withdrawn += 1);
       return;
     }
     await pause(CRASH_MS);
     if (!this.#listed.delete(played.runner.id)) return;
-    this.ends += 1;
+    this.crashedRunners += 1;
     await played.end();
     // Its entry stands until its successor's is there.
     await pause(BACK_MS, undefined, { ref: false });
--- a/packages/router/tests/crashing_request_test.ts
+++ b/packages/router/tests/crashing_request_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { setTimeout as pause } from "node:timers/promises";
 import { CRASHING, CrashingFleet } from "./crashing_fleet.ts";
-import { call, waitUntil } from "./fixtures.ts";
+import { sendRequest, waitUntil } from "./fixtures.ts";
 
 /** Milliseconds in which daemons that are in touch know what one of them does. */
 const CONTACT_MS = 3_000;
@@ -25,24 +25,24 @@
 // Guards against a request that is known to end its runners being sent to more.
 test("a request that ended three runners is sent to no more than three others", async (t) => {
   const fleet = await CrashingFleet.start(t, { routers: 7, runners: 12 });
-  while (fleet.ends < ENDS) await fleet.linked.send(CRASHING);
+  while (fleet.crashedRunners < ENDS) await fleet.linked.send(CRASHING);
   await pause(CONTACT_MS);
-  const before = fleet.arrived(CRASHING);
+  const before = fleet.countArrivals(CRASHING);
   for (let tries = 0; tries < TRIES; tries++) await fleet.linked.send(CRASHING);
-  const arrived = fleet.arrived(CRASHING) - before;
-  t.diagnostic(`${fleet.ends} ends, sent ${arrived} times after`);
+  const arrived = fleet.countArrivals(CRASHING) - before;
+  t.diagnostic(`${fleet.crashedRunners} ends, sent ${arrived} times after`);
   assert.ok(arrived <= ALLOWED, `sent ${arrived} times more`);
 });
 
 // Guards against refusals of what only resembles the request that ends runners.
 test("other bodies of its caller on its path, and repeated ones, stay served", async (t) => {
   const fleet = await CrashingFleet.start(t, SHAPE);
-  while (fleet.ends < ENDS) {
+  while (fleet.crashedRunners < ENDS) {
     await Promise.all(
       [CRASHING, "poll", "poll"].map((body) => fleet.linked.send(body)),
     );
   }
-  await fleet.restored();
+  await fleet.waitUntilRestored();
   for (let tries = 0; tries < TRIES; tries++) {
     const [same, other] = [
       await fleet.linked.send("poll"),
@@ -67,9 +67,9 @@
 // Guards against runners that end under tries which they had in their queues.
 test("tries that wait at runners are taken back from them", async (t) => {
   const fleet = await CrashingFleet.start(t, SHAPE);
-  fleet.waiting = 2;
+  fleet.requestsToQueue = 2;
   const waiting = [fleet.linked.send(CRASHING), fleet.linked.send(CRASHING)];
-  await waitUntil(() => fleet.arrived(CRASHING) === 2);
+  await waitUntil(() => fleet.countArrivals(CRASHING) === 2);
   await endRunners(fleet);
   const answers = await Promise.all(waiting);
   assert.deepEqual(answers.map(({ status }) => status), [502, 502]);
@@ -86,7 +86,10 @@
   const fleet = await CrashingFleet.start(t, { ...SHAPE, route });
   const { status } = await fleet.linked.send(CRASHING);
   assert.equal(status, 502);
-  assert.ok(fleet.ends <= ENDS + ALLOWED, `${fleet.ends} ends`);
+  assert.ok(
+    fleet.crashedRunners <= ENDS + ALLOWED,
+    `${fleet.crashedRunners} ends`,
+  );
 });
 
 // Guards against a restarted daemon that has to learn by ends of runners.
@@ -94,11 +97,11 @@
   const fleet = await CrashingFleet.start(t, SHAPE);
   await endRunners(fleet);
   const router = await fleet.linked.add();
-  const send = () => call(router, { method: "POST", body: CRASHING });
-  const before = fleet.arrived(CRASHING);
+  const send = () => sendRequest(router, { method: "POST", body: CRASHING });
+  const before = fleet.countArrivals(CRASHING);
   await waitUntil(() =>
     router.crashes.snapshot(router.now()).crashed.length > 0
   );
   assert.equal((await send()).status, 503);
-  assert.equal(fleet.arrived(CRASHING), before);
+  assert.equal(fleet.countArrivals(CRASHING), before);
 });
--- a/packages/router/tests/fake_clock.ts
+++ b/packages/router/tests/fake_clock.ts
@@ -9,7 +9,7 @@
   readonly at: number;
   readonly order: number;
   readonly run: () => void;
-  done: boolean;
+  cancelled: boolean;
 }
 
 /**
@@ -38,7 +38,7 @@
     performance.now = () => this.#now;
     globalThis.setTimeout = this.#set as unknown as typeof setTimeout;
     globalThis.clearTimeout = ((timer?: Timer) => {
-      if (timer !== undefined) timer.done = true;
+      if (timer !== undefined) timer.cancelled = true;
     }) as typeof clearTimeout;
     t.after(() => this.restore());
   }
@@ -62,7 +62,7 @@
   }
 
   /** Lets milliseconds pass; whatever follows without waiting has happened. */
-  async pass(millis: number): Promise<void> {
+  async advance(millis: number): Promise<void> {
     const until = this.#now + millis;
     for (;;) {
       const next = this.#timers[0];
@@ -70,7 +70,7 @@
       this.#now = next.at;
       while (this.#timers[0] !== undefined && this.#timers[0].at <= next.at) {
         const timer = this.#take();
-        if (!timer.done) timer.run();
+        if (!timer.cancelled) timer.run();
       }
       await new Promise<void>((resolve) => this.#settle(resolve));
     }
@@ -79,7 +79,7 @@
 
   readonly #set = (run: () => void, millis = 0): Timer => {
     const at = Math.ceil(this.#now + Math.max(1, millis));
-    const timer = { at, order: this.#order++, run, done: false };
+    const timer = { at, order: this.#order++, run, cancelled: false };
     this.#put(timer);
     return Object.assign(timer, { unref: () => timer });
   };
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -107,7 +107,7 @@
   /** Whether every call fails. */
   down = false;
   /** Whether answers to writes are lost. */
-  losesAnswers = false;
+  losesWriteResponses = false;
 
   async read(): Promise<StoredRecord | undefined> {
     await this.#called();
@@ -124,7 +124,9 @@
       return { kind: "conflict", found: this.record };
     }
     this.record = { revision: revision + 1, record };
-    if (this.losesAnswers) throw new FeedError("unavailable", "answer lost");
+    if (this.losesWriteResponses) {
+      throw new FeedError("unavailable", "answer lost");
+    }
     return { kind: "written", revision: revision + 1 };
   }
 
@@ -249,7 +251,11 @@
 }
 
 /** Plays a runner's side of one request, given its text. */
-export type Play = (socket: Socket, request: string, id: string) => void;
+export type RequestHandler = (
+  socket: Socket,
+  request: string,
+  id: string,
+) => void;
 
 /** A runner that a test plays byte by byte. */
 export interface FakeRunner {
@@ -266,7 +272,7 @@
 export async function startFakeRunner(
   context: TestContext,
   id: string,
-  play: Play,
+  play: RequestHandler,
 ): Promise<FakeRunner> {
   const requests: string[] = [];
   const sockets = new Set<Socket>();
@@ -315,7 +321,7 @@
 }
 
 /** A whole answer of a runner. */
-export function answer(
+export function runnerResponse(
   id: string,
   body: string,
   options: { readonly status?: string; readonly headers?: string } = {},
@@ -332,7 +338,7 @@
 }
 
 /** One chunk of a body. */
-export function chunk(part: string): string {
+export function encodeChunk(part: string): string {
   return `${part.length.toString(16)}\r\n${part}\r\n`;
 }
 
@@ -398,7 +404,7 @@
 }
 
 /** A router with one route to the runners given. */
-export async function routeTo(
+export async function startSingleRouteRouter(
   context: TestContext,
   route: Partial<Route>,
   runners: readonly FakeRunner[],
@@ -415,7 +421,7 @@
 }
 
 /** What a caller got. */
-export interface CallerAnswer {
+export interface CallerResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: string;
@@ -424,7 +430,7 @@
 }
 
 /** Sends a request as a caller. */
-export async function call(
+export async function sendRequest(
   router: Router,
   options: {
     readonly method?: string;
@@ -432,7 +438,7 @@
     readonly body?: string;
     readonly headers?: Readonly<Record<string, string>>;
   } = {},
-): Promise<CallerAnswer> {
+): Promise<CallerResponse> {
   const outgoing = request({
     host: LOCALHOST,
     port: router.callersPort,
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -58,7 +58,7 @@
 const ROOM = { unreadTokens: 100, memoryTokens: 200, tight: false };
 
 /** What a daemon has done since the counts were reset. */
-export interface Counts {
+export interface ActivityCounts {
   messages: number;
   bytes: number;
   received: number;
@@ -66,7 +66,7 @@
   calls: number;
 }
 
-function noCounts(): Counts {
+function noCounts(): ActivityCounts {
   return { messages: 0, bytes: 0, received: 0, dials: 0, calls: 0 };
 }
 
@@ -109,7 +109,7 @@
     if (this.#closed) return;
     this.#from.counts.messages += 1;
     this.#from.counts.bytes += frame.length;
-    if (!this.#from.reaches(this.#to)) return;
+    if (!this.#from.canReach(this.#to)) return;
     const sentMs = this.#from.timeToSend(frame.length);
     setTimeout(() => this.#far!.#receive(frame), sentMs + DELAY_MS);
   }
@@ -121,7 +121,7 @@
   close(): void {
     if (this.#closed) return;
     this.#end();
-    if (!this.#from.reaches(this.#to)) return;
+    if (!this.#from.canReach(this.#to)) return;
     setTimeout(() => this.#far!.#end(), DELAY_MS);
   }
 
@@ -172,8 +172,8 @@
   }): void {
     const from = this.#member;
     from.counts.dials += 1;
-    const to = this.#fleet.at(address);
-    if (to === undefined || !from.reaches(to) || !to.reaches(from)) {
+    const to = this.#fleet.findByAddress(address);
+    if (to === undefined || !from.canReach(to) || !to.canReach(from)) {
       setTimeout(() => from.alive && outcome.failed(), DIAL_TIMEOUT_MS);
       return;
     }
@@ -268,7 +268,7 @@
 };
 
 /** A call to the platform, as it arrived. */
-export interface PlatformArrival {
+export interface ReceivedReport {
   readonly at: number;
   readonly fence: Fence;
   readonly window: number;
@@ -277,7 +277,7 @@
 
 /** The platform's API, which takes all that comes. */
 class RecordingApi implements PlatformApi {
-  readonly arrivals: PlatformArrival[] = [];
+  readonly arrivals: ReceivedReport[] = [];
 
   async reportUsage(
     { window, counts }: UsageReport,
@@ -317,9 +317,9 @@
   configuration: Configuration | undefined;
   alive = false;
   /** Whether the leader's store does not answer this host. */
-  cutFromStore = false;
+  storeUnreachable = false;
   /** Names of daemons that nothing from here reaches. */
-  readonly deafTo = new Set<string>();
+  readonly unreachable = new Set<string>();
   accept: ((opening: LinkOpening) => void) | undefined;
   readonly fleetSync: FleetSync;
   /** Mbit/s of what it sends on all its links together. */
@@ -405,8 +405,9 @@
   }
 
   /** Whether bytes from here arrive there. */
-  reaches(other: Member): boolean {
-    return this.alive && other.alive && !this.deafTo.has(other.contact.name);
+  canReach(other: Member): boolean {
+    return this.alive && other.alive &&
+      !this.unreachable.has(other.contact.name);
   }
 
   get ready(): boolean {
@@ -436,7 +437,7 @@
     const called = async () => {
       this.counts.calls += 1;
       await sleep(ANSWER_MS);
-      if (!this.alive || this.cutFromStore) {
+      if (!this.alive || this.storeUnreachable) {
         throw new FeedError("unavailable", "no answer");
       }
     };
@@ -459,7 +460,7 @@
   }
 
   /** Requests of all daemons at a runner, as this one believes. */
-  believes(runner: string): number {
+  inFlightAt(runner: string): number {
     return this.loads.of(runner).total.inFlight;
   }
 
@@ -501,7 +502,7 @@
   }
 
   /** The daemon at an address. */
-  at(address: string): Member | undefined {
+  findByAddress(address: string): Member | undefined {
     return this.members.find(({ alive, contact }) =>
       alive && contact.address === address
     );
@@ -512,7 +513,7 @@
   }
 
   /** The daemons of a failure domain, the widest links first. */
-  domain(index: number): readonly Member[] {
+  inDomain(index: number): readonly Member[] {
     return this.alive
       .filter(({ contact }) => contact.failureDomain === `d-${index}`)
       .sort((one, other) =>
@@ -531,18 +532,18 @@
   }
 
   /** Cuts a failure domain off from all others. */
-  cutOff(domain: string): void {
+  partition(domain: string): void {
     const [inside, outside] = this.sides(domain);
     for (const [from, to] of [[inside, outside], [outside, inside]] as const) {
       for (const one of from) {
-        for (const { contact } of to) one.deafTo.add(contact.name);
+        for (const { contact } of to) one.unreachable.add(contact.name);
       }
     }
   }
 
   /** Ends all cuts. */
   heal(): void {
-    for (const { deafTo } of this.members) deafTo.clear();
+    for (const { unreachable: deafTo } of this.members) deafTo.clear();
   }
 
   /** Starts all daemons within 0.3 s of each other, in any order. */
@@ -554,7 +555,7 @@
       if (member.alive) continue;
       setTimeout(() => member.start(seeds), Math.random() * START_SPREAD_MS);
     }
-    await this.#clock.pass(START_SPREAD_MS + 1);
+    await this.#clock.advance(START_SPREAD_MS + 1);
   }
 
   /** A daemon that ended starts again; it knows nothing. */
@@ -572,7 +573,7 @@
     for (let index = 0; index < this.members.length; index++) {
       this.members[index] = this.#make(index);
     }
-    await this.#clock.pass(1_000);
+    await this.#clock.advance(1_000);
     await this.startAll();
   }
 
@@ -658,7 +659,7 @@
 const SETTLED_MS = 8_000;
 
 /** A fleet that has been up for a while, with its clock. */
-export async function settledFleet(
+export async function startSettledFleet(
   t: TestContext,
   shape: FleetShape,
   seed = 1,
@@ -667,7 +668,7 @@
   const fleet = new Fleet(clock, shape);
   await fleet.startAll();
   fleet.configure(1);
-  await clock.pass(SETTLED_MS);
+  await clock.advance(SETTLED_MS);
   fleet.resetCounts();
   return { clock, fleet };
 }
--- a/packages/router/tests/fleet_counts_test.ts
+++ b/packages/router/tests/fleet_counts_test.ts
@@ -3,7 +3,7 @@
 import type { TestContext } from "node:test";
 import { FakeClock } from "./fake_clock.ts";
 import { Fleet } from "./fleet.ts";
-import type { Counts, FleetShape, Member } from "./fleet.ts";
+import type { ActivityCounts, FleetShape, Member } from "./fleet.ts";
 
 /** From the size from which daemons no longer all know each other on. */
 const SIZES: readonly FleetShape[] = [
@@ -27,7 +27,7 @@
 /** Within this time after a start all are ready. */
 const READY_MS = 250;
 
-type Measures = Counts & { readonly links: number };
+type Measures = ActivityCounts & { readonly links: number };
 
 interface Phase {
   readonly mean: Measures;
@@ -74,15 +74,15 @@
   const clock = new FakeClock(t);
   const fleet = new Fleet(clock, shape);
   await fleet.startAll();
-  await clock.pass(STARTED_MS);
+  await clock.advance(STARTED_MS);
   const calls = [callsOf(fleet.members)];
-  await clock.pass(SETTLED_MS);
+  await clock.advance(SETTLED_MS);
   fleet.configure(1);
-  await clock.pass(1_000);
+  await clock.advance(1_000);
   assert.ok(fleet.members.every(({ ready }) => ready));
   const start = phaseOf(fleet.members);
   fleet.resetCounts();
-  await clock.pass(REST_MS);
+  await clock.advance(REST_MS);
   const rest = phaseOf(fleet.members);
   fleet.resetCounts();
   const load = fleet.members[5]!.loads.of("r-1");
@@ -93,7 +93,7 @@
     requests: 1,
     unreadTokens: 5_000,
   });
-  await clock.pass(WAIT_MS);
+  await clock.advance(WAIT_MS);
   const waiting = phaseOf(fleet.members);
   assert.ok(
     fleet.members.every(({ loads }) =>
@@ -105,11 +105,11 @@
     ),
   );
   await fleet.restartAll();
-  await clock.pass(READY_MS);
+  await clock.advance(READY_MS);
   assert.ok(fleet.members.every(({ ready }) => ready));
-  await clock.pass(STARTED_MS);
+  await clock.advance(STARTED_MS);
   calls.push(callsOf(fleet.members));
-  await clock.pass(SETTLED_MS);
+  await clock.advance(SETTLED_MS);
   const restart = phaseOf(fleet.members);
   clock.restore();
   return { calls, start, restart, rest, waiting };
--- a/packages/router/tests/fleet_start_test.ts
+++ b/packages/router/tests/fleet_start_test.ts
@@ -29,11 +29,11 @@
     const clock = new FakeClock(t);
     const fleet = new Fleet(clock, shape);
     await fleet.startAll();
-    await clock.pass(SETTLED_MS);
+    await clock.advance(SETTLED_MS);
     fleet.configure(1);
-    await clock.pass(SETTLED_MS);
+    await clock.advance(SETTLED_MS);
     await fleet.restartAll();
-    await clock.pass(READY_MS);
+    await clock.advance(READY_MS);
     const unready = fleet.members.filter(({ ready }) => !ready);
     assert.equal(unready.length, 0);
     const sent = fleet.members.map(({ counts }) => counts.bytes);
--- a/packages/router/tests/forwarding_test.ts
+++ b/packages/router/tests/forwarding_test.ts
@@ -3,13 +3,13 @@
 import { text } from "node:stream/consumers";
 import { test } from "node:test";
 import {
-  answer,
-  call,
-  chunk,
-  routeTo,
+  encodeChunk,
+  runnerResponse,
+  sendRequest,
   SettableFeed,
   startFakeRunner,
   startRouter,
+  startSingleRouteRouter,
   streamHead,
   testConfiguration,
   testRoute,
@@ -18,10 +18,10 @@
 
 test("method, path, query, body and end-to-end headers pass unchanged", async (t) => {
   const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
-    socket.write(answer(id, "done", { headers: "X-Own: 1\r\n" }));
+    socket.write(runnerResponse(id, "done", { headers: "X-Own: 1\r\n" }));
   });
-  const router = await routeTo(t, {}, [runner]);
-  const got = await call(router, {
+  const router = await startSingleRouteRouter(t, {}, [runner]);
+  const got = await sendRequest(router, {
     method: "POST",
     path: "/a/b?c=d%20e",
     body: "hello",
@@ -44,19 +44,26 @@
 // runner would work for a workspace whose key the caller does not hold.
 test("a caller cannot name its workspace by itself", async (t) => {
   const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
-    socket.write(answer(id, "done"));
+    socket.write(runnerResponse(id, "done"));
   });
-  const router = await routeTo(t, { anonymous: false }, [runner], {
-    workspaces: [{ name: "office", keys: ["k1"], tier: undefined }],
+  const router = await startSingleRouteRouter(
+    t,
+    { anonymous: false },
+    [runner],
+    {
+      workspaces: [{ name: "office", keys: ["k1"], tier: undefined }],
+    },
+  );
+  await sendRequest(router, {
+    headers: { "x-key": "k1", "x-tenant": "other" },
   });
-  await call(router, { headers: { "x-key": "k1", "x-tenant": "other" } });
   const [request = ""] = runner.requests;
   assert.match(request, /X-Tenant: office\r\n/);
   assert.doesNotMatch(request, /other|k1/);
 });
 
 test("unknown paths, unknown keys and large bodies are refused", async (t) => {
-  const router = await routeTo(
+  const router = await startSingleRouteRouter(
     t,
     { pathPrefix: "/in/", anonymous: false },
     [],
@@ -64,9 +71,9 @@
       workspaces: [{ name: "office", keys: ["k1"], tier: undefined }],
     },
   );
-  assert.equal((await call(router, { path: "/out/" })).status, 404);
-  assert.equal((await call(router, { path: "/in/x" })).status, 401);
-  const large = await call(router, {
+  assert.equal((await sendRequest(router, { path: "/out/" })).status, 404);
+  assert.equal((await sendRequest(router, { path: "/in/x" })).status, 401);
+  const large = await sendRequest(router, {
     method: "POST",
     path: "/in/x",
     headers: { "x-key": "k1" },
@@ -84,7 +91,7 @@
     configurations,
     runners: new SettableFeed([]),
   });
-  const got = await call(router);
+  const got = await sendRequest(router);
   assert.equal(got.status, 503);
   assert.ok(Number(got.headers["retry-after"]) > 0);
   assert.equal(router.ready, false);
@@ -104,8 +111,11 @@
     "r-2",
     (socket) => socket.resetAndDestroy(),
   );
-  const router = await routeTo(t, { maxAttempts: 2 }, [first, second]);
-  const got = await call(router, { method: "POST", body: "x" });
+  const router = await startSingleRouteRouter(t, { maxAttempts: 2 }, [
+    first,
+    second,
+  ]);
+  const got = await sendRequest(router, { method: "POST", body: "x" });
   assert.equal(got.status, 502);
   assert.equal(first.requests.length + second.requests.length, 1);
 });
@@ -117,13 +127,13 @@
     (socket) => socket.resetAndDestroy(),
   );
   const sound = await startFakeRunner(t, "r-2", (socket, _, id) => {
-    socket.write(answer(id, "done"));
+    socket.write(runnerResponse(id, "done"));
   });
-  const router = await routeTo(t, {
+  const router = await startSingleRouteRouter(t, {
     repetition: "idempotent",
     maxAttempts: 2,
   }, [broken, sound]);
-  assert.equal((await call(router)).body, "done");
+  assert.equal((await sendRequest(router)).body, "done");
 });
 
 // A runner that fails by itself answers 500, and so does the second one. The
@@ -131,13 +141,13 @@
 test("the runner's own failure stands when no other does better", async (t) => {
   const play = (status: string) =>
     startFakeRunner(t, status, (socket, _, id) => {
-      socket.write(answer(id, "failed", { status: "500 Error" }));
+      socket.write(runnerResponse(id, "failed", { status: "500 Error" }));
     });
-  const router = await routeTo(t, {
+  const router = await startSingleRouteRouter(t, {
     repetition: "idempotent",
     maxAttempts: 2,
   }, [await play("r-1"), await play("r-2")]);
-  const got = await call(router);
+  const got = await sendRequest(router);
   assert.deepEqual([got.status, got.body, got.headers["x-seal"]], [
     500,
     "failed",
@@ -151,7 +161,7 @@
   const runners = await Promise.all(
     ["r-1", "r-2"].map((id) =>
       startFakeRunner(t, id, (socket, _, tryId) => {
-        socket.write(answer(tryId, "failed", { status: "500 Error" }));
+        socket.write(runnerResponse(tryId, "failed", { status: "500 Error" }));
       })
     ),
   );
@@ -168,19 +178,19 @@
   await waitUntil(() => router.ready);
   const arrivals = () =>
     runners.reduce((sum, { requests }) => sum + requests.length, 0);
-  assert.equal((await call(router)).status, 500);
+  assert.equal((await sendRequest(router)).status, 500);
   assert.equal(arrivals(), 2);
-  assert.equal((await call(router)).status, 500);
+  assert.equal((await sendRequest(router)).status, 500);
   assert.equal(arrivals(), 3);
 });
 
 test("a runner's refusal becomes a 503 with a time to come back", async (t) => {
   const full = await startFakeRunner(t, "r-1", (socket, _, id) => {
     const headers = "X-Not-Run: 1\r\n";
-    socket.write(answer(id, "", { status: "503 Full", headers }));
+    socket.write(runnerResponse(id, "", { status: "503 Full", headers }));
   });
-  const router = await routeTo(t, {}, [full]);
-  const got = await call(router);
+  const router = await startSingleRouteRouter(t, {}, [full]);
+  const got = await sendRequest(router);
   assert.equal(got.status, 503);
   assert.ok(Number(got.headers["retry-after"]) > 0);
 });
@@ -189,10 +199,10 @@
 // next answer is due. Passed on, a caller would get another caller's answer.
 test("an answer to another request is not passed on", async (t) => {
   const runner = await startFakeRunner(t, "r-1", (socket) => {
-    socket.write(answer("another", "not yours"));
+    socket.write(runnerResponse("another", "not yours"));
   });
-  const router = await routeTo(t, {}, [runner]);
-  const got = await call(router);
+  const router = await startSingleRouteRouter(t, {}, [runner]);
+  const got = await sendRequest(router);
   assert.deepEqual([got.status, got.body.includes("not yours")], [502, false]);
 });
 
@@ -202,8 +212,8 @@
       `HTTP/1.1 200 OK\r\nX-Id: ${id}\r\nContent-Length: 1\r\n\r\nx`,
     );
   });
-  const router = await routeTo(t, {}, [runner]);
-  assert.equal((await call(router)).status, 502);
+  const router = await startSingleRouteRouter(t, {}, [runner]);
+  assert.equal((await sendRequest(router)).status, 502);
 });
 
 // An answer has no length and its connection is reset after a part. Node ends
@@ -214,8 +224,8 @@
     socket.write(`${head}part`);
     setTimeout(() => socket.resetAndDestroy(), 20);
   });
-  const router = await routeTo(t, {}, [runner]);
-  assert.equal((await call(router)).status, 502);
+  const router = await startSingleRouteRouter(t, {}, [runner]);
+  assert.equal((await sendRequest(router)).status, 502);
 });
 
 // An answer has no length and ends with its connection. Whether it is whole
@@ -224,8 +234,8 @@
   const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     socket.end(`HTTP/1.1 200 OK\r\nX-Id: ${id}\r\nX-Seal: s\r\n\r\nall`);
   });
-  const router = await routeTo(t, {}, [runner]);
-  const got = await call(router);
+  const router = await startSingleRouteRouter(t, {}, [runner]);
+  const got = await sendRequest(router);
   assert.equal(got.body, "all");
   assert.equal(got.headers["content-length"], undefined);
   assert.equal(got.headers["transfer-encoding"], undefined);
@@ -238,19 +248,21 @@
   const play = (id: string) =>
     startFakeRunner(t, id, (socket, request, tryId) => {
       if (!request.includes("Last-Event-Id")) {
-        socket.write(streamHead(tryId) + chunk("id: 1\ndata: a\n\nid: 2\nda"));
+        socket.write(
+          streamHead(tryId) + encodeChunk("id: 1\ndata: a\n\nid: 2\nda"),
+        );
         return void setTimeout(() => socket.resetAndDestroy(), 20);
       }
       const events = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
-      socket.write(streamHead(tryId) + chunk(events) + "0\r\n\r\n");
+      socket.write(streamHead(tryId) + encodeChunk(events) + "0\r\n\r\n");
     });
   const runners = [await play("r-2"), await play("r-3")];
-  const router = await routeTo(t, {
+  const router = await startSingleRouteRouter(t, {
     repetition: "resumable",
     streaming: true,
     maxAttempts: 2,
   }, runners);
-  const got = await call(router);
+  const got = await sendRequest(router);
   assert.equal(got.broken, false);
   assert.equal(got.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   const resumed = runners.flatMap(({ requests }) => requests)
@@ -260,25 +272,25 @@
 
 test("a stream that may not be resumed does not end as if complete", async (t) => {
   const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
-    socket.write(streamHead(id) + chunk("id: 1\ndata: a\n\n"));
+    socket.write(streamHead(id) + encodeChunk("id: 1\ndata: a\n\n"));
     setTimeout(() => socket.resetAndDestroy(), 20);
   });
-  const router = await routeTo(t, { streaming: true }, [runner]);
-  assert.equal((await call(router)).broken, true);
+  const router = await startSingleRouteRouter(t, { streaming: true }, [runner]);
+  assert.equal((await sendRequest(router)).broken, true);
 });
 
 // A runner never answers. The caller gets its final answer at the timeout of
 // the route, and as the request may have run, not one that says it has not.
 test("a silent runner ends in 504 at the route's timeout", async (t) => {
   const runner = await startFakeRunner(t, "r-1", () => {});
-  const router = await routeTo(t, { timeoutMs: 100 }, [runner]);
-  assert.equal((await call(router)).status, 504);
+  const router = await startSingleRouteRouter(t, { timeoutMs: 100 }, [runner]);
+  assert.equal((await sendRequest(router)).status, 504);
   await waitUntil(() => runner.closed === 1);
 });
 
 test("the runner's work ends when the caller leaves", async (t) => {
   const runner = await startFakeRunner(t, "r-1", () => {});
-  const router = await routeTo(t, {}, [runner]);
+  const router = await startSingleRouteRouter(t, {}, [runner]);
   const socket = connect(router.callersPort, "127.0.0.1");
   socket.write("GET / HTTP/1.1\r\nHost: test\r\nX-Id: a\r\n\r\n");
   await waitUntil(() => runner.requests.length === 1);
@@ -291,17 +303,17 @@
 test("a request that met another runner at the address is said not to have run", async (t) => {
   const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     const headers = "X-Not-Run: 1\r\n";
-    socket.write(answer(id, "", { status: "421 Other", headers }));
+    socket.write(runnerResponse(id, "", { status: "421 Other", headers }));
   });
-  const router = await routeTo(t, {}, [runner]);
-  assert.equal((await call(router)).status, 503);
+  const router = await startSingleRouteRouter(t, {}, [runner]);
+  assert.equal((await sendRequest(router)).status, 503);
 });
 
 // A caller sends the head of a request and half of its body, then nothing. It
 // gets its final answer at the route's timeout, and nothing reaches a runner.
 test("a body that does not come ends in 408 at the route's timeout", async (t) => {
   const runner = await startFakeRunner(t, "r-1", () => {});
-  const router = await routeTo(t, { timeoutMs: 100 }, [runner]);
+  const router = await startSingleRouteRouter(t, { timeoutMs: 100 }, [runner]);
   const socket = connect(router.callersPort, "127.0.0.1");
   const lines = [
     "POST / HTTP/1.1",
--- a/packages/router/tests/graceful_shutdown_test.ts
+++ b/packages/router/tests/graceful_shutdown_test.ts
@@ -3,12 +3,12 @@
 import { connect } from "node:net";
 import { test } from "node:test";
 import {
-  answer,
-  call,
-  routeTo,
+  runnerResponse,
+  sendRequest,
   SettableFeed,
   startFakeRunner,
   startRouter,
+  startSingleRouteRouter,
   testConfiguration,
   testRoute,
   waitUntil,
@@ -18,12 +18,14 @@
 // must not be ready any more, yet serve them, and tell callers to connect anew.
 test("a leaving daemon serves what still arrives and closes behind it", async (t) => {
   const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
-    socket.write(answer(id, "done"));
+    socket.write(runnerResponse(id, "done"));
   });
-  const router = await routeTo(t, {}, [runner]);
+  const router = await startSingleRouteRouter(t, {}, [runner]);
   const left = router.leave();
   assert.equal(router.ready, false);
-  const got = await call(router, { headers: { connection: "keep-alive" } });
+  const got = await sendRequest(router, {
+    headers: { connection: "keep-alive" },
+  });
   assert.equal(got.body, "done");
   assert.equal(got.headers["connection"], "close");
   assert.equal(await left, true);
@@ -33,7 +35,7 @@
 // Node does not count it as idle; left open, its first request would be read
 // just before the kill and cut off.
 test("a connection that never had a request is closed at the hand-over", async (t) => {
-  const router = await routeTo(t, {}, []);
+  const router = await startSingleRouteRouter(t, {}, []);
   const socket = connect(router.callersPort, "127.0.0.1");
   await once(socket, "connect");
   socket.resume();
@@ -64,5 +66,5 @@
   await waitUntil(() => alone.ready);
   configurations.set([testConfiguration([], { version: 2 })]);
   await waitUntil(() => alone.routingTable()?.version === 2);
-  assert.equal((await call(alone)).status, 404);
+  assert.equal((await sendRequest(alone)).status, 404);
 });
--- a/packages/router/tests/leader_fleet_test.ts
+++ b/packages/router/tests/leader_fleet_test.ts
@@ -3,7 +3,7 @@
 import type { TestContext } from "node:test";
 import { FakeClock } from "./fake_clock.ts";
 import { Fleet, REPORT_DELAY_MS, WINDOW_MS } from "./fleet.ts";
-import type { FleetShape, Member, PlatformArrival } from "./fleet.ts";
+import type { FleetShape, Member, ReceivedReport } from "./fleet.ts";
 
 const SIZES: readonly FleetShape[] = [
   { daemons: 8, domains: 3 },
@@ -27,7 +27,7 @@
   const fleet = new Fleet(clock, shape);
   fleet.configure(1);
   await fleet.startAll();
-  await clock.pass(BEGUN_MS);
+  await clock.advance(BEGUN_MS);
   return { clock, fleet };
 }
 
@@ -53,7 +53,7 @@
     .filter((each) => each.window === window);
 }
 
-function checkOnTime(arrival: PlatformArrival | undefined): void {
+function checkOnTime(arrival: ReceivedReport | undefined): void {
   assert.ok(arrival !== undefined, "the window is reported");
   const dueAt = (arrival.window + 1) * WINDOW_MS + REPORT_DELAY_MS;
   assert.ok(arrival.at <= dueAt, `${arrival.at - dueAt} ms late`);
@@ -63,7 +63,7 @@
   test(`one of ${shape.daemons} daemons reports what all have counted`, async (t) => {
     const played = await startFleet(t, shape);
     const { window, requests } = countAll(played);
-    await played.clock.pass(WINDOW_MS + REPORT_DELAY_MS);
+    await played.clock.advance(WINDOW_MS + REPORT_DELAY_MS);
     const [arrival, ...others] = arrivalsOf(played, window);
     checkOnTime(arrival);
     assert.equal(others.length, 0);
@@ -74,7 +74,7 @@
     const played = await startFleet(t, shape);
     const { store } = played.fleet.leadership;
     const before = store.calls;
-    await played.clock.pass(20_000);
+    await played.clock.advance(20_000);
     const perS = (store.calls - before) / 20;
     t.diagnostic(`${shape.daemons} daemons: ${perS} calls a second`);
     assert.ok(perS <= CALLS_PER_S, `${perS} calls a second`);
@@ -86,12 +86,12 @@
 test("a window is reported in time though the leader is lost before it is due", async (t) => {
   const played = await startFleet(t, shape!);
   const { window, requests } = countAll(played);
-  await played.clock.pass(WINDOW_MS);
+  await played.clock.advance(WINDOW_MS);
   const lost = leaderOf(played);
   lost.end({ power: true });
-  await played.clock.pass(LOST_MS);
+  await played.clock.advance(LOST_MS);
   assert.notEqual(leaderOf(played), lost);
-  await played.clock.pass(REPORT_DELAY_MS);
+  await played.clock.advance(REPORT_DELAY_MS);
   const [arrival] = arrivalsOf(played, window);
   checkOnTime(arrival);
   assert.deepEqual(arrival!.counts, { fitters: requests });
@@ -100,10 +100,10 @@
 test("a leader that is cut from the store is followed, and stops before", async (t) => {
   const played = await startFleet(t, shape!);
   const cut = leaderOf(played);
-  cut.cutFromStore = true;
+  cut.storeUnreachable = true;
   let none = 0;
   for (let at = 0; at < 60; at++) {
-    await played.clock.pass(100);
+    await played.clock.advance(100);
     assert.ok(leadersOf(played).length <= 1);
     none += leadersOf(played).length === 0 ? 1 : 0;
   }
@@ -114,9 +114,9 @@
 test("a window counted before all daemons are lost is reported whole", async (t) => {
   const played = await startFleet(t, shape!);
   const { window, requests } = countAll(played);
-  await played.clock.pass(WINDOW_MS);
+  await played.clock.advance(WINDOW_MS);
   await played.fleet.restartAll();
-  await played.clock.pass(WINDOW_MS + REPORT_DELAY_MS);
+  await played.clock.advance(WINDOW_MS + REPORT_DELAY_MS);
   const [arrival] = arrivalsOf(played, window);
   checkOnTime(arrival);
   assert.deepEqual(arrival!.counts, { fitters: requests });
@@ -126,11 +126,11 @@
   const played = await startFleet(t, shape!);
   for (let turn = 0; turn < 3; turn++) {
     countAll(played);
-    await played.clock.pass(4_000);
+    await played.clock.advance(4_000);
     leaderOf(played).end({ power: true });
-    await played.clock.pass(LOST_MS);
+    await played.clock.advance(LOST_MS);
   }
-  await played.clock.pass(REPORT_DELAY_MS);
+  await played.clock.advance(REPORT_DELAY_MS);
   const { arrivals } = played.fleet.leadership.api;
   const byWindow = new Map<number, string>();
   let fencing = 0;
--- a/packages/router/tests/leader_test.ts
+++ b/packages/router/tests/leader_test.ts
@@ -106,21 +106,21 @@
 test("a report without an answer is sent again, with the same counts", async (t) => {
   const played = new Played(t);
   const { meter } = played.start("a");
-  await played.clock.pass(BEGUN_MS);
+  await played.clock.advance(BEGUN_MS);
   meter.began("fitters");
   const { window } = meter;
   played.api.end = { kind: "failed", reason: "No answer in time" };
-  await played.clock.pass(14_000);
+  await played.clock.advance(14_000);
   const tries = played.api.reports.filter((each) => each.window === window);
   assert.ok(tries.length > 1, `${tries.length} tries`);
   assert.equal(new Set(tries.map((each) => JSON.stringify(each))).size, 1);
   played.api.end = { kind: "accepted" };
-  await played.clock.pass(4_000);
+  await played.clock.advance(4_000);
   const before = played.api.reports.length;
   const waiting = played.store.record?.record.work.reports
     .filter(({ accepted }) => !accepted);
   assert.deepEqual(waiting, []);
-  await played.clock.pass(3_000);
+  await played.clock.advance(3_000);
   const again = played.api.reports.slice(before)
     .filter((each) => each.window === window);
   assert.deepEqual(again, []);
@@ -129,13 +129,13 @@
 test("a leader that leaves ends its call before another one leads", async (t) => {
   const played = new Played(t);
   const first = played.start("a");
-  await played.clock.pass(BEGUN_MS);
+  await played.clock.advance(BEGUN_MS);
   played.api.takesMs = 800;
-  while (played.api.calls.length === 0) await played.clock.pass(50);
+  while (played.api.calls.length === 0) await played.clock.advance(50);
   const left = first.leader.leave();
-  await played.clock.pass(100);
+  await played.clock.advance(100);
   assert.notEqual(played.store.record?.record.holding.holderId, "");
-  await played.clock.pass(1_000);
+  await played.clock.advance(1_000);
   await left;
   assert.equal(played.store.record?.record.holding.holderId, "");
 });
@@ -143,19 +143,19 @@
 test("a leader whose store does not answer stops, and goes on later", async (t) => {
   const played = new Played(t);
   const { lease, meter } = played.start("a");
-  await played.clock.pass(BEGUN_MS);
+  await played.clock.advance(BEGUN_MS);
   assert.ok(lease.held);
   played.store.down = true;
-  await played.clock.pass(LEASE_MS);
+  await played.clock.advance(LEASE_MS);
   assert.equal(lease.held, false);
   const before = played.api.calls.length;
-  await played.clock.pass(5_000);
+  await played.clock.advance(5_000);
   assert.equal(played.api.calls.length, before);
   played.store.down = false;
-  await played.clock.pass(1_500);
+  await played.clock.advance(1_500);
   assert.ok(lease.held);
   meter.began("fitters");
-  await played.clock.pass(15_000);
+  await played.clock.advance(15_000);
   assert.ok(played.api.calls.length > before);
 });
 
@@ -170,10 +170,10 @@
   let wanted: readonly RunnerOrder[] = [order];
   played.demand = { desiredOrders: () => wanted, recordNoneLeft() {} };
   played.start("a");
-  await played.clock.pass(BEGUN_MS + 5_000);
+  await played.clock.advance(BEGUN_MS + 5_000);
   assert.deepEqual(played.api.orders, [order]);
   assert.deepEqual(played.store.record?.record.work.orders, [order]);
   wanted = [{ ...order, runners: 7 }];
-  await played.clock.pass(2_000);
+  await played.clock.advance(2_000);
   assert.deepEqual(played.api.orders.slice(1), wanted);
 });
--- a/packages/router/tests/limit_updates_test.ts
+++ b/packages/router/tests/limit_updates_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { settledFleet, SIZES } from "./fleet.ts";
+import { SIZES, startSettledFleet } from "./fleet.ts";
 import type { FleetShape, Member } from "./fleet.ts";
 
 /** Well within the 3 to 5 s in which daemons are to be in touch. */
@@ -38,45 +38,45 @@
   const { daemons } = shape;
 
   test(`all of ${daemons} daemons keep a limit that one of them heard of`, async (t) => {
-    const { clock, fleet } = await settledFleet(t, shape);
+    const { clock, fleet } = await startSettledFleet(t, shape);
     hear(fleet.members.at(-1)!, PER_S);
-    await clock.pass(SPREAD_MS);
+    await clock.advance(SPREAD_MS);
     assertAllKnow(fleet.members, PER_S);
     // The same few have parts, at whichever daemon it is worked out.
     assert.equal(holders(fleet.members).length, HOLDERS);
-    await clock.pass(SPREAD_MS);
+    await clock.advance(SPREAD_MS);
     hear(holders(fleet.members)[0]!, undefined);
-    await clock.pass(SPREAD_MS);
+    await clock.advance(SPREAD_MS);
     assertAllKnow(fleet.members, undefined);
   });
 
   test(`of ${daemons} daemons others take over the parts of one that ends`, async (t) => {
-    const { clock, fleet } = await settledFleet(t, shape);
+    const { clock, fleet } = await startSettledFleet(t, shape);
     hear(fleet.members[0]!, PER_S);
-    await clock.pass(SPREAD_MS);
+    await clock.advance(SPREAD_MS);
     const [lost] = holders(fleet.members);
     lost!.end({ power: true });
-    await clock.pass(TAKEOVER_MS);
+    await clock.advance(TAKEOVER_MS);
     assert.equal(holders(fleet.alive).length, HOLDERS);
     const again = fleet.restart(lost!);
-    await clock.pass(2 * SPREAD_MS);
+    await clock.advance(2 * SPREAD_MS);
     assertAllKnow([again], PER_S);
   });
 }
 
 // Guards against a limit that ends for those alone who were cut off when it did.
 test("a failure domain that was cut off hears that a limit has ended", async (t) => {
-  const { clock, fleet } = await settledFleet(t, LARGE);
+  const { clock, fleet } = await startSettledFleet(t, LARGE);
   hear(fleet.members[0]!, PER_S);
-  await clock.pass(SPREAD_MS);
+  await clock.advance(SPREAD_MS);
   const [inside, outside] = fleet.sides("d-0");
-  fleet.cutOff("d-0");
-  await clock.pass(TAKEOVER_MS);
+  fleet.partition("d-0");
+  await clock.advance(TAKEOVER_MS);
   hear(outside[0]!, undefined);
-  await clock.pass(SPREAD_MS);
+  await clock.advance(SPREAD_MS);
   assertAllKnow(outside, undefined);
   assertAllKnow(inside, PER_S);
   fleet.heal();
-  await clock.pass(2 * TAKEOVER_MS);
+  await clock.advance(2 * TAKEOVER_MS);
   assertAllKnow(fleet.members, undefined);
 });
--- a/packages/router/tests/limited_runner_test.ts
+++ b/packages/router/tests/limited_runner_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import type { TestContext } from "node:test";
 import { setTimeout as pause } from "node:timers/promises";
-import { answer, startFakeRunner, waitUntil } from "./fixtures.ts";
+import { runnerResponse, startFakeRunner, waitUntil } from "./fixtures.ts";
 import { LinkedRouters } from "./linked_routers.ts";
 
 /** Milliseconds in which daemons that are in touch know what one of them does. */
@@ -62,7 +62,7 @@
         ? `X-Limit: ${this.perS}\r\n`
         : "";
       await pause(WORK_MS);
-      socket.write(answer(id, "done", { headers }));
+      socket.write(runnerResponse(id, "done", { headers }));
     });
   }
 
@@ -134,7 +134,7 @@
   });
   const failing = await startFakeRunner(t, "failing", (socket, _, id) => {
     const status = "500 Internal Server Error";
-    socket.write(answer(id, "failed", { status }));
+    socket.write(runnerResponse(id, "failed", { status }));
   });
   const limited = await startFakeRunner(t, "limited", () => {});
   linked.runners.set([failing.runner, limited.runner]);
@@ -151,7 +151,7 @@
   const linked = new LinkedRouters(t, { timeoutMs: 1_000, patienceMs: 1_000 });
   const only = await startFakeRunner(t, "only", (socket, _, id) => {
     const headers = "X-Limit: 5\r\n";
-    socket.write(answer(id, "done", { headers }));
+    socket.write(runnerResponse(id, "done", { headers }));
   });
   linked.runners.set([only.runner]);
   await linked.add();
@@ -179,7 +179,7 @@
   const served: string[] = [];
   const only = await startFakeRunner(t, "only", (socket, text, id) => {
     served.push(/ \/(\w+)\//.exec(text)![1]!);
-    socket.write(answer(id, "done", { headers: "X-Limit: 4\r\n" }));
+    socket.write(runnerResponse(id, "done", { headers: "X-Limit: 4\r\n" }));
   });
   linked.runners.set([only.runner]);
   const router = await linked.add();
--- a/packages/router/tests/linked_routers.ts
+++ b/packages/router/tests/linked_routers.ts
@@ -11,14 +11,14 @@
 import type { Router } from "../src/router.ts";
 import type { Route } from "../src/version/configuration.ts";
 import {
-  call,
+  sendRequest,
   SettableFeed,
   startRouter,
   testConfiguration,
   testRoute,
   waitUntil,
 } from "./fixtures.ts";
-import type { CallerAnswer } from "./fixtures.ts";
+import type { CallerResponse } from "./fixtures.ts";
 
 const LOCALHOST = "127.0.0.1";
 
@@ -83,10 +83,10 @@
   send(
     body: string,
     options: { readonly path?: string } = {},
-  ): Promise<CallerAnswer> {
+  ): Promise<CallerResponse> {
     const router = this.routers[this.#tries % this.routers.length]!;
     this.#tries += 1;
-    return call(router, {
+    return sendRequest(router, {
       method: "POST",
       path: options.path ?? "/",
       body,
--- a/packages/router/tests/restart_test.ts
+++ b/packages/router/tests/restart_test.ts
@@ -5,8 +5,8 @@
 import { runnerId } from "../src/process/runner.ts";
 import { RunnerLoads } from "../src/process/runner_loads.ts";
 import {
-  answer,
-  call,
+  runnerResponse,
+  sendRequest,
   SettableFeed,
   startFakeRunner,
   startRouter,
@@ -30,7 +30,7 @@
   let broken = true;
   const played = await startFakeRunner(t, "a", (socket, _, id) => {
     if (broken) return void socket.destroy();
-    socket.write(answer(id, "well"));
+    socket.write(runnerResponse(id, "well"));
   });
   const runners = new SettableFeed([lifeOf(played, 100)]);
   const configuration = testConfiguration([
@@ -41,14 +41,14 @@
     runners,
   });
   await waitUntil(() => router.ready);
-  for (let tries = 0; tries < 2; tries++) await call(router);
+  for (let tries = 0; tries < 2; tries++) await sendRequest(router);
   const before = runnerId("a", 100);
   assert.ok(router.loads.of(before).isEjected(router.now()));
   broken = false;
   runners.set([lifeOf(played, 200)]);
   const after = runnerId("a", 200);
   await waitUntil(() => router.fleet("service").runners[0]?.id === after);
-  assert.equal((await call(router)).body, "well");
+  assert.equal((await sendRequest(router)).body, "well");
   assert.equal(router.loads.of(after).failures, 0);
 });
 
@@ -94,13 +94,13 @@
 // one.
 test("an address that was taken over costs the caller nothing", async (t) => {
   const taken = await startFakeRunner(t, "taken", (socket, _, id) => {
-    socket.write(answer(id, "no", {
+    socket.write(runnerResponse(id, "no", {
       status: "421 Misdirected Request",
       headers: "X-Not-Run: 1\r\n",
     }));
   });
   const other = await startFakeRunner(t, "other", (socket, _, id) => {
-    socket.write(answer(id, "well"));
+    socket.write(runnerResponse(id, "well"));
   });
   const router = await startRouter(t, {
     configurations: new SettableFeed([
@@ -110,7 +110,7 @@
   });
   await waitUntil(() => router.ready);
   for (let tries = 0; tries < 6; tries++) {
-    assert.equal((await call(router)).body, "well");
+    assert.equal((await sendRequest(router)).body, "well");
   }
   assert.ok(taken.requests.length <= 3);
 });
--- a/packages/router/tests/survey_assignment_test.ts
+++ b/packages/router/tests/survey_assignment_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Rendezvous } from "@umbermast/coordination/rendezvous";
-import { settledFleet, SIZES } from "./fleet.ts";
+import { SIZES, startSettledFleet } from "./fleet.ts";
 import type { Member } from "./fleet.ts";
 
 const RUNNERS = 200;
@@ -23,7 +23,7 @@
 // Guards against runners that each of many daemons asks what they hold.
 for (const shape of [...SIZES, { daemons: 40, domains: 1 }]) {
   test(`of ${shape.daemons} daemons one asks a runner what it holds`, async (t) => {
-    const { fleet } = await settledFleet(t, shape);
+    const { fleet } = await startSettledFleet(t, shape);
     assert.deepEqual(new Set(askersOf(fleet.members)), new Set([1]));
   });
 }
