--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -78,7 +78,7 @@
     const { fingerprint, leftMs } = this.#progress;
     const load = this.#daemon.loads.of(runner.id);
     const placed: PlacedRequest = {
-      unreadTokens: choice.unreadTokens,
+      unreadTokens: choice.prefillTokens,
       memoryTokens: call.promptTokens + call.maxOutputTokens,
       tight: choice.tight,
     };
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -68,7 +68,7 @@
   subject: RoutedRequest,
   wait: { readonly choice: RunnerChoice; readonly turn: QueueKey },
 ): void {
-  const { runner, candidates, unreadTokens } = wait.choice;
+  const { runner, candidates, prefillTokens: unreadTokens } = wait.choice;
   const load = daemon.loads.of(runner.id);
   daemon.log.decision("room_awaited", subject.head.id, {
     service: subject.service.name,
@@ -125,7 +125,7 @@
     limit_per_s: daemon.limits.of(choice.runner.id),
     failed_percent: Math.round(100 * load.failureRate(daemon.now())),
     backlog_tokens: load.total.unreadTokens,
-    unread_tokens: choice.unreadTokens,
+    unread_tokens: choice.prefillTokens,
     fetch_from: choice.fetchFrom?.id,
     prompt_tokens: call.promptTokens,
     shared_part: call.prompt.at(-2)?.id,
--- a/packages/router/src/request/placement.ts
+++ b/packages/router/src/request/placement.ts
@@ -20,7 +20,7 @@
 export interface RunnerChoice {
   readonly runner: Runner;
   /** Prompt tokens that the runner has to read, as estimated. */
-  readonly unreadTokens: number;
+  readonly prefillTokens: number;
   /** A runner that holds more of the prompt, to fetch it from. */
   readonly fetchFrom: Runner | undefined;
   /** Whether the request is a stream that bears only short pauses. */
@@ -83,7 +83,7 @@
   }
   return {
     runner: best,
-    unreadTokens: 0,
+    prefillTokens: 0,
     fetchFrom: undefined,
     tight: false,
     overloaded: false,
@@ -139,7 +139,7 @@
   const { runner, prefillTokens: unreadTokens, fetchFrom } = best!;
   return {
     runner,
-    unreadTokens,
+    prefillTokens: unreadTokens,
     fetchFrom,
     tight,
     overloaded: !hasRoom(fleet, demand, runner),
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -83,7 +83,7 @@
   return demands.map((demand) => {
     const choice = chooseRunner(fleet, demand, NONE)!;
     fleet.loads.of(choice.runner.id).place({
-      unreadTokens: choice.unreadTokens,
+      unreadTokens: choice.prefillTokens,
       memoryTokens: demand.promptTokens + demand.answerTokens,
       tight: choice.tight,
     }, fleet.now);
@@ -107,7 +107,7 @@
   const fleet = fleetOf(8);
   const [first, second] = placeAll(fleet, [longPrompt("a"), longPrompt("a")]);
   assert.equal(second!.runner.id, first!.runner.id);
-  assert.equal(second!.unreadTokens, 3_000);
+  assert.equal(second!.prefillTokens, 3_000);
 });
 
 // Many requests share one prompt. Its home alone would make the last of them
@@ -126,7 +126,9 @@
   );
   const used = new Set(rest.map(({ runner }) => runner.id));
   assert.ok(used.size >= 3, `${used.size} runners`);
-  assert.ok(rest.every(({ unreadTokens }) => unreadTokens <= 3_000));
+  assert.ok(
+    rest.every(({ prefillTokens: unreadTokens }) => unreadTokens <= 3_000),
+  );
   assert.ok(rest.some(({ fetchFrom }) => fetchFrom !== undefined));
 });
 
@@ -161,7 +163,7 @@
     if (choice.overloaded) continue;
     started += 1;
     const placed = {
-      unreadTokens: choice.unreadTokens,
+      unreadTokens: choice.prefillTokens,
       memoryTokens: demand.promptTokens + demand.answerTokens,
       tight: choice.tight,
     };
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -203,7 +203,7 @@
       .msPerToken(choice.runner.id, this.#daemon.now());
     return finishesInTime({
       remainingMs: leftMs,
-      prefillTokens: choice.unreadTokens,
+      prefillTokens: choice.prefillTokens,
       outputTokens: Math.min(
         call.maxOutputTokens,
         call.expectedOutputTokens ?? 0,
@@ -214,7 +214,7 @@
   }
 
   #waitAt(wait: RoomWait, choice: RunnerChoice): void {
-    const { runner, unreadTokens } = choice;
+    const { runner, prefillTokens: unreadTokens } = choice;
     const begun = wait.at(this.#daemon.loads.of(runner.id), {
       runner: runner.id,
       unreadTokens,
