--- a/packages/router/src/request/placement.ts
+++ b/packages/router/src/request/placement.ts
@@ -96,7 +96,7 @@
  * Whether a runner has room for a request: not too much work, and for a long
  * prompt no tight streams that it would make late.
  */
-export function hasRoom(
+export function hasCapacity(
   fleet: RunnerFleet,
   demand: Demand,
   runner: Runner,
@@ -142,7 +142,7 @@
     prefillTokens: unreadTokens,
     fetchFrom,
     tight,
-    overloaded: !hasRoom(fleet, demand, runner),
+    overloaded: !hasCapacity(fleet, demand, runner),
     candidates: runners.length,
     reason: runner.name === home ? "home" : "spread",
   };
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -10,7 +10,7 @@
 import type { Demand } from "./demand.ts";
 import { logLimited, logOverload, logWait } from "./exchange_log.ts";
 import { finishesInTime } from "./completion_check.ts";
-import { chooseRunner, hasRoom } from "./placement.ts";
+import { chooseRunner, hasCapacity } from "./placement.ts";
 import type { RunnerChoice } from "./placement.ts";
 import { RoomWait } from "./capacity_wait.ts";
 import type { RoutedRequest } from "./routed_request.ts";
@@ -243,7 +243,7 @@
       await pulse.next();
       if (this.#limits.over()) return;
       const fleet = this.#daemon.fleet(this.#subject.service.name);
-      const room = hasRoom(fleet, demand, runner);
+      const room = hasCapacity(fleet, demand, runner);
       if (room && this.#maySend(wait, runner)) return;
     } while (this.#daemon.now() < reviewAt);
   }
