--- a/packages/router/src/request/placement.ts
+++ b/packages/router/src/request/placement.ts
@@ -110,7 +110,7 @@
   demand: Demand,
   runner: Runner,
 ): boolean {
-  return isTight(demand) || !poolsOf(fleet.runners).kept.has(runner.name) ||
+  return isTight(demand) || !poolsOf(fleet.runners).reserved.has(runner.name) ||
     !delaysTightStreams(fleet, demand, runner);
 }
 
@@ -131,7 +131,7 @@
     const quote = estimateCost(fleet, demand, {
       runner,
       atHome: runner.name === home,
-      kept: pools.kept.has(runner.name),
+      kept: pools.reserved.has(runner.name),
       holdings,
     });
     if (best === undefined || quote.costMs < best.costMs) best = quote;
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -365,7 +365,7 @@
   const slots = 16;
   const engine = { ...ENGINE, slots };
   const fleet = fleetOf(8);
-  const { kept } = poolsOf(fleet.runners);
+  const { reserved: kept } = poolsOf(fleet.runners);
   for (const { id, name } of fleet.runners) {
     const inFlight = kept.has(name) ? slots - 1 : 5;
     const share = { ...fleet.loads.of(id).own, inFlight };
--- a/packages/router/src/request/runner_pools.ts
+++ b/packages/router/src/request/runner_pools.ts
@@ -15,7 +15,7 @@
 /** The runners of a service while none of them comes or goes. */
 export class RunnerPools {
   /** Names of the runners that are kept for tight streams. */
-  readonly kept: ReadonlySet<string>;
+  readonly reserved: ReadonlySet<string>;
   readonly #tight: Rendezvous;
   readonly #others: Rendezvous;
 
@@ -24,9 +24,11 @@
     const count = names.length < 2
       ? 0
       : Math.max(1, Math.round(names.length * TIGHT_SHARE));
-    this.kept = new Set(new Rendezvous(names).order("tight").slice(0, count));
-    const others = names.filter((name) => !this.kept.has(name));
-    this.#tight = new Rendezvous([...this.kept]);
+    this.reserved = new Set(
+      new Rendezvous(names).order("tight").slice(0, count),
+    );
+    const others = names.filter((name) => !this.reserved.has(name));
+    this.#tight = new Rendezvous([...this.reserved]);
     this.#others = new Rendezvous(others);
   }
 
--- a/packages/router/src/request/runner_pools_test.ts
+++ b/packages/router/src/request/runner_pools_test.ts
@@ -43,11 +43,11 @@
   for (const tight of [true, false]) {
     const pools = poolsOf(runners);
     const home = pools.home("part", { tight, usable })!;
-    assert.equal(pools.kept.has(home), tight);
+    assert.equal(pools.reserved.has(home), tight);
     const left = new Set([...usable].filter((name) => name !== home));
     const next = pools.home("part", { tight, usable: left })!;
     assert.notEqual(next, home);
-    assert.equal(pools.kept.has(next), tight);
+    assert.equal(pools.reserved.has(next), tight);
     assert.equal(pools.home("part", { tight, usable: new Set() }), undefined);
   }
 });
