--- a/packages/router/src/request/capacity_wait.ts
+++ b/packages/router/src/request/capacity_wait.ts
@@ -22,7 +22,7 @@
  * that is free: 22 prompts within 50 ms, which it reads for 5 s without pause,
  * while its streams get a token each 40 ms and run into their timeouts.
  */
-export class RoomWait {
+export class CapacityWait {
   readonly #turn: QueueKey;
   #place: Place | undefined;
 
--- a/packages/router/src/request/capacity_wait_test.ts
+++ b/packages/router/src/request/capacity_wait_test.ts
@@ -3,7 +3,7 @@
 import { RunnerLoads } from "../process/runner_loads.ts";
 import type { PlacedRequest } from "../process/runner_load.ts";
 import type { QueueKey } from "../process/runner_queue.ts";
-import { RoomWait } from "./capacity_wait.ts";
+import { CapacityWait } from "./capacity_wait.ts";
 
 const DAEMONS = 8;
 const PROMPT_TOKENS = 15_000;
@@ -18,7 +18,7 @@
 interface Daemon {
   readonly name: string;
   readonly loads: RunnerLoads;
-  readonly held: { readonly since: number; readonly wait: RoomWait }[];
+  readonly held: { readonly since: number; readonly wait: CapacityWait }[];
 }
 
 function daemonWith(name: string, count: number, first: number): Daemon {
@@ -26,7 +26,7 @@
     const since = first + index;
     return {
       since,
-      wait: new RoomWait({ rank: 0, arrivedAt: since, startBy: Infinity }),
+      wait: new CapacityWait({ rank: 0, arrivedAt: since, startBy: Infinity }),
     };
   });
   return { name, loads: new RunnerLoads(), held };
@@ -167,7 +167,7 @@
 
 test("a request that has not waited is sent at once", () => {
   const load = new RunnerLoads().of("r");
-  const wait = new RoomWait({ rank: 0, arrivedAt: 0, startBy: Infinity });
+  const wait = new CapacityWait({ rank: 0, arrivedAt: 0, startBy: Infinity });
   assert.equal(wait.maySend(load, { now: 0, settleMs: 90 }), true);
   wait.at(load, { runner: "r", unreadTokens: 5, now: 0 });
   assert.equal(wait.maySend(load, { now: 90, settleMs: 90 }), false);
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -12,7 +12,7 @@
 import { finishesInTime } from "./completion_check.ts";
 import { chooseRunner, hasCapacity } from "./placement.ts";
 import type { RunnerChoice } from "./placement.ts";
-import { RoomWait } from "./capacity_wait.ts";
+import { CapacityWait } from "./capacity_wait.ts";
 import type { RoutedRequest } from "./routed_request.ts";
 
 /**
@@ -103,7 +103,7 @@
   }): Promise<RunnerChoice | undefined | "overloaded"> {
     const { tried, reachedNone } = options;
     if (!reachedNone) return this.#taken(this.#choose(tried));
-    const wait = new RoomWait(this.#turn);
+    const wait = new CapacityWait(this.#turn);
     try {
       return await this.#findRoom(wait, tried);
     } finally {
@@ -113,7 +113,7 @@
   }
 
   async #findRoom(
-    wait: RoomWait,
+    wait: CapacityWait,
     tried: ReadonlySet<string>,
   ): Promise<RunnerChoice | undefined | "overloaded"> {
     const { since, expiresAt } = this.#limits;
@@ -213,7 +213,7 @@
     });
   }
 
-  #waitAt(wait: RoomWait, choice: RunnerChoice): void {
+  #waitAt(wait: CapacityWait, choice: RunnerChoice): void {
     const { runner, prefillTokens: unreadTokens } = choice;
     const begun = wait.at(this.#daemon.loads.of(runner.id), {
       runner: runner.id,
@@ -226,7 +226,7 @@
 
   /** Looks at one runner until it has room and the wait is settled. */
   async #watchRoom(
-    wait: RoomWait,
+    wait: CapacityWait,
     runner: Runner,
     until: number,
   ): Promise<void> {
@@ -248,7 +248,7 @@
     } while (this.#daemon.now() < reviewAt);
   }
 
-  #maySend(wait: RoomWait, runner: Runner): boolean {
+  #maySend(wait: CapacityWait, runner: Runner): boolean {
     return wait.maySend(this.#daemon.loads.of(runner.id), {
       now: this.#daemon.now(),
       settleMs: this.#daemon.propagationMs(),
