--- a/packages/router/src/request/capacity_wait.ts
+++ b/packages/router/src/request/capacity_wait.ts
@@ -35,7 +35,7 @@
    *
    * @returns whether the wait there is new.
    */
-  at(load: RunnerLoad, options: {
+  moveTo(load: RunnerLoad, options: {
     /** Id of the runner. */
     readonly runner: string;
     readonly unreadTokens: number;
--- a/packages/router/src/request/capacity_wait_test.ts
+++ b/packages/router/src/request/capacity_wait_test.ts
@@ -70,7 +70,11 @@
       sent.push({ daemon, placed });
       continue;
     }
-    request.wait.at(load, { runner: "r", unreadTokens: PROMPT_TOKENS, now });
+    request.wait.moveTo(load, {
+      runner: "r",
+      unreadTokens: PROMPT_TOKENS,
+      now,
+    });
   }
 }
 
@@ -87,7 +91,7 @@
   // The requests waited elsewhere, and all see at once that this one is free.
   for (const { held, loads } of daemons) {
     for (const { wait } of held) {
-      wait.at(new RunnerLoads().of("elsewhere"), {
+      wait.moveTo(new RunnerLoads().of("elsewhere"), {
         runner: "elsewhere",
         unreadTokens: 0,
         now: -1,
@@ -169,7 +173,7 @@
   const load = new RunnerLoads().of("r");
   const wait = new CapacityWait({ rank: 0, arrivedAt: 0, startBy: Infinity });
   assert.equal(wait.maySend(load, { now: 0, settleMs: 90 }), true);
-  wait.at(load, { runner: "r", unreadTokens: 5, now: 0 });
+  wait.moveTo(load, { runner: "r", unreadTokens: 5, now: 0 });
   assert.equal(wait.maySend(load, { now: 90, settleMs: 90 }), false);
   assert.equal(wait.maySend(load, { now: 91, settleMs: 90 }), true);
   wait.end();
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -215,7 +215,7 @@
 
   #waitAt(wait: CapacityWait, choice: RunnerChoice): void {
     const { runner, prefillTokens: unreadTokens } = choice;
-    const begun = wait.at(this.#daemon.loads.of(runner.id), {
+    const begun = wait.moveTo(this.#daemon.loads.of(runner.id), {
       runner: runner.id,
       unreadTokens,
       now: this.#daemon.now(),
