--- a/packages/router/src/request/capacity_wait.ts
+++ b/packages/router/src/request/capacity_wait.ts
@@ -65,7 +65,7 @@
   }
 
   /** Id of the runner that it waits for. */
-  get runner(): string | undefined {
+  get runnerId(): string | undefined {
     return this.#place?.runner;
   }
 
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -122,7 +122,7 @@
     const { patienceMs } = this.#subject.route;
     const until = startedAt + HOLD_SHARE * Math.min(left, patienceMs);
     for (;;) {
-      const choice = this.#choose(tried, wait.runner);
+      const choice = this.#choose(tried, wait.runnerId);
       if (choice === undefined || this.#yields(choice)) {
         const limited = this.#limitedLeft(tried);
         if (limited.length === 0) return undefined;
