--- a/packages/router/src/request/capacity_wait.ts
+++ b/packages/router/src/request/capacity_wait.ts
@@ -57,10 +57,10 @@
   maySend(load: RunnerLoad, options: {
     readonly now: number;
     /** Milliseconds in which a change is known to all daemons. */
-    readonly settleMs: number;
+    readonly propagationMs: number;
   }): boolean {
     if (this.#place === undefined) return true;
-    const { now, settleMs } = options;
+    const { now, propagationMs: settleMs } = options;
     return this.#place.load === load && now - this.#place.since > settleMs;
   }
 
--- a/packages/router/src/request/capacity_wait_test.ts
+++ b/packages/router/src/request/capacity_wait_test.ts
@@ -58,7 +58,7 @@
     const ahead = load.total.unreadTokens +
       load.queue.workAhead(turn, now).unreadTokens;
     const room = ahead <= FULL_TOKENS;
-    if (room && request.wait.maySend(load, { now, settleMs })) {
+    if (room && request.wait.maySend(load, { now, propagationMs: settleMs })) {
       request.wait.end();
       daemon.held.splice(daemon.held.indexOf(request), 1);
       const placed = {
@@ -172,10 +172,10 @@
 test("a request that has not waited is sent at once", () => {
   const load = new RunnerLoads().of("r");
   const wait = new CapacityWait({ rank: 0, arrivedAt: 0, startBy: Infinity });
-  assert.equal(wait.maySend(load, { now: 0, settleMs: 90 }), true);
+  assert.equal(wait.maySend(load, { now: 0, propagationMs: 90 }), true);
   wait.moveTo(load, { runner: "r", unreadTokens: 5, now: 0 });
-  assert.equal(wait.maySend(load, { now: 90, settleMs: 90 }), false);
-  assert.equal(wait.maySend(load, { now: 91, settleMs: 90 }), true);
+  assert.equal(wait.maySend(load, { now: 90, propagationMs: 90 }), false);
+  assert.equal(wait.maySend(load, { now: 91, propagationMs: 90 }), true);
   wait.end();
   assert.deepEqual(load.queue.ownEntries, []);
 });
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -251,7 +251,7 @@
   #maySend(wait: CapacityWait, runner: Runner): boolean {
     return wait.maySend(this.#daemon.loads.of(runner.id), {
       now: this.#daemon.now(),
-      settleMs: this.#daemon.propagationMs(),
+      propagationMs: this.#daemon.propagationMs(),
     });
   }
 
