--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -52,7 +52,7 @@
 const LATE_REVIEW_MS = 1_000;
 
 /** Milliseconds after which a request that waits looks at all runners again. */
-export function reviewMs(waiting: number, settleMs: number): number {
+export function reviewIntervalMs(waiting: number, settleMs: number): number {
   return Math.max(
     REVIEW_MS,
     REVIEW_SETTLES * settleMs,
@@ -234,7 +234,7 @@
     const settleMs = this.#daemon.propagationMs();
     const late = this.#daemon.now() > this.#turn.startBy;
     const spanMs = Math.max(
-      reviewMs(loads.waitingCount, settleMs),
+      reviewIntervalMs(loads.waitingCount, settleMs),
       late ? LATE_REVIEW_MS : 0,
     );
     const reviewAt = Math.min(until, this.#daemon.now() + spanMs);
--- a/packages/router/src/request/runner_search_test.ts
+++ b/packages/router/src/request/runner_search_test.ts
@@ -1,18 +1,19 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { reviewMs } from "./runner_search.ts";
+import { reviewIntervalMs } from "./runner_search.ts";
 
 // In a burst dozens of requests wait at every daemon. Each looks at all runners
 // several times a second and moves to another one; every move is told to all
 // daemons, which spend their processors on it and answer nobody in time.
 test("a daemon reviews no more waits a second, however many there are", () => {
-  const rate = (waiting: number) => 1_000 * waiting / reviewMs(waiting, 110);
+  const rate = (waiting: number) =>
+    1_000 * waiting / reviewIntervalMs(waiting, 110);
   assert.ok(rate(4) < 20);
   assert.ok(rate(50) <= 40);
   assert.equal(rate(500), rate(50));
 });
 
 test("few waits are reviewed as soon as all daemons know of them", () => {
-  assert.equal(reviewMs(1, 110), 220);
-  assert.equal(reviewMs(1, 40), 200);
+  assert.equal(reviewIntervalMs(1, 110), 220);
+  assert.equal(reviewIntervalMs(1, 40), 200);
 });
