--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -117,7 +117,7 @@
     const progress = this.#progress;
     let fallback: (() => Outcome) | undefined;
     const search = new RunnerSearch(this.#daemon, subject, {
-      since: progress.startedAt,
+      receivedAt: progress.startedAt,
       expiresAt: progress.expiresAt,
       over: () => progress.over || this.#quarantine() !== undefined,
     });
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -63,7 +63,7 @@
 /** What a search knows of its request. Times are steady milliseconds. */
 export interface SearchLimits {
   /** When the request came. */
-  readonly since: number;
+  readonly receivedAt: number;
   /** When its caller gets a final answer in any case. */
   readonly expiresAt: number;
   /** Whether nobody waits for an answer any more. */
@@ -84,8 +84,8 @@
     const { targetMs } = subject.route;
     this.#turn = {
       rank: subject.rank,
-      arrivedAt: limits.since,
-      startBy: limits.since + START_SHARE * targetMs,
+      arrivedAt: limits.receivedAt,
+      startBy: limits.receivedAt + START_SHARE * targetMs,
     };
   }
 
@@ -116,7 +116,7 @@
     wait: CapacityWait,
     tried: ReadonlySet<string>,
   ): Promise<RunnerChoice | undefined | "overloaded"> {
-    const { since, expiresAt } = this.#limits;
+    const { receivedAt: since, expiresAt } = this.#limits;
     const startedAt = this.#daemon.now();
     const left = expiresAt - startedAt;
     const { patienceMs } = this.#subject.route;
@@ -186,7 +186,7 @@
     if (hope && now <= until && !this.#limits.over()) return true;
     logLimited(this.#daemon, this.#subject, {
       limited: limited.length,
-      waitedMs: now - this.#limits.since,
+      waitedMs: now - this.#limits.receivedAt,
       hasPart: hope,
     });
     return false;
