--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -119,7 +119,7 @@
     const search = new RunnerSearch(this.#daemon, subject, {
       receivedAt: progress.startedAt,
       expiresAt: progress.expiresAt,
-      over: () => progress.over || this.#quarantine() !== undefined,
+      isAbandoned: () => progress.over || this.#quarantine() !== undefined,
     });
     for (;;) {
       if (this.#caller.disconnected) return { kind: "left" };
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -67,7 +67,7 @@
   /** When its caller gets a final answer in any case. */
   readonly expiresAt: number;
   /** Whether nobody waits for an answer any more. */
-  over(): boolean;
+  isAbandoned(): boolean;
 }
 
 /** Finds runners for one request, one for each try. */
@@ -136,7 +136,7 @@
       if (inTime && !choice.overloaded && this.#maySend(wait, choice.runner)) {
         return this.#taken(choice);
       }
-      if (!inTime || now > until || this.#limits.over()) {
+      if (!inTime || now > until || this.#limits.isAbandoned()) {
         logOverload(this.#daemon, this.#subject, {
           choice,
           waitedMs: now - since,
@@ -183,7 +183,7 @@
     const now = this.#daemon.now();
     const { limits } = this.#daemon;
     const hope = limited.some(({ id }) => limits.hasShare(id, now));
-    if (hope && now <= until && !this.#limits.over()) return true;
+    if (hope && now <= until && !this.#limits.isAbandoned()) return true;
     logLimited(this.#daemon, this.#subject, {
       limited: limited.length,
       waitedMs: now - this.#limits.receivedAt,
@@ -241,7 +241,7 @@
     const demand = this.#demand();
     do {
       await pulse.next();
-      if (this.#limits.over()) return;
+      if (this.#limits.isAbandoned()) return;
       const fleet = this.#daemon.fleet(this.#subject.service.name);
       const room = hasCapacity(fleet, demand, runner);
       if (room && this.#maySend(wait, runner)) return;
