--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -127,7 +127,7 @@
       if (over) return fallback?.() ?? this.#own.timeout();
       const choice = await search.find({
         tried: progress.tried,
-        reachedNone: progress.attempts === 0,
+        noRunnerReached: progress.attempts === 0,
       });
       const quarantine = this.#quarantine();
       if (quarantine !== undefined) {
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -99,9 +99,9 @@
    */
   async find(options: {
     readonly tried: ReadonlySet<string>;
-    readonly reachedNone: boolean;
+    readonly noRunnerReached: boolean;
   }): Promise<RunnerChoice | undefined | "overloaded"> {
-    const { tried, reachedNone } = options;
+    const { tried, noRunnerReached: reachedNone } = options;
     if (!reachedNone) return this.#taken(this.#choose(tried));
     const wait = new CapacityWait(this.#turn);
     try {
