--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -36,7 +36,7 @@
   };
 
 /** Tries runners for one request, one after the other. */
-export class RunnerTries {
+export class AttemptExecutor {
   readonly #daemon: Daemon;
   readonly #caller: Caller;
   readonly #progress: Progress;
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -15,7 +15,7 @@
 import { OwnOutcomes } from "./local_outcomes.ts";
 import { Progress } from "./progress.ts";
 import { RunnerSearch } from "./runner_search.ts";
-import { RunnerTries } from "./attempt_executor.ts";
+import { AttemptExecutor } from "./attempt_executor.ts";
 import { routeRequest } from "./routed_request.ts";
 import type { RoutedRequest } from "./routed_request.ts";
 import { readWhole } from "./read_body.ts";
@@ -31,7 +31,7 @@
   readonly #caller: Caller;
   readonly #progress: Progress;
   readonly #own: OwnOutcomes;
-  readonly #tries: RunnerTries;
+  readonly #tries: AttemptExecutor;
   /** Whether the caller's body is still on its way. */
   #reading = false;
 
@@ -40,7 +40,7 @@
     this.#caller = caller;
     this.#progress = new Progress(daemon, caller);
     this.#own = new OwnOutcomes(daemon, caller, this.#progress);
-    this.#tries = new RunnerTries(daemon, caller, {
+    this.#tries = new AttemptExecutor(daemon, caller, {
       progress: this.#progress,
       own: this.#own,
     });
