--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -26,7 +26,7 @@
 const WHOLE_SILENCE = 1;
 
 /** What one try came to. */
-export type Tried =
+export type AttemptResult =
   | { readonly kind: "done"; readonly outcome: Outcome }
   /** Another runner may be tried; `fallback` answers if none is. */
   | {
@@ -72,7 +72,7 @@
     choice: RunnerChoice,
     subject: RoutedRequest,
     body: Buffer,
-  ): Promise<Tried> {
+  ): Promise<AttemptResult> {
     const { head: call } = subject;
     const { runner } = choice;
     const { fingerprint, leftMs } = this.#progress;
@@ -143,7 +143,7 @@
     subject: RoutedRequest,
     sent: Sent,
     parts: TryParts,
-  ): Promise<Tried> {
+  ): Promise<AttemptResult> {
     const { load } = parts;
     const now = this.#daemon.now();
     if (sent.kind === "answer" || sent.kind === "not-run") {
@@ -189,7 +189,7 @@
   }
 
   /** The connection broke before the head of an answer. */
-  #broke(reason: string, { attempt, load, run }: TryParts): Tried {
+  #broke(reason: string, { attempt, load, run }: TryParts): AttemptResult {
     this.#progress.mayHaveRun = true;
     // The connection may have gone silent, and its siblings with it.
     if (!this.#caller.disconnected) {
@@ -202,7 +202,7 @@
     return this.#repeat(reason);
   }
 
-  #ended(subject: RoutedRequest, passed: Passed): Tried {
+  #ended(subject: RoutedRequest, passed: Passed): AttemptResult {
     if (passed.kind === "broken") return this.#repeat(passed.reason);
     const { fingerprint, over } = this.#progress;
     this.#daemon.crashes.recordAnswer(fingerprint, this.#daemon.now());
@@ -220,7 +220,7 @@
   }
 
   /** Another try after one that may have run, where the route allows it. */
-  #repeat(reason: string): Tried {
+  #repeat(reason: string): AttemptResult {
     if (this.#progress.expired) {
       return { kind: "done", outcome: this.#own.timeout() };
     }
@@ -228,6 +228,6 @@
   }
 }
 
-function again(reason: string, fallback: () => Outcome): Tried {
+function again(reason: string, fallback: () => Outcome): AttemptResult {
   return { kind: "again", reason, fallback };
 }
