--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -68,7 +68,7 @@
   }
 
   /** Sends to one runner and passes on what comes. */
-  async at(
+  async execute(
     choice: RunnerChoice,
     subject: RoutedRequest,
     body: Buffer,
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -137,7 +137,7 @@
       if (choice === undefined) {
         return fallback?.() ?? this.#own.refusal("no_runner");
       }
-      const tried = await this.#tries.at(choice, subject, body);
+      const tried = await this.#tries.execute(choice, subject, body);
       if (tried.kind === "done") return tried.outcome;
       const again = !progress.expired && this.#mayTryAgain(subject);
       this.#daemon.log.decision("attempt_failed", subject.head.id, {
