--- a/packages/router/src/request/attempt.ts
+++ b/packages/router/src/request/attempt.ts
@@ -18,7 +18,7 @@
 const CONNECT_TIMEOUT_MS = 300;
 
 /** What is sent. */
-export interface Send {
+export interface OutgoingRequest {
   readonly id: string;
   readonly method: string;
   /** Path with query. */
@@ -48,7 +48,7 @@
   /** The request may have run; there is no answer to it. */
   | { readonly kind: "broken"; readonly reason: string };
 
-function hasNoBody(send: Send): boolean {
+function hasNoBody(send: OutgoingRequest): boolean {
   return send.body.length === 0 &&
     (send.method === "GET" || send.method === "HEAD");
 }
@@ -57,7 +57,7 @@
 export class Attempt {
   readonly runner: Runner;
   readonly #dialect: Dialect;
-  readonly #send: Send;
+  readonly #send: OutgoingRequest;
   readonly #outgoing: ClientRequest;
   #left = false;
   #incoming: IncomingMessage | undefined;
@@ -65,7 +65,7 @@
 
   constructor(
     runner: Runner,
-    send: Send,
+    send: OutgoingRequest,
     tools: {
       readonly dialect: Dialect;
       readonly connections: RunnerConnections;
