--- a/packages/router/src/request/attempt.ts
+++ b/packages/router/src/request/attempt.ts
@@ -29,7 +29,7 @@
 }
 
 /** How a send went, up to the head of the answer. */
-export type Sent =
+export type SendResult =
   /** An answer to this request; its body follows. */
   | {
     readonly kind: "answer";
@@ -61,7 +61,7 @@
   readonly #outgoing: ClientRequest;
   #left = false;
   #incoming: IncomingMessage | undefined;
-  #settle: (sent: Sent) => void = () => {};
+  #settle: (sent: SendResult) => void = () => {};
 
   constructor(
     runner: Runner,
@@ -103,7 +103,7 @@
   }
 
   /** Waits for the head of the answer. */
-  start(): Promise<Sent> {
+  start(): Promise<SendResult> {
     return new Promise((resolve) => {
       this.#settle = resolve;
       this.#outgoing.on(
@@ -154,7 +154,7 @@
     this.#settle({ kind: this.#left ? "broken" : "unsent", reason });
   }
 
-  #read(incoming: IncomingMessage): Sent {
+  #read(incoming: IncomingMessage): SendResult {
     const status = incoming.statusCode!;
     const head = this.#dialect.parseResponse(status, incoming.rawHeaders);
     if (head.id !== undefined && head.id !== this.#send.id) {
--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -7,7 +7,7 @@
 import type { PlacedRequest } from "../process/runner_load.ts";
 import { AnswerRelay } from "./response_relay.ts";
 import type { Passed, TryParts } from "./response_relay.ts";
-import type { Attempt, Sent } from "./attempt.ts";
+import type { Attempt, SendResult } from "./attempt.ts";
 import { attemptOf } from "./create_attempt.ts";
 import type { ResponseHead } from "./dialect.ts";
 import type { Caller } from "./caller.ts";
@@ -141,7 +141,7 @@
 
   async #take(
     subject: RoutedRequest,
-    sent: Sent,
+    sent: SendResult,
     parts: TryParts,
   ): Promise<AttemptResult> {
     const { load } = parts;
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -5,7 +5,7 @@
  */
 import type { BrokenRun } from "../connection/crash_detector.ts";
 import type { PlacedRequest, RunnerLoad } from "../process/runner_load.ts";
-import type { Attempt, Sent } from "./attempt.ts";
+import type { Attempt, SendResult } from "./attempt.ts";
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
 import type { Silence } from "./inactivity_timer.ts";
@@ -21,7 +21,7 @@
 const FIRST_SERVER_ERROR = 500;
 
 /** An answer that a runner has begun. */
-export type Answer = Extract<Sent, { readonly kind: "answer" }>;
+export type Answer = Extract<SendResult, { readonly kind: "answer" }>;
 
 /** What belongs to one try. */
 export interface TryParts {
