--- a/packages/router/src/process/load_totals.ts
+++ b/packages/router/src/process/load_totals.ts
@@ -5,7 +5,7 @@
  */
 
 /** Whole answers of a runner. */
-export interface AnswerCounts {
+export interface ResponseCounts {
   /** Whole answers that daemons have had from the runner since they began. */
   readonly answered: number;
   /** Those of them that were failures of the runner. */
@@ -13,7 +13,7 @@
 }
 
 /** Load that one daemon, or some together, put on a runner. */
-export interface LoadTotals extends AnswerCounts {
+export interface LoadTotals extends ResponseCounts {
   readonly inFlight: number;
   /** Prompt tokens of requests that have no first event yet. */
   readonly unreadTokens: number;
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -8,7 +8,7 @@
 import { RunnerQueue } from "./runner_queue.ts";
 import type { NeighbourFilter, WaitingEntry } from "./runner_queue.ts";
 import { addLoads, NO_LOAD, subtractLoads } from "./load_totals.ts";
-import type { AnswerCounts, LoadTotals } from "./load_totals.ts";
+import type { LoadTotals, ResponseCounts } from "./load_totals.ts";
 
 /** Load of a runner as it told with an answer. */
 export interface ReportedLoad {
@@ -50,7 +50,7 @@
   /** Loads of other daemons, by the neighbour that tells their sum. */
   readonly #others = new Map<string, LoadTotals>();
   /** Counts of answers as the neighbours told them last. */
-  readonly #told = new Map<string, AnswerCounts>();
+  readonly #told = new Map<string, ResponseCounts>();
   readonly #onChange: () => void;
   /** Requests that wait until the runner has room, here and elsewhere. */
   readonly queue: RunnerQueue;
@@ -189,7 +189,7 @@
    * or go its counts jump; of those that come it is not known when they had
    * their answers, so none counts that was there at the first word.
    */
-  #newAnswers(neighbour: string, share: LoadTotals): AnswerCounts {
+  #newAnswers(neighbour: string, share: LoadTotals): ResponseCounts {
     const told = this.#told.get(neighbour) ?? share;
     this.#told.set(neighbour, {
       answered: share.answered,
