--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -219,7 +219,7 @@
   }
 
   /** A whole answer came; it may be a failure of the runner's own. */
-  recordAnswer(failed: boolean, now: number): void {
+  recordResponse(failed: boolean, now: number): void {
     const count = failed ? 1 : 0;
     this.#failureRate.record(1, count, now);
     this.#change({ ...NO_LOAD, answered: 1, failed: count });
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -348,7 +348,7 @@
     const fails = random() < (runner.id === "r-0" ? 0.4 : 0.05);
     sent += 1;
     failures += fails ? 1 : 0;
-    load.recordAnswer(fails, now);
+    load.recordResponse(fails, now);
     if (fails) continue;
     load.place(placed, now);
     busy.push({ id: runner.id, endsAt: now + 90 });
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -106,7 +106,7 @@
     }
     parts.load.recordSuccess();
     const failed = status >= FIRST_SERVER_ERROR;
-    parts.load.recordAnswer(failed, this.#daemon.now());
+    parts.load.recordResponse(failed, this.#daemon.now());
     const answer = () =>
       this.#caller.answer(status, incoming.rawHeaders, whole.body);
     if (failed) return { kind: "failed", status, answer };
