--- a/packages/router/src/connection/crash_ages.ts
+++ b/packages/router/src/connection/crash_ages.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { CompleteAnswer, CrashedRun } from "../process/crash_entry.ts";
+import type { CompleteResponse, CrashedRun } from "../process/crash_entry.ts";
 import type { CrashUpdate } from "../process/crash_record.ts";
 import { groupBy } from "../process/group.ts";
 
@@ -74,7 +74,7 @@
         endedAt: now - endedAgoMs,
       }))
     ),
-    answers: answers.map(({ fingerprint, agoMs }): CompleteAnswer => ({
+    answers: answers.map(({ fingerprint, agoMs }): CompleteResponse => ({
       fingerprint,
       at: now - agoMs,
     })),
--- a/packages/router/src/connection/outbox.ts
+++ b/packages/router/src/connection/outbox.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { ContactUpdates } from "../process/contact_book.ts";
-import type { CompleteAnswer, CrashedRun } from "../process/crash_entry.ts";
+import type { CompleteResponse, CrashedRun } from "../process/crash_entry.ts";
 import type { CrashUpdate } from "../process/crash_record.ts";
 import type { LimitUpdate } from "../process/runner_limits.ts";
 import type { LeaseObservation } from "../process/leader_lease.ts";
@@ -40,7 +40,7 @@
 /** Requests at runners that ended, with the neighbours that told of them. */
 export interface SourcedCrashes {
   readonly crashed: readonly (CrashedRun & Sourced)[];
-  readonly answers: readonly (CompleteAnswer & Sourced)[];
+  readonly answers: readonly (CompleteResponse & Sourced)[];
 }
 
 /** What goes out with the next messages. */
@@ -62,7 +62,7 @@
   #parts: (PrefixUpdate & Sourced)[] = [];
   #contacts: ContactUpdates[] = [];
   readonly #crashed: (CrashedRun & Sourced)[] = [];
-  readonly #answers: (CompleteAnswer & Sourced)[] = [];
+  readonly #answers: (CompleteResponse & Sourced)[] = [];
   /** What each runner said last. */
   readonly #limits = new Map<string, LimitUpdate & Sourced>();
   /** By life and window, what was counted last for each workspace. */
--- a/packages/router/src/process/crash_entry.ts
+++ b/packages/router/src/process/crash_entry.ts
@@ -15,7 +15,7 @@
 }
 
 /** A run of a request that its runner answered whole. */
-export interface CompleteAnswer {
+export interface CompleteResponse {
   readonly fingerprint: string;
   /** When the answer ended, in steady ms. */
   readonly at: number;
--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -5,14 +5,18 @@
  * @module
  */
 import { isBlamed, NO_ENDS, withAnswer, withRun } from "./crash_entry.ts";
-import type { CompleteAnswer, CrashedRun, CrashEntry } from "./crash_entry.ts";
+import type {
+  CompleteResponse,
+  CrashedRun,
+  CrashEntry,
+} from "./crash_entry.ts";
 import type { EventLog } from "./event_log.ts";
 
 /** What is to be told to other daemons, or was told by one. */
 export interface CrashUpdate {
   readonly crashed: readonly CrashedRun[];
   /** Runs of requests that were at runners which ended before or after. */
-  readonly answers: readonly CompleteAnswer[];
+  readonly answers: readonly CompleteResponse[];
 }
 
 /** Why a request is not sent. */
@@ -71,7 +75,7 @@
   /** Called when a request is quarantined, by its fingerprint. */
   readonly #watchers = new Map<string, Set<() => void>>();
   #crashedNews: CrashedRun[] = [];
-  #answerNews: CompleteAnswer[] = [];
+  #answerNews: CompleteResponse[] = [];
 
   constructor(log: EventLog) {
     this.#log = log;
@@ -152,7 +156,7 @@
     const blamed = entries.filter(([, entry]) => isBlamed(entry));
     const others = entries.filter(([, entry]) => !isBlamed(entry));
     const crashed: CrashedRun[] = [];
-    const answers: CompleteAnswer[] = [];
+    const answers: CompleteResponse[] = [];
     for (const [fingerprint, { runs, answeredAt }] of [...blamed, ...others]) {
       if (crashed.length + runs.length > MAX_TOLD) break;
       crashed.push(...runs);
@@ -184,13 +188,13 @@
   }
 
   /** Has it known here and elsewhere that a request does not end runners. */
-  #vouch(run: CompleteAnswer): void {
+  #vouch(run: CompleteResponse): void {
     if (!this.#clear(run)) return;
     this.#answerNews.push(run);
     this.#tell();
   }
 
-  #takeAnswer(run: CompleteAnswer): boolean {
+  #takeAnswer(run: CompleteResponse): boolean {
     const known = this.#answers.get(run.fingerprint) ?? -Infinity;
     if (run.at - known <= SAME_ANSWER_MS) return false;
     this.#remember(run);
@@ -199,7 +203,7 @@
   }
 
   /** @returns whether it changes what is known. */
-  #clear({ fingerprint, at }: CompleteAnswer): boolean {
+  #clear({ fingerprint, at }: CompleteResponse): boolean {
     const entry = this.#entries.get(fingerprint);
     if (entry === undefined) return false;
     if (entry.answeredAt !== undefined && at <= entry.answeredAt) return false;
@@ -207,7 +211,7 @@
     return true;
   }
 
-  #remember({ fingerprint, at }: CompleteAnswer): void {
+  #remember({ fingerprint, at }: CompleteResponse): void {
     this.#answers.delete(fingerprint);
     this.#answers.set(fingerprint, at);
     for (const [oldest, since] of this.#answers) {
