--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -119,7 +119,7 @@
   }
 
   /** Notes that a runner has answered a request whole, here. */
-  recordAnswer(fingerprint: string, now: number): void {
+  recordResponse(fingerprint: string, now: number): void {
     this.#remember({ fingerprint, at: now });
     const entry = this.#entries.get(fingerprint);
     if (entry === undefined || entry.ends === 0) return;
--- a/packages/router/src/process/crash_record_test.ts
+++ b/packages/router/src/process/crash_record_test.ts
@@ -106,14 +106,14 @@
   const { record } = recordWithLog();
   for (let round = 0; round < 20; round++) {
     endRunners(record, { count: 2, from: 1_000 * round });
-    record.recordAnswer("bad", 1_000 * round + 500);
+    record.recordResponse("bad", 1_000 * round + 500);
   }
   assert.equal(isRefused(record, "bad", 20_000), false);
 });
 
 test("a request that was answered before is sent until six runners end in turn", () => {
   const { record } = recordWithLog();
-  record.recordAnswer("bad", 0);
+  record.recordResponse("bad", 0);
   endRunners(record, { count: 5, from: 100 });
   assert.equal(isRefused(record, "bad", 700), false);
   endRunners(record, { count: 1, from: 700 });
@@ -123,7 +123,7 @@
 // Guards against blame where the daemon that saw the ends never saw an answer.
 test("a daemon that has seen a request answered tells those that have not", () => {
   const [seeing, vouching] = [recordWithLog().record, recordWithLog().record];
-  vouching.recordAnswer("bad", 0);
+  vouching.recordResponse("bad", 0);
   endRunners(seeing, { count: 2, from: 100 });
   vouching.applyUpdate(seeing.takeUpdates(), 300);
   const told = vouching.takeUpdates();
@@ -175,13 +175,13 @@
       [runAt(1_000 + index, { fingerprint })],
       1_100 + index,
     );
-    record.recordAnswer(`answered-${index}`, 1_100 + index);
+    record.recordResponse(`answered-${index}`, 1_100 + index);
   }
   assert.equal(isRefused(record, "bad", 20_000), true);
   const { crashed } = record.snapshot(20_000);
   assert.ok(crashed.length <= 200, `${crashed.length} told`);
   assert.equal(crashed[0]!.fingerprint, "bad");
-  record.recordAnswer("varied-0", 20_000);
+  record.recordResponse("varied-0", 20_000);
   assert.deepEqual(record.takeUpdates().answers, []);
 });
 
--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -205,7 +205,7 @@
   #ended(subject: RoutedRequest, passed: Passed): AttemptResult {
     if (passed.kind === "broken") return this.#repeat(passed.reason);
     const { fingerprint, over } = this.#progress;
-    this.#daemon.crashes.recordAnswer(fingerprint, this.#daemon.now());
+    this.#daemon.crashes.recordResponse(fingerprint, this.#daemon.now());
     const { status } = passed;
     const outcome: Outcome = { kind: "answered", status };
     if (passed.kind === "answered") return { kind: "done", outcome };
