--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -22,7 +22,7 @@
 /** Why a request is not sent. */
 export interface Quarantine {
   /** Runners that ended under it, one after the other. */
-  readonly ends: number;
+  readonly crashes: number;
   /** Steady ms of the last of these ends. */
   readonly lastEndAt: number;
   /** Milliseconds after which it may be sent again. */
@@ -92,7 +92,7 @@
     if (entry === undefined || !isBlamed(entry)) return undefined;
     const { ends, lastEndAt } = entry;
     const leftMs = lastEndAt + QUARANTINE_MS - now;
-    return leftMs > 0 ? { ends, lastEndAt, leftMs } : undefined;
+    return leftMs > 0 ? { crashes: ends, lastEndAt, leftMs } : undefined;
   }
 
   /**
--- a/packages/router/src/process/crash_record_test.ts
+++ b/packages/router/src/process/crash_record_test.ts
@@ -55,7 +55,7 @@
   endRunners(record, { count: 2 });
   assert.equal(isRefused(record, "bad", 300), false);
   endRunners(record, { count: 1, from: 400 });
-  assert.equal(record.quarantine("bad", 500)?.ends, 3);
+  assert.equal(record.quarantine("bad", 500)?.crashes, 3);
   assert.equal(logged.length, 1);
   assert.equal(logged[0]!.fingerprint, "bad");
 });
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -92,7 +92,7 @@
   const { quarantine, fingerprint } = refused;
   daemon.log.decision("quarantine_kept", requestId, {
     fingerprint,
-    ends: quarantine.ends,
+    ends: quarantine.crashes,
     last_end_age_ms: Math.round(daemon.now() - quarantine.lastEndAt),
     left_ms: Math.round(quarantine.leftMs),
   });
