--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -24,7 +24,7 @@
   /** Runners that ended under it, one after the other. */
   readonly crashes: number;
   /** Steady ms of the last of these ends. */
-  readonly lastEndAt: number;
+  readonly lastCrashAt: number;
   /** Milliseconds after which it may be sent again. */
   readonly leftMs: number;
 }
@@ -92,7 +92,9 @@
     if (entry === undefined || !isBlamed(entry)) return undefined;
     const { ends, lastEndAt } = entry;
     const leftMs = lastEndAt + QUARANTINE_MS - now;
-    return leftMs > 0 ? { crashes: ends, lastEndAt, leftMs } : undefined;
+    return leftMs > 0
+      ? { crashes: ends, lastCrashAt: lastEndAt, leftMs }
+      : undefined;
   }
 
   /**
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -93,7 +93,7 @@
   daemon.log.decision("quarantine_kept", requestId, {
     fingerprint,
     ends: quarantine.crashes,
-    last_end_age_ms: Math.round(daemon.now() - quarantine.lastEndAt),
+    last_end_age_ms: Math.round(daemon.now() - quarantine.lastCrashAt),
     left_ms: Math.round(quarantine.leftMs),
   });
 }
