--- a/packages/router/src/connection/crash_ages.ts
+++ b/packages/router/src/connection/crash_ages.ts
@@ -47,7 +47,7 @@
   return {
     crashed: [...byRunner].map(([runner, runs]) => ({
       runner,
-      runs: runs.map(({ fingerprint, beganAt, endedAt }) => ({
+      runs: runs.map(({ fingerprint, startedAt: beganAt, endedAt }) => ({
         fingerprint,
         beganAgoMs: ageOf(beganAt, now),
         endedAgoMs: ageOf(endedAt, now),
@@ -70,7 +70,7 @@
       runs.map(({ fingerprint, beganAgoMs, endedAgoMs }): CrashedRun => ({
         fingerprint,
         runner,
-        beganAt: now - beganAgoMs,
+        startedAt: now - beganAgoMs,
         endedAt: now - endedAgoMs,
       }))
     ),
--- a/packages/router/src/connection/crash_detector_test.ts
+++ b/packages/router/src/connection/crash_detector_test.ts
@@ -28,8 +28,8 @@
 }
 
 function breakTwo(watch: CrashDetector, { runner }: FakeRunner): void {
-  watch.recordBrokenRun(runner, { fingerprint: "one", beganAt: 0 });
-  watch.recordBrokenRun(runner, { fingerprint: "two", beganAt: 0 });
+  watch.recordBrokenRun(runner, { fingerprint: "one", startedAt: 0 });
+  watch.recordBrokenRun(runner, { fingerprint: "two", startedAt: 0 });
 }
 
 test("a runner that ended is found out once, with all that was there", async (t) => {
--- a/packages/router/src/process/crash_entry.ts
+++ b/packages/router/src/process/crash_entry.ts
@@ -10,7 +10,7 @@
   readonly fingerprint: string;
   /** Id of the runner's life that ended. */
   readonly runner: string;
-  readonly beganAt: number;
+  readonly startedAt: number;
   readonly endedAt: number;
 }
 
@@ -91,7 +91,7 @@
 function endsInTurn(runs: readonly CrashedRun[], since: number): number {
   let ends = 0;
   let free = since;
-  for (const { beganAt, endedAt } of runs) {
+  for (const { startedAt: beganAt, endedAt } of runs) {
     if (beganAt < free) continue;
     ends += 1;
     free = endedAt;
--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -249,7 +249,7 @@
       fingerprint,
       ends: entry.ends,
       runners: entry.runs.map(({ runner }) => runner).join(","),
-      span_ms: Math.round(entry.lastEndAt - entry.runs[0]!.beganAt),
+      span_ms: Math.round(entry.lastEndAt - entry.runs[0]!.startedAt),
       answered_before: entry.answeredAt !== undefined,
     });
   }
--- a/packages/router/src/process/crash_record_test.ts
+++ b/packages/router/src/process/crash_record_test.ts
@@ -24,7 +24,7 @@
   return {
     fingerprint: "bad",
     runner: `r-${at}`,
-    beganAt: at,
+    startedAt: at,
     endedAt: at + RUN_MS,
     ...fields,
   };
--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -110,7 +110,7 @@
         attempt,
         silence,
         sentAt,
-        run: { fingerprint, beganAt },
+        run: { fingerprint, startedAt: beganAt },
       });
     } finally {
       unwatch();
