--- a/packages/router/src/process/cache_survey.ts
+++ b/packages/router/src/process/cache_survey.ts
@@ -40,7 +40,7 @@
   /** Runners that hold prompts. */
   engines(): readonly Runner[];
   /** Daemons that divide them. */
-  sharers(): FleetView;
+  view(): FleetView;
 }
 
 /**
@@ -73,7 +73,7 @@
   /** Asks this daemon's part of the runners. */
   async run(fleet: SurveyedFleet): Promise<void> {
     await pause(SETTLE_MS);
-    const { own, names } = fleet.sharers();
+    const { own, names } = fleet.view();
     const daemons = new Rendezvous(names);
     const engines = fleet.engines().filter(({ id }) =>
       daemons.first(id, () => true) === own
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -388,7 +388,7 @@
         this.#directory.list.runners.filter(({ service }) =>
           this.#table?.service(service)?.engine !== undefined
         ),
-      sharers: () => this.#neighbourhood.sharers,
+      view: () => this.#neighbourhood.sharers,
     });
   }
 }
