--- a/packages/router/src/process/cache_survey.ts
+++ b/packages/router/src/process/cache_survey.ts
@@ -21,7 +21,7 @@
 /** Asks runners about themselves. Both calls reject when there is no answer. */
 export interface EngineCache {
   /** The parts of prompts in a runner's memory. */
-  held(runner: Runner): Promise<CachedParts>;
+  cachedParts(runner: Runner): Promise<CachedParts>;
   /** When the present life of a runner began, in Unix ms, if it tells. */
   startedAt(runner: Runner): Promise<number | undefined>;
 }
@@ -88,7 +88,7 @@
 
   async #ask(runner: Runner): Promise<void> {
     try {
-      const { startedAtMs, parts } = await this.#memory.held(runner);
+      const { startedAtMs, parts } = await this.#memory.cachedParts(runner);
       // The runner may have started again since it was listed.
       const id = runnerId(runner.name, startedAtMs ?? runner.startedAtMs);
       this.#prefixes.recordHeld(id, parts, performance.now());
--- a/packages/router/src/process/restart_detector_test.ts
+++ b/packages/router/src/process/restart_detector_test.ts
@@ -31,7 +31,7 @@
   directory.replace({ revision: 1, runners: [runner] });
   let asked = 0;
   const watch = new RestartDetector({
-    held: () => Promise.resolve({ startedAtMs: undefined, parts: [] }),
+    cachedParts: () => Promise.resolve({ startedAtMs: undefined, parts: [] }),
     startedAt() {
       const answer = answers[asked++];
       return answer instanceof Error
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -387,7 +387,7 @@
     runners: parts.runners,
     daemons: NO_DAEMONS,
     memory: {
-      held: () => Promise.resolve({ startedAtMs: undefined, parts: [] }),
+      cachedParts: () => Promise.resolve({ startedAtMs: undefined, parts: [] }),
       startedAt: () => Promise.resolve(undefined),
     },
     leaders: new MemoryLeaderStore(),
