--- a/packages/router/src/process/cache_survey.ts
+++ b/packages/router/src/process/cache_survey.ts
@@ -23,7 +23,7 @@
   /** The parts of prompts in a runner's memory. */
   cachedParts(runner: Runner): Promise<CachedParts>;
   /** When the present life of a runner began, in Unix ms, if it tells. */
-  startedAt(runner: Runner): Promise<number | undefined>;
+  startTime(runner: Runner): Promise<number | undefined>;
 }
 
 /**
--- a/packages/router/src/process/restart_detector.ts
+++ b/packages/router/src/process/restart_detector.ts
@@ -71,7 +71,7 @@
   /** @returns whether the runner has answered. */
   async #ask(runner: Runner): Promise<boolean> {
     try {
-      const startedAtMs = await this.#memory.startedAt(runner);
+      const startedAtMs = await this.#memory.startTime(runner);
       if (startedAtMs === undefined) return true;
       this.#log.event("runner_asked", {
         runner: runner.id,
--- a/packages/router/src/process/restart_detector_test.ts
+++ b/packages/router/src/process/restart_detector_test.ts
@@ -32,7 +32,7 @@
   let asked = 0;
   const watch = new RestartDetector({
     cachedParts: () => Promise.resolve({ startedAtMs: undefined, parts: [] }),
-    startedAt() {
+    startTime() {
       const answer = answers[asked++];
       return answer instanceof Error
         ? Promise.reject(answer)
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -388,7 +388,7 @@
     daemons: NO_DAEMONS,
     memory: {
       cachedParts: () => Promise.resolve({ startedAtMs: undefined, parts: [] }),
-      startedAt: () => Promise.resolve(undefined),
+      startTime: () => Promise.resolve(undefined),
     },
     leaders: new MemoryLeaderStore(),
     api: undefined,
