--- a/packages/router/src/process/autoscaler.ts
+++ b/packages/router/src/process/autoscaler.ts
@@ -12,7 +12,7 @@
 import type { RunnerOrder, ScalingPolicy } from "./runner_order.ts";
 import { planRunners } from "./runner_plan.ts";
 import type { DomainPlan, DomainState } from "./runner_plan.ts";
-import { findingOn } from "./scaling.ts";
+import { validateScaling } from "./scaling.ts";
 import type { Scaling } from "./scaling.ts";
 
 /** Milliseconds for which the list of runners must not have grown at first. */
@@ -195,7 +195,7 @@
   }
 
   #isSound(service: string, scaling: Scaling): boolean {
-    const finding = findingOn(scaling);
+    const finding = validateScaling(scaling);
     if (finding === undefined) {
       this.#unsound.delete(service);
       return true;
--- a/packages/router/src/process/scaling.ts
+++ b/packages/router/src/process/scaling.ts
@@ -25,7 +25,7 @@
 }
 
 /** What is wrong with it, if anything is. */
-export function findingOn(scaling: Scaling): ScalingFinding | undefined {
+export function validateScaling(scaling: Scaling): ScalingFinding | undefined {
   const { least, most, startMs, prices, preemptiblePrice } = scaling;
   const counts = Number.isInteger(least) && Number.isInteger(most);
   if (!counts || least < 0 || most < least) {
