--- a/packages/router/src/process/cache_survey.ts
+++ b/packages/router/src/process/cache_survey.ts
@@ -92,7 +92,7 @@
       // The runner may have started again since it was listed.
       const id = runnerId(runner.name, startedAtMs ?? runner.startedAtMs);
       this.#prefixes.recordHeld(id, parts, performance.now());
-      this.#log.event("memory_surveyed", {
+      this.#log.event("cache_surveyed", {
         runner: id,
         parts: parts.length,
       });
