--- a/packages/router/src/process/cache_survey.ts
+++ b/packages/router/src/process/cache_survey.ts
@@ -98,7 +98,7 @@
       });
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
-      this.#log.event("memory_unknown", { runner: runner.id, reason });
+      this.#log.event("cache_survey_failed", { runner: runner.id, reason });
     }
   }
 }
