--- a/packages/router/src/process/restart_detector.ts
+++ b/packages/router/src/process/restart_detector.ts
@@ -73,7 +73,7 @@
     try {
       const startedAtMs = await this.#memory.startTime(runner);
       if (startedAtMs === undefined) return true;
-      this.#log.event("runner_asked", {
+      this.#log.event("runner_start_checked", {
         runner: runner.id,
         restarted: startedAtMs !== runner.startedAtMs,
       });
