--- a/packages/router/src/process/autoscaler.ts
+++ b/packages/router/src/process/autoscaler.ts
@@ -203,7 +203,7 @@
     if (!this.#unsound.has(service)) {
       this.#unsound.add(service);
       const place = `${service}.${finding.place}`;
-      this.#sources.log.event("scaling_unsound", { place, text: finding.text });
+      this.#sources.log.event("scaling_invalid", { place, text: finding.text });
     }
     return false;
   }
--- a/packages/router/src/process/autoscaler_test.ts
+++ b/packages/router/src/process/autoscaler_test.ts
@@ -165,7 +165,7 @@
   played.look(0, 9_000);
   assert.deepEqual(played.orders, []);
   assert.deepEqual(played.events.map(({ name, fields }) => [name, fields]), [
-    ["scaling_unsound", {
+    ["scaling_invalid", {
       place: "drafting.scaling",
       text: 'Needs whole numbers, "9" no more than "4"',
     }],
