--- a/packages/router/src/connection/crash_ages.ts
+++ b/packages/router/src/connection/crash_ages.ts
@@ -47,9 +47,9 @@
   return {
     crashed: [...byRunner].map(([runner, runs]) => ({
       runner,
-      runs: runs.map(({ fingerprint, startedAt: beganAt, endedAt }) => ({
+      runs: runs.map(({ fingerprint, startedAt, endedAt }) => ({
         fingerprint,
-        beganAgoMs: ageOf(beganAt, now),
+        beganAgoMs: ageOf(startedAt, now),
         endedAgoMs: ageOf(endedAt, now),
       })),
     })),
--- a/packages/router/src/connection/crash_detector.ts
+++ b/packages/router/src/connection/crash_detector.ts
@@ -26,7 +26,7 @@
  * A request that was at a runner when its connection broke. It began when its
  * answer did or, without one, when it was sent.
  */
-export type BrokenRun = Pick<CrashedRun, "fingerprint" | "beganAt">;
+export type BrokenRun = Pick<CrashedRun, "fingerprint" | "startedAt">;
 
 /**
  * Looks at a runner once after answers of it broke off. Only one that refuses a
--- a/packages/router/src/process/crash_entry.ts
+++ b/packages/router/src/process/crash_entry.ts
@@ -91,8 +91,8 @@
 function endsInTurn(runs: readonly CrashedRun[], since: number): number {
   let ends = 0;
   let free = since;
-  for (const { startedAt: beganAt, endedAt } of runs) {
-    if (beganAt < free) continue;
+  for (const { startedAt, endedAt } of runs) {
+    if (startedAt < free) continue;
     ends += 1;
     free = endedAt;
   }
--- a/packages/router/tests/crash_updates_test.ts
+++ b/packages/router/tests/crash_updates_test.ts
@@ -18,7 +18,7 @@
   options: { readonly fingerprint: string; readonly runner: string },
 ): void {
   const now = performance.now();
-  const run = { ...options, beganAt: now - RUN_MS, endedAt: now };
+  const run = { ...options, startedAt: now - RUN_MS, endedAt: now };
   member.crashes.recordCrashes([run], now);
 }
 
