--- a/packages/router/src/process/demand_estimator_test.ts
+++ b/packages/router/src/process/demand_estimator_test.ts
@@ -13,7 +13,7 @@
 
 test("before anything was seen, what stands is needed", () => {
   const need = new DemandEstimator(12);
-  assert.deepEqual(need.estimate(1_000), { now: 0, most: 12 });
+  assert.deepEqual(need.estimate(1_000), { now: 0, peak: 12 });
 });
 
 test("more are needed while those that there are have work all the time", () => {
--- a/packages/router/src/process/fleet_view.ts
+++ b/packages/router/src/process/fleet_view.ts
@@ -1,19 +1,19 @@
 /**
- * The daemons that divide what is there once for all of them.
+ * The daemons among which fleet-wide limits and tasks are divided.
  *
  * @module
  */
 
-/** Those daemons, as one of them sees them. */
+/** The fleet as seen by one daemon. */
 export interface FleetView {
-  /** Name of the daemon that asks. */
+  /** Name of this daemon. */
   readonly own: string;
   /**
-   * Names of daemons that all others know, too: all of a small fleet, some of a
-   * large one, of which `own` need not be one. With names that only some know,
-   * each daemon would see other ones responsible, itself among them.
+   * Names of daemons that all other daemons know, too: all of a small fleet, or
+   * some of a large one, which need not include `own`. With names known only to
+   * some, daemons would compute different assignments, each including itself.
    */
   readonly names: readonly string[];
-  /** How many daemons there are in all. */
+  /** Total number of daemons. */
   readonly fleetSize: number;
 }
--- a/packages/router/src/process/limit_queue.ts
+++ b/packages/router/src/process/limit_queue.ts
@@ -1,5 +1,5 @@
 /**
- * Requests that wait until a runner takes more.
+ * Order of requests that wait for runners at their rate limits.
  *
  * @module
  */
@@ -7,26 +7,27 @@
 import type { QueueKey } from "./runner_queue.ts";
 
 /**
- * The requests of this daemon that wait for runners of one service, all of which
- * have had what they take. All look at the same moment whether one takes more;
- * without an order a less urgent one would get it.
+ * Queue of this daemon's requests for one service all of whose runners have
+ * reached their rate limits. All waiting requests check at the same time whether a
+ * runner accepts one more; without an order, a less urgent one could be sent.
  */
 export class LimitQueue {
-  readonly #turns = new Set<QueueKey>();
+  readonly #keys = new Set<QueueKey>();
 
-  /** Waits from now on; {@linkcode remove} ends it. */
-  add(turn: QueueKey): void {
-    this.#turns.add(turn);
+  /** Adds a waiting request; {@linkcode remove} takes it out again. */
+  add(key: QueueKey): void {
+    this.#keys.add(key);
   }
 
-  remove(turn: QueueKey): void {
-    this.#turns.delete(turn);
+  /** Removes a request that no longer waits. */
+  remove(key: QueueKey): void {
+    this.#keys.delete(key);
   }
 
-  /** Whether no request that waits goes before this one. */
-  isFirst(turn: QueueKey, now: number): boolean {
-    for (const each of this.#turns) {
-      if (each !== turn && precedes(each, turn, now)) return false;
+  /** Whether no other waiting request goes before this one. */
+  isFirst(key: QueueKey, now: number): boolean {
+    for (const other of this.#keys) {
+      if (other !== key && precedes(other, key, now)) return false;
     }
     return true;
   }
--- a/packages/router/src/process/limit_share.ts
+++ b/packages/router/src/process/limit_share.ts
@@ -1,5 +1,5 @@
 /**
- * One daemon's part of what a runner takes from all daemons together.
+ * One daemon's share of a runner's rate limit for all daemons together.
  *
  * @module
  */
@@ -7,56 +7,56 @@
 import type { Rate } from "./token_bucket.ts";
 import type { FleetView } from "./fleet_view.ts";
 
-/** No part at all. */
+/** The share of a daemon that may send nothing. */
 export const NO_SHARE: Rate = { perSecond: 0, burst: 0 };
 
 /**
- * Part of a limit that is given out. The rest is for daemons that see others
- * than the rest do, while one of them comes or goes.
+ * Fraction of a limit that is allocated. The rest is a margin for daemons with
+ * differing views of the fleet while one of them joins or leaves.
  */
-const GIVEN_SHARE = 0.9;
+const ALLOCATED_FRACTION = 0.9;
 /**
- * Least requests a second that are given out, so that a runner which named next
- * to nothing is heard again when it has recovered.
+ * Minimum requests per second that are allocated, so that the recovery of a runner
+ * that stated a limit near zero is noticed.
  */
-const LEAST_PER_S = 0.2;
+const MIN_PER_S = 0.2;
 /**
- * Daemons that have a part, for each request a second, and some more: each may
- * have one request ready, so that more of them would send too much at once.
+ * Daemons with a share per request per second, plus a constant. Each daemon may
+ * send one request at once, so more of them would exceed the limit together.
  */
 const HOLDERS_PER_S = 2;
-const MORE_HOLDERS = 3;
-/** Seconds of a limit that may be sent at once after a pause. */
+const EXTRA_HOLDERS = 3;
+/** Burst after a pause, in seconds' worth of the limit. */
 const BURST_S = 2;
 
 /**
- * Divides a limit. Where it is worth a request for each daemon, all have the same
- * part. Otherwise some have one, the same ones wherever it is worked out, as far
- * as daemons know the same others. Nothing is asked or told for it, so nothing is
- * waited for, and a lost daemon takes its part with it only until the others see
- * that it is gone.
+ * Computes a daemon's share of a limit. If the limit is large enough for all
+ * daemons, all have equal shares. Otherwise rendezvous hashing selects a few
+ * daemons, and all daemons with the same view of the fleet select the same ones.
+ * This needs no messages, so nothing waits for them, and the share of a lost
+ * daemon is unused only until the others notice the loss.
  *
- * @param key names the division: another one has other daemons.
+ * @param key hash key; another key selects other daemons.
  *
  * @example
  * ```ts
- * const sharers = { own: "a", names: ["a", "b", "c"], fleetSize: 3 };
- * partOf("r-1", 4.3, sharers).perSecond; // 1.29
+ * const view = { own: "a", names: ["a", "b", "c"], fleetSize: 3 };
+ * shareOf("r-1", 4.3, view).perSecond; // 1.29
  * ```
  */
-export function shareOf(key: string, perS: number, sharers: FleetView): Rate {
-  const { own, names, fleetSize } = sharers;
-  const most = Math.floor(HOLDERS_PER_S * perS + MORE_HOLDERS);
-  if (fleetSize <= most) return equalPart(perS, fleetSize);
-  const holders = Math.min(names.length, most);
+export function shareOf(key: string, perS: number, view: FleetView): Rate {
+  const { own, names, fleetSize } = view;
+  const maxHolders = Math.floor(HOLDERS_PER_S * perS + EXTRA_HOLDERS);
+  if (fleetSize <= maxHolders) return equalShare(perS, fleetSize);
+  const holders = Math.min(names.length, maxHolders);
   const order = new Rendezvous(names).order(key);
   if (!order.slice(0, holders).includes(own)) return NO_SHARE;
-  return equalPart(perS, holders);
+  return equalShare(perS, holders);
 }
 
-function equalPart(perS: number, holders: number): Rate {
+function equalShare(perS: number, holders: number): Rate {
   return {
-    perSecond: Math.max(LEAST_PER_S, GIVEN_SHARE * perS) / holders,
+    perSecond: Math.max(MIN_PER_S, ALLOCATED_FRACTION * perS) / holders,
     burst: Math.max(1, BURST_S * perS / holders),
   };
 }
--- a/packages/router/src/process/load_totals.ts
+++ b/packages/router/src/process/load_totals.ts
@@ -1,31 +1,31 @@
 /**
- * The load that daemons put on a runner, and its arithmetic.
+ * Load totals that daemons exchange per runner, and their arithmetic.
  *
  * @module
  */
 
-/** Whole answers of a runner. */
+/** Counts of complete responses from a runner. */
 export interface ResponseCounts {
-  /** Whole answers that daemons have had from the runner since they began. */
+  /** Complete responses from the runner to these daemons since they started. */
   readonly answered: number;
-  /** Those of them that were failures of the runner. */
+  /** Complete responses that reported a failure of the runner. */
   readonly failed: number;
 }
 
-/** Load that one daemon, or some together, put on a runner. */
+/** Load that one daemon, or several together, put on a runner. */
 export interface LoadTotals extends ResponseCounts {
   readonly inFlight: number;
-  /** Prompt tokens of requests that have no first event yet. */
+  /** Prompt tokens of requests without a first event yet. */
   readonly unreadTokens: number;
-  /** Prompt tokens that the runner read, or will, for all that is in flight. */
+  /** Prompt tokens prefilled, now or later, for all requests in flight. */
   readonly workTokens: number;
-  /** Tokens that all that is in flight may come to hold in memory. */
+  /** Most tokens that all requests in flight may hold in the KV cache. */
   readonly memoryTokens: number;
-  /** Streams that bear only short pauses. */
+  /** Streams with a tight inter-token latency target. */
   readonly tight: number;
 }
 
-/** No load at all. */
+/** Zero load. */
 export const NO_LOAD: LoadTotals = {
   inFlight: 0,
   unreadTokens: 0,
@@ -36,7 +36,7 @@
   failed: 0,
 };
 
-/** Two loads together. */
+/** Adds two loads. */
 export function addLoads(one: LoadTotals, other: LoadTotals): LoadTotals {
   return {
     inFlight: one.inFlight + other.inFlight,
@@ -49,7 +49,7 @@
   };
 }
 
-/** What is left of a load without another one. */
+/** Subtracts the second load from the first. */
 export function subtractLoads(one: LoadTotals, other: LoadTotals): LoadTotals {
   return {
     inFlight: one.inFlight - other.inFlight,
--- a/packages/router/src/process/restart_detector.ts
+++ b/packages/router/src/process/restart_detector.ts
@@ -81,7 +81,10 @@
       return true;
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
-      this.#log.event("runner_start_check_failed", { runner: runner.id, reason });
+      this.#log.event("runner_start_check_failed", {
+        runner: runner.id,
+        reason,
+      });
       return false;
     }
   }
--- a/packages/router/src/process/runner_directory.ts
+++ b/packages/router/src/process/runner_directory.ts
@@ -1,5 +1,5 @@
 /**
- * The runners that exist, as the platform lists them.
+ * Directory of all runners, as listed by the platform.
  *
  * @module
  */
@@ -16,41 +16,41 @@
   readonly runners: readonly Runner[];
 }
 
-/** What is new since an earlier revision, or everything. */
+/** Changes since an earlier revision, or the whole list. */
 export interface RunnerListUpdate extends RunnerList {
-  /** Whether `runners` are all that there are. */
+  /** Whether `runners` is the whole list. */
   readonly whole: boolean;
-  /** Names of runners that are gone; none in a whole list. */
+  /** Names of removed runners; empty in a whole list. */
   readonly left: readonly string[];
 }
 
 /**
- * Runners that are gone whose names are kept, for daemons that know less. One
- * that knows still less is given the whole list.
+ * Removed runners whose names are kept for daemons with an older list. A daemon
+ * whose list is older than these removals receives the whole list.
  */
-const MAX_LEFT = 500;
-/** Revisions that others ask from, at once; most have one of the last few. */
-const MAX_NEWS = 16;
+const MAX_REMOVED = 500;
+/** Cached updates, by base revision; most daemons have one of the last few. */
+const MAX_CACHED_UPDATES = 16;
 
 /**
- * Holds the newest list and tells which runners may get work. A list is only
- * ever followed by a newer one, whether it came from the store or a peer, so
- * a runner that was seen to leave does not come back by an older list.
+ * Holds the newest list of runners, indexed by service. A list is only replaced
+ * by one of a higher revision, whether from the store or a peer, so that an older
+ * list cannot bring a removed runner back.
  */
 export class RunnerDirectory {
-  readonly #changed: (() => void)[] = [];
-  readonly #late = new StaleEntries((runner) => this.#accept(runner));
+  readonly #listeners: (() => void)[] = [];
+  readonly #stale = new StaleEntries((runner) => this.#accept(runner));
   #list: RunnerList = { revision: 0, runners: [] };
-  /** At which revision an entry, by name, changed last here. */
+  /** Revision at which each entry last changed here, by name. */
   readonly #changedAt = new Map<string, number>();
-  readonly #leftAt = new Map<string, number>();
-  /** Revision since which all that left is known. */
-  #leftSince = 0;
+  readonly #removedAt = new Map<string, number>();
+  /** Revision since which all removals are known. */
+  #removalsSince = 0;
   #byService: ReadonlyMap<string, readonly Runner[]> = new Map();
-  /** What was told of the present list, by the revision that was asked from. */
-  #news = new Map<number, RunnerListUpdate>();
+  /** Cached updates to the current list, by base revision. */
+  #updates = new Map<number, RunnerListUpdate>();
 
-  /** Revision of the store that the list is from; 0 when there is none. */
+  /** Store revision of the list; 0 without a list. */
   get revision(): number {
     return this.#list.revision;
   }
@@ -60,22 +60,22 @@
   }
 
   /**
-   * What a daemon lacks that has the list of a revision. While runners start, the
-   * list changes many times a second, and each time all daemons are told; those
-   * that ask from the same revision are given the same object.
+   * Returns the changes since a revision. While runners start, the list changes
+   * many times a second and every change goes to all daemons; updates are therefore
+   * cached, and daemons with the same revision are given the same object.
    */
   updateSince(since: number): RunnerListUpdate {
-    const known = this.#news.get(since);
+    const known = this.#updates.get(since);
     if (known !== undefined) return known;
-    const news = this.#newsSince(since);
-    if (this.#news.size >= MAX_NEWS) this.#news.clear();
-    this.#news.set(since, news);
-    return news;
+    const update = this.#computeUpdate(since);
+    if (this.#updates.size >= MAX_CACHED_UPDATES) this.#updates.clear();
+    this.#updates.set(since, update);
+    return update;
   }
 
-  #newsSince(since: number): RunnerListUpdate {
+  #computeUpdate(since: number): RunnerListUpdate {
     const { revision, runners } = this.#list;
-    const whole = since === 0 || since < this.#leftSince;
+    const whole = since === 0 || since < this.#removalsSince;
     if (whole) return { revision, runners, whole, left: [] };
     const isNew = ([, at]: readonly [string, number]) => at > since;
     return {
@@ -84,11 +84,11 @@
       runners: runners.filter(({ name }) =>
         (this.#changedAt.get(name) ?? 0) > since
       ),
-      left: [...this.#leftAt].filter(isNew).map(([name]) => name),
+      left: [...this.#removedAt].filter(isNew).map(([name]) => name),
     };
   }
 
-  /** Takes what a peer gave. */
+  /** Applies an update from a peer. */
   applyUpdate({ revision, runners, whole, left }: RunnerListUpdate): void {
     if (whole) this.replace({ revision, runners });
     else this.applyChange(revision, runners, left);
@@ -96,30 +96,34 @@
 
   /** Calls `listener` after each change. */
   onChange(listener: () => void): void {
-    this.#changed.push(listener);
+    this.#listeners.push(listener);
   }
 
-  /** Takes a whole list; one that is not newer changes nothing. */
+  /**
+   * Replaces the whole list, unless the new one is not newer.
+   *
+   * @returns whether the list was replaced.
+   */
   replace(list: RunnerList): boolean {
     if (list.revision <= this.#list.revision) return false;
     const known = this.#byName();
-    this.#late.clear();
-    const runners = list.runners.map((each) => this.#newest(known, each));
+    this.#stale.clear();
+    const runners = list.runners.map((runner) => this.#newest(known, runner));
     this.#set({ revision: list.revision, runners });
     return true;
   }
 
-  /** Takes what changed up to a revision. */
+  /** Applies the changes up to a revision, unless it is not newer. */
   applyChange(
     revision: number,
     entered: readonly Runner[],
-    left: readonly string[],
+    removed: readonly string[],
   ): void {
     if (revision <= this.#list.revision) return;
     const runners = this.#byName();
-    for (const name of left) {
+    for (const name of removed) {
       runners.delete(name);
-      this.#late.forget(name);
+      this.#stale.forget(name);
     }
     for (const runner of entered) {
       runners.set(runner.name, this.#newest(runners, runner));
@@ -128,8 +132,8 @@
   }
 
   /**
-   * Takes what a runner says itself of its start, which may be known sooner than
-   * its new entry: the store may be down, or this daemon cut off from it.
+   * Records the start time that a runner itself reports. It may arrive before the
+   * runner's new entry if the store is down or unreachable from this daemon.
    */
   recordStart(name: string, startedAtMs: number): void {
     const known = this.#byName().get(name);
@@ -139,42 +143,42 @@
     this.#accept(runner);
   }
 
-  /** Runners of a service that take new work. */
+  /** Runners of a service that accept new requests. */
   ready(service: string): readonly Runner[] {
     return this.#byService.get(service) ?? [];
   }
 
-  #noteChanges({ revision, runners }: RunnerList): void {
+  #recordChanges({ revision, runners }: RunnerList): void {
     const before = this.#byName();
     for (const runner of runners) {
       const known = before.get(runner.name);
       before.delete(runner.name);
-      this.#leftAt.delete(runner.name);
+      this.#removedAt.delete(runner.name);
       if (!isDeepStrictEqual(known, runner)) {
         this.#changedAt.set(runner.name, revision);
       }
     }
     for (const name of before.keys()) {
       this.#changedAt.delete(name);
-      this.#leftAt.set(name, revision);
+      this.#removedAt.set(name, revision);
     }
-    for (const [name, at] of this.#leftAt) {
-      if (this.#leftAt.size <= MAX_LEFT) break;
-      this.#leftAt.delete(name);
-      this.#leftSince = at;
+    for (const [name, at] of this.#removedAt) {
+      if (this.#removedAt.size <= MAX_REMOVED) break;
+      this.#removedAt.delete(name);
+      this.#removalsSince = at;
     }
   }
 
   #byName(): Map<string, Runner> {
-    return new Map(this.#list.runners.map((each) => [each.name, each]));
+    return new Map(this.#list.runners.map((runner) => [runner.name, runner]));
   }
 
-  /** The entry to use: not one of an earlier life that comes late. */
+  /** Returns the entry to use: the current one if the new one is stale. */
   #newest(known: ReadonlyMap<string, Runner>, entry: Runner): Runner {
     const current = known.get(entry.name);
-    this.#late.forget(entry.name);
+    this.#stale.forget(entry.name);
     if (current === undefined || !isStale(entry, current)) return entry;
-    this.#late.hold(entry);
+    this.#stale.hold(entry);
     return current;
   }
 
@@ -182,16 +186,18 @@
     const { revision, runners } = this.#list;
     this.#set({
       revision,
-      runners: runners.map((each) => each.name === runner.name ? runner : each),
+      runners: runners.map((entry) =>
+        entry.name === runner.name ? runner : entry
+      ),
     });
   }
 
   #set(list: RunnerList): void {
-    this.#noteChanges(list);
-    this.#news = new Map();
+    this.#recordChanges(list);
+    this.#updates = new Map();
     this.#list = list;
     const ready = list.runners.filter(({ draining }) => !draining);
     this.#byService = groupBy(ready, ({ service }) => service);
-    for (const listener of this.#changed) listener();
+    for (const listener of this.#listeners) listener();
   }
 }
--- a/packages/router/src/process/runner_directory_test.ts
+++ b/packages/router/src/process/runner_directory_test.ts
@@ -18,17 +18,17 @@
   };
 }
 
-test("runners that drain or have left get nothing new", () => {
+test("draining and removed runners are not ready", () => {
   const directory = new RunnerDirectory();
   directory.replace({ revision: 1, runners: [runner("a"), runner("b")] });
   directory.applyChange(2, [runner("a", true)], ["b"]);
   assert.deepEqual(directory.ready("s"), []);
 });
 
-// A runner has left, and a peer that was frozen tells its older list. Taken, it
-// would bring the runner back, and requests would go to an address that may
-// already belong to another service.
-test("an older list does not bring a runner back", () => {
+// A peer that was frozen sends an older list, which still has a removed runner.
+// If it were applied, requests would go to an address that may already belong to
+// another service.
+test("an older list does not bring a removed runner back", () => {
   const directory = new RunnerDirectory();
   directory.replace({ revision: 5, runners: [] });
   assert.equal(
@@ -39,64 +39,69 @@
   assert.deepEqual(directory.ready("s"), []);
 });
 
-function life(startedAtMs: number, fields: Partial<Runner> = {}): Runner {
+function incarnation(
+  startedAtMs: number,
+  fields: Partial<Runner> = {},
+): Runner {
   return { ...runner("a"), id: `a~${startedAtMs}`, startedAtMs, ...fields };
 }
 
-// A runner has told that it leaves and crashes; it starts again under its name
-// and is ready. Callers would wait in vain for its capacity if what was known of
-// the life before counted for the next one.
+// A draining runner crashes and restarts under the same name. Its capacity would
+// stay unused if the drain of the earlier incarnation applied to the new one.
 test("a runner that crashed while it drained is used after its restart", () => {
   const directory = new RunnerDirectory();
-  directory.replace({ revision: 1, runners: [life(100, { draining: true })] });
-  directory.applyChange(2, [life(200)], []);
+  directory.replace({
+    revision: 1,
+    runners: [incarnation(100, { draining: true })],
+  });
+  directory.applyChange(2, [incarnation(200)], []);
   assert.deepEqual(directory.ready("s").map(({ id }) => id), ["a~200"]);
 });
 
-// A runner writes its entry, the write is held up, the runner starts again and
-// enters itself; then the old write is done. Callers' prompts would be sent by
-// what the old life held, or nowhere because it said that it drains.
-test("an entry of the life before that comes late is not believed", () => {
+// A runner's write of its entry is delayed, and completes after the runner has
+// restarted and written a new entry. If it were applied, prompts would be routed
+// by the cache of the old incarnation, or not at all because that was draining.
+test("a delayed entry of an earlier incarnation is ignored", () => {
   const directory = new RunnerDirectory();
-  directory.replace({ revision: 1, runners: [life(200)] });
-  directory.applyChange(2, [life(100, { draining: true })], []);
+  directory.replace({ revision: 1, runners: [incarnation(200)] });
+  directory.applyChange(2, [incarnation(100, { draining: true })], []);
   assert.deepEqual(directory.ready("s").map(({ id }) => id), ["a~200"]);
-  const runners = [life(100, { draining: true })];
+  const runners = [incarnation(100, { draining: true })];
   directory.replace({ revision: 3, runners });
   assert.deepEqual(directory.ready("s").map(({ id }) => id), ["a~200"]);
 });
 
-// A host's clock is set back, then its runner starts again: the new life claims
-// an earlier start than the old one. Were it taken for a late entry for ever, its
-// drain, or its return, would never be seen.
-test("an earlier start that stands is taken after a while", (context) => {
+// A host's clock is set back before its runner restarts, so that the new
+// incarnation has an earlier start time than the old one. If its entry counted as
+// stale forever, its drain or its return would never be applied.
+test("an entry with an earlier start that stands is accepted", (context) => {
   context.mock.timers.enable({ apis: ["setTimeout"] });
   const directory = new RunnerDirectory();
-  directory.replace({ revision: 1, runners: [life(200)] });
-  directory.applyChange(2, [life(100, { draining: true })], []);
+  directory.replace({ revision: 1, runners: [incarnation(200)] });
+  directory.applyChange(2, [incarnation(100, { draining: true })], []);
   context.mock.timers.tick(5_000);
   assert.deepEqual(directory.ready("s"), []);
 });
 
-// The same late entry, but the living runner's next one follows, as it does
-// within about a second: the late one must not come to life by the clock.
-test("a late entry that is replaced never counts", (context) => {
+// The running incarnation's next entry follows a stale one within about a second.
+// The stale one must not be accepted by its timer afterwards.
+test("a stale entry that is replaced is never accepted", (context) => {
   context.mock.timers.enable({ apis: ["setTimeout"] });
   const directory = new RunnerDirectory();
-  directory.replace({ revision: 1, runners: [life(200)] });
-  directory.applyChange(2, [life(100, { draining: true })], []);
-  directory.applyChange(3, [life(200)], []);
+  directory.replace({ revision: 1, runners: [incarnation(200)] });
+  directory.applyChange(2, [incarnation(100, { draining: true })], []);
+  directory.applyChange(3, [incarnation(200)], []);
   context.mock.timers.tick(5_000);
   assert.deepEqual(directory.ready("s").map(({ id }) => id), ["a~200"]);
 });
 
-// The store is down. A runner starts again under its name and says so itself;
-// a peer that does not know yet tells its list of the same revision.
-test("a start that the runner tells itself counts before its entry", () => {
+// The store is down. A runner restarts under the same name and reports its start
+// time itself; a peer without this news sends its list of the same revision.
+test("a start time reported by the runner applies before its entry", () => {
   const directory = new RunnerDirectory();
-  directory.replace({ revision: 5, runners: [life(100)] });
+  directory.replace({ revision: 5, runners: [incarnation(100)] });
   directory.recordStart("a", 300);
-  directory.replace({ revision: 5, runners: [life(100)] });
+  directory.replace({ revision: 5, runners: [incarnation(100)] });
   assert.deepEqual(directory.ready("s").map(({ startedAtMs }) => startedAtMs), [
     300,
   ]);
@@ -107,9 +112,9 @@
   ]);
 });
 
-// While runners start, the list changes many times a second. Given whole each
-// time, 109 of them cost each of 195 daemons a tenth of its processor.
-test("a daemon that lags is given what changed, and only that", () => {
+// While runners start, the list changes many times a second. Sent whole each
+// time, a list of 109 runners cost each of 195 daemons a tenth of its CPU.
+test("a lagging daemon is sent the changes only", () => {
   const ahead = new RunnerDirectory();
   const lagging = new RunnerDirectory();
   const all = Array.from({ length: 100 }, (_, index) => runner(`r-${index}`));
@@ -120,17 +125,17 @@
     revision: 8,
     runners: ahead.list.runners.map((each) => ({ ...each })),
   });
-  const news = ahead.updateSince(lagging.revision);
-  assert.deepEqual(news.runners.map(({ name }) => name), ["r-3"]);
-  assert.deepEqual(news.left, ["r-7"]);
-  lagging.applyUpdate(news);
+  const update = ahead.updateSince(lagging.revision);
+  assert.deepEqual(update.runners.map(({ name }) => name), ["r-3"]);
+  assert.deepEqual(update.left, ["r-7"]);
+  lagging.applyUpdate(update);
   assert.equal(lagging.revision, 8);
   assert.deepEqual(lagging.list.runners, ahead.list.runners);
 });
 
-// A daemon was frozen while hundreds of runners went. Of those that went first
-// nothing is known any more; given changes alone, it would go on using them.
-test("a daemon that lags far behind is given the whole list", () => {
+// A daemon was frozen while hundreds of runners were removed, and the names of the
+// first ones are no longer kept. With changes alone it would keep using them.
+test("a daemon that lags far behind is sent the whole list", () => {
   const ahead = new RunnerDirectory();
   const lagging = new RunnerDirectory();
   ahead.replace({ revision: 1, runners: [runner("r-old"), runner("r-new")] });
--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -1,5 +1,5 @@
 /**
- * How much runners say that they take from all daemons together.
+ * Rate limits that runners state for all daemons together.
  *
  * @module
  */
@@ -10,131 +10,132 @@
 import { NO_SHARE, shareOf } from "./limit_share.ts";
 import type { FleetView } from "./fleet_view.ts";
 
-/** What a runner's answer says of how much the runner takes. */
+/** Rate limit as stated in a runner's response. */
 export type StatedLimit =
-  /** Requests a second, of all daemons together. */
+  /** Requests per second, from all daemons together. */
   | { readonly kind: "limit"; readonly perS: number }
-  /** Something that is no such number. */
+  /** A value that is not a valid rate. */
   | { readonly kind: "unreadable"; readonly text: string };
 
-/** What a runner said last, here or to another daemon. */
+/** Latest limit that a runner stated, to this or to another daemon. */
 export interface LimitUpdate {
-  /** Id of the runner's life. */
+  /** Id of the runner's incarnation. */
   readonly runner: string;
-  /** Requests a second; none when it does not name a limit any more. */
+  /** Requests per second; undefined once the runner states no limit any more. */
   readonly perS: number | undefined;
-  /** Steady ms. */
+  /** When the runner stated it, in monotonic ms. */
   readonly at: number;
 }
 
-/** Milliseconds after which others are told again of a limit that stays. */
-const TELL_AGAIN_MS = 5_000;
+/** Milliseconds after which an unchanged limit is sent to other daemons again. */
+const REBROADCAST_MS = 5_000;
 /**
- * Milliseconds without a word of a limited runner after which other daemons have
- * the parts: those that had them may have no callers, or be cut off from it.
+ * Milliseconds without a response of a limited runner after which its limit is
+ * divided among other daemons: those with a share may have no callers, or be
+ * partitioned from the runner.
  */
-const SILENT_MS = 15_000;
+const ROTATION_MS = 15_000;
 /**
- * Milliseconds for which others are told that a limit has ended, who may have
- * been cut off meanwhile.
+ * Milliseconds for which the end of a limit is included in snapshots, for daemons
+ * that were partitioned when it ended.
  */
-const ENDED_MS = 600_000;
-/** Milliseconds between two looks who divides limits. */
-const LOOK_MS = 1_000;
-/** Lines of the log on one runner in a span: that it begins, and that it ends. */
-const MAX_LINES = 2;
-/** Milliseconds of such a span. */
-const LOG_MS = 1_000;
-/** Runners whose unreadable limits are remembered, so that each is logged once. */
-const MAX_UNREADABLE = 1_000;
+const ENDED_LIMIT_TTL_MS = 600_000;
+/** Milliseconds between two checks which daemons share the limits. */
+const VIEW_CHECK_MS = 1_000;
+/** Log lines per runner and interval: one for a limit's start, one for its end. */
+const MAX_LOG_LINES = 2;
+/** Interval in ms of the bound on log lines. */
+const LOG_INTERVAL_MS = 1_000;
+/** Runners remembered for an unreadable limit, so that each is logged once. */
+const MAX_UNREADABLE_RUNNERS = 1_000;
 
 interface Limit {
   perS: number | undefined;
-  /** When the runner said so last, as far as known. */
+  /** When the runner last stated the limit, as far as known. */
   at: number;
-  toldAt: number;
-  /** When the present span of the log began, and changes since. */
+  broadcastAt: number;
+  /** Start of the current log interval, and changes since then. */
   loggedAt: number;
   lines: number;
-  part: Rate;
-  /** What the part was worked out from: sharers, and a turn among them. */
-  partOf: string;
-  /** Requests that this daemon may send, by its part. */
-  readonly allowance: TokenBucket;
+  share: Rate;
+  /** Cache key of `share`: version of the fleet view, and rotation. */
+  shareKey: string;
+  /** Limits this daemon's requests to its share. */
+  readonly bucket: TokenBucket;
 }
 
 /**
- * The limits that runners name, by the ids of their lives, and this daemon's
- * part of each. The runner that is in need would get as much from each daemon as
- * it takes from all; so daemons tell each other what runners name, and few of
- * them have parts of a small limit.
+ * Enforces the rate limits that runners state, and this daemon's share of each. If
+ * each daemon applied the whole limit alone, an overloaded runner would get as
+ * much from every daemon as it accepts from all. Daemons therefore exchange the
+ * stated limits, and a small limit is divided among only a few daemons.
  *
  * @example
  * ```ts
- * if (limits.mayTake(runner.id, now)) limits.take(runner.id, now);
+ * if (limits.allowsRequest(runner.id, now)) limits.recordRequest(runner.id, now);
  * ```
  */
 export class RunnerLimits {
   readonly #log: EventLog;
-  readonly #sharers: () => FleetView;
+  readonly #getView: () => FleetView;
   readonly #limits = new Map<string, Limit>();
   readonly #unreadable = new Set<string>();
-  #divided: FleetView = { own: "", names: [], fleetSize: 0 };
-  /** Changes when the sharers do. */
-  #division = 0;
-  #lookedAt = -Infinity;
+  #view: FleetView = { own: "", names: [], fleetSize: 0 };
+  /** Incremented when the fleet view changes. */
+  #viewVersion = 0;
+  #viewCheckedAt = -Infinity;
   readonly #listeners: (() => void)[] = [];
-  #news = new Set<string>();
+  #pending = new Set<string>();
 
-  /** @param sharers the daemons among which limits are divided. */
-  constructor(log: EventLog, sharers: () => FleetView) {
+  /** @param getView returns the daemons among which limits are divided. */
+  constructor(log: EventLog, getView: () => FleetView) {
     this.#log = log;
-    this.#sharers = sharers;
+    this.#getView = getView;
   }
 
-  /** Calls `listener` whenever something is heard here that others lack. */
+  /** Calls `listener` when this daemon has an update for other daemons. */
   onUpdate(listener: () => void): void {
     this.#listeners.push(listener);
   }
 
-  /** Whether any runner has named a limit. */
+  /** Whether any runner has ever stated a limit. */
   get hasLimits(): boolean {
     return this.#limits.size > 0;
   }
 
-  /** Requests a second that a runner takes, if it names a limit. */
+  /** Requests per second that a runner accepts, if it states a limit. */
   of(runner: string): number | undefined {
     return this.#limits.get(runner)?.perS;
   }
 
-  /** Whether this daemon has a part of a runner's limit, or there is none. */
+  /** Whether this daemon has a share of a runner's limit, or there is no limit. */
   hasShare(runner: string, now: number): boolean {
     const limit = this.#limits.get(runner);
     if (limit?.perS === undefined) return true;
-    return this.#partOf(runner, limit, now).perSecond > 0;
+    return this.#shareOf(runner, limit, now).perSecond > 0;
   }
 
-  /** Whether a request may be sent to a runner now. */
+  /** Whether this daemon may send a request to a runner now. */
   allowsRequest(runner: string, now: number): boolean {
     const limit = this.#limits.get(runner);
     if (limit?.perS === undefined) return true;
-    this.#partOf(runner, limit, now);
-    return limit.allowance.available(now) >= 1;
+    this.#shareOf(runner, limit, now);
+    return limit.bucket.available(now) >= 1;
   }
 
-  /** Counts a request that is sent to a runner. */
+  /** Counts a request that is sent to a runner against this daemon's share. */
   recordRequest(runner: string, now: number): void {
     const limit = this.#limits.get(runner);
     if (limit?.perS === undefined) return;
-    this.#partOf(runner, limit, now);
-    limit.allowance.take(1);
+    this.#shareOf(runner, limit, now);
+    limit.bucket.take(1);
   }
 
   /**
-   * Takes what an answer of a runner says, or that it says nothing.
+   * Records the limit stated in a runner's response, or its absence.
    *
-   * @param times steady ms; an answer to a request that was sent before the
-   * runner named its limit does not end it.
+   * @param times monotonic ms; a response to a request that was sent before the
+   * runner stated its limit does not end the limit.
    */
   recordStated(
     runner: string,
@@ -143,154 +144,162 @@
   ): void {
     const { sentAt, now } = times;
     if (stated?.kind === "unreadable") {
-      return this.#leaveOut(runner, stated.text);
+      return this.#logUnreadable(runner, stated.text);
     }
     const limit = this.#limits.get(runner);
     if (stated === undefined) {
-      const named = limit?.perS !== undefined && sentAt > limit.at;
-      if (named) this.#note({ runner, perS: undefined, at: now }, now);
+      const ended = limit?.perS !== undefined && sentAt > limit.at;
+      if (ended) this.#publish({ runner, perS: undefined, at: now }, now);
       return;
     }
     const { perS } = stated;
-    const again = limit?.perS === perS && now - limit.toldAt < TELL_AGAIN_MS;
-    if (again) limit.at = now;
-    else this.#note({ runner, perS, at: now }, now);
+    const unchanged = limit?.perS === perS &&
+      now - limit.broadcastAt < REBROADCAST_MS;
+    if (unchanged) limit.at = now;
+    else this.#publish({ runner, perS, at: now }, now);
   }
 
   /**
-   * Takes what other daemons have heard.
+   * Applies updates from other daemons.
    *
-   * @returns what was not known here, to be passed on.
+   * @returns the updates that were new to this daemon, to be forwarded.
    */
   applyUpdates(
-    news: readonly LimitUpdate[],
+    updates: readonly LimitUpdate[],
     now: number,
   ): readonly LimitUpdate[] {
-    return news.filter((each) => this.#isNew(each) && this.#set(each, now));
+    return updates.filter((update) =>
+      this.#isNew(update) && this.#apply(update, now)
+    );
   }
 
-  /** What was heard here since the last call. */
+  /** Returns the updates that originated here since the last call. */
   takeUpdates(): readonly LimitUpdate[] {
-    const news = [...this.#news];
-    this.#news = new Set();
-    return news.flatMap((runner) => this.#newsOf(runner));
+    const runners = [...this.#pending];
+    this.#pending = new Set();
+    return runners.flatMap((runner) => this.#updatesOf(runner));
   }
 
-  /** All that a daemon needs to know that has just been met. */
+  /** Returns all current limits, for a daemon that has just connected. */
   snapshot(now: number): readonly LimitUpdate[] {
     return [...this.#limits.keys()]
-      .flatMap((runner) => this.#newsOf(runner))
-      .filter(({ perS, at }) => perS !== undefined || now - at < ENDED_MS);
+      .flatMap((runner) => this.#updatesOf(runner))
+      .filter(({ perS, at }) =>
+        perS !== undefined || now - at < ENDED_LIMIT_TTL_MS
+      );
   }
 
-  /** Forgets runners that are not listed. */
+  /** Deletes runners that are not listed. */
   retain(ids: ReadonlySet<string>): void {
-    for (const known of [this.#limits, this.#unreadable]) {
-      for (const id of known.keys()) {
-        if (!ids.has(id)) known.delete(id);
+    for (const entries of [this.#limits, this.#unreadable]) {
+      for (const id of entries.keys()) {
+        if (!ids.has(id)) entries.delete(id);
       }
     }
   }
 
-  #newsOf(runner: string): readonly LimitUpdate[] {
+  #updatesOf(runner: string): readonly LimitUpdate[] {
     const limit = this.#limits.get(runner);
     if (limit === undefined) return [];
     return [{ runner, perS: limit.perS, at: limit.at }];
   }
 
   #isNew({ runner, perS, at }: LimitUpdate): boolean {
-    const known = this.#limits.get(runner);
-    if (known === undefined) return perS !== undefined;
-    if (at <= known.at) return false;
-    // What stays is told again now and then, and comes by several ways.
-    return perS !== known.perS || at - known.at > TELL_AGAIN_MS / 2;
+    const current = this.#limits.get(runner);
+    if (current === undefined) return perS !== undefined;
+    if (at <= current.at) return false;
+    // An unchanged limit is sent periodically, and arrives over several paths.
+    return perS !== current.perS || at - current.at > REBROADCAST_MS / 2;
   }
 
-  /** Notes what was heard here, and tells others. */
-  #note(news: LimitUpdate, now: number): void {
-    this.#set(news, now);
-    this.#news.add(news.runner);
+  /** Applies an update that originated here, and queues it for other daemons. */
+  #publish(update: LimitUpdate, now: number): void {
+    this.#apply(update, now);
+    this.#pending.add(update.runner);
     for (const listener of this.#listeners) listener();
   }
 
-  #set({ runner, perS, at }: LimitUpdate, now: number): true {
-    const known = this.#limits.get(runner);
-    const limit = known ?? unlimited();
+  #apply({ runner, perS, at }: LimitUpdate, now: number): true {
+    const current = this.#limits.get(runner);
+    const limit = current ?? unlimited();
     this.#limits.set(runner, limit);
     const before = limit.perS;
     limit.perS = perS;
     limit.at = at;
-    limit.toldAt = now;
-    if (perS !== before) this.#changed(runner, limit, { before, now });
+    limit.broadcastAt = now;
+    if (perS !== before) this.#limitChanged(runner, limit, { before, now });
     return true;
   }
 
-  #changed(runner: string, limit: Limit, change: {
+  #limitChanged(runner: string, limit: Limit, change: {
     readonly before: number | undefined;
     readonly now: number;
   }): void {
     const { before, now } = change;
-    // What is saved up while nothing is limited must not be sent at once.
-    if (before === undefined) limit.allowance.empty(now);
-    limit.partOf = "";
+    // Tokens accumulated while there was no limit must not allow a burst.
+    if (before === undefined) limit.bucket.empty(now);
+    limit.shareKey = "";
     if (!mayLog(limit, now)) return;
     this.#log.event("runner_limit_changed", {
       runner,
       per_s: limit.perS,
       before,
-      own_per_s: limit.perS && this.#partOf(runner, limit, now).perSecond,
+      own_per_s: limit.perS && this.#shareOf(runner, limit, now).perSecond,
       age_ms: Math.round(now - limit.at),
     });
   }
 
-  /** This daemon's part, worked out again when daemons come or go. */
-  #partOf(runner: string, limit: Limit, now: number): Rate {
-    this.#look(now);
-    const turn = Math.floor(Math.max(0, now - limit.at) / SILENT_MS);
-    const from = `${this.#division}/${turn}`;
-    if (limit.partOf === from) return limit.part;
-    limit.part = shareOf(`${runner}/${turn}`, limit.perS!, this.#divided);
-    limit.partOf = from;
-    limit.allowance.setRate(limit.part, now);
-    return limit.part;
+  /** This daemon's share; recomputed when the fleet view or rotation changes. */
+  #shareOf(runner: string, limit: Limit, now: number): Rate {
+    this.#refreshView(now);
+    const rotation = Math.floor(Math.max(0, now - limit.at) / ROTATION_MS);
+    const key = `${this.#viewVersion}/${rotation}`;
+    if (limit.shareKey === key) return limit.share;
+    limit.share = shareOf(`${runner}/${rotation}`, limit.perS!, this.#view);
+    limit.shareKey = key;
+    limit.bucket.setRate(limit.share, now);
+    return limit.share;
   }
 
-  #look(now: number): void {
-    if (now - this.#lookedAt < LOOK_MS) return;
-    this.#lookedAt = now;
-    const sharers = this.#sharers();
-    if (isDeepStrictEqual(sharers, this.#divided)) return;
-    this.#divided = sharers;
-    this.#division += 1;
+  #refreshView(now: number): void {
+    if (now - this.#viewCheckedAt < VIEW_CHECK_MS) return;
+    this.#viewCheckedAt = now;
+    const view = this.#getView();
+    if (isDeepStrictEqual(view, this.#view)) return;
+    this.#view = view;
+    this.#viewVersion += 1;
   }
 
-  #leaveOut(runner: string, text: string): void {
+  #logUnreadable(runner: string, text: string): void {
     if (this.#unreadable.has(runner)) return;
-    if (this.#unreadable.size >= MAX_UNREADABLE) return;
+    if (this.#unreadable.size >= MAX_UNREADABLE_RUNNERS) return;
     this.#unreadable.add(runner);
     this.#log.event("runner_limit_unreadable", { runner, text });
   }
 }
 
-/** A runner may name another limit in each answer, or one in each second one. */
+/**
+ * Bounds the log lines per runner, since a runner may state another limit in each
+ * response, or a limit in every second one.
+ */
 function mayLog(limit: Limit, now: number): boolean {
-  if (now - limit.loggedAt >= LOG_MS) {
+  if (now - limit.loggedAt >= LOG_INTERVAL_MS) {
     limit.loggedAt = now;
     limit.lines = 0;
   }
   limit.lines += 1;
-  return limit.lines <= MAX_LINES;
+  return limit.lines <= MAX_LOG_LINES;
 }
 
 function unlimited(): Limit {
   return {
     perS: undefined,
     at: -Infinity,
-    toldAt: -Infinity,
+    broadcastAt: -Infinity,
     loggedAt: -Infinity,
     lines: 0,
-    part: NO_SHARE,
-    partOf: "",
-    allowance: new TokenBucket(NO_SHARE),
+    share: NO_SHARE,
+    shareKey: "",
+    bucket: new TokenBucket(NO_SHARE),
   };
 }
--- a/packages/router/src/process/runner_limits_test.ts
+++ b/packages/router/src/process/runner_limits_test.ts
@@ -6,7 +6,7 @@
 
 const ALONE = { own: "a", names: ["a"], fleetSize: 1 };
 
-/** Limits of one daemon, and what it has logged. */
+/** Limits of one daemon, and its log events. */
 function limitsWithLog(sharers = ALONE) {
   const logged: { readonly name: string; readonly fields: Fields }[] = [];
   const log = {
@@ -16,8 +16,8 @@
   return { limits: new RunnerLimits(log, () => sharers), logged };
 }
 
-/** What an answer says to a request that was sent a moment before. */
-function hear(
+/** Records the limit of a response to a request sent 1 ms before. */
+function recordLimit(
   limits: RunnerLimits,
   stated: number | StatedLimit | undefined,
   now: number,
@@ -28,7 +28,7 @@
   limits.recordStated("r", limit, { sentAt: now - 1, now });
 }
 
-/** Requests that a daemon sends which always has one more, in steps of ms. */
+/** Times at which a daemon with endless requests sends one, in steps of 20 ms. */
 function sentBy(limits: RunnerLimits, from: number, to: number): number[] {
   const sent = [];
   for (let now = from; now < to; now += 20) {
@@ -39,86 +39,89 @@
   return sent;
 }
 
-test("a runner without a limit is sent what there is", () => {
+test("requests to a runner without a limit are not limited", () => {
   const { limits } = limitsWithLog();
   assert.equal(sentBy(limits, 0, 200).length, 10);
 });
 
-test("what a runner names is logged when it changes", () => {
+test("a stated limit is logged when it changes", () => {
   const { limits, logged } = limitsWithLog();
-  hear(limits, undefined, 0);
-  hear(limits, 1.4, 10);
-  hear(limits, 1.4, 20);
-  hear(limits, 2, 2_000);
-  hear(limits, undefined, 2_100);
+  recordLimit(limits, undefined, 0);
+  recordLimit(limits, 1.4, 10);
+  recordLimit(limits, 1.4, 20);
+  recordLimit(limits, 2, 2_000);
+  recordLimit(limits, undefined, 2_100);
   const values = logged.map(({ fields }) => fields.per_s);
   assert.deepEqual(values, [1.4, 2, undefined]);
   assert.equal(limits.of("r"), undefined);
 });
 
-test("a limit that differs in each answer fills no log", () => {
+test("log lines are bounded when the limit differs in own response", () => {
   const { limits, logged } = limitsWithLog();
-  for (let now = 0; now < 1_000; now += 10) hear(limits, 2 + now / 1e6, now);
+  for (let now = 0; now < 1_000; now += 10) {
+    recordLimit(limits, 2 + now / 1e6, now);
+  }
   assert.equal(logged.length, 2);
 });
 
-test("a limit that comes and goes fills no log", () => {
+test("log lines are bounded when a limit is set and removed repeatedly", () => {
   const { limits, logged } = limitsWithLog();
   for (let now = 0; now < 1_000; now += 20) {
-    hear(limits, 2, now);
-    hear(limits, undefined, now + 10);
+    recordLimit(limits, 2, now);
+    recordLimit(limits, undefined, now + 10);
   }
   assert.equal(logged.length, 2);
 });
 
-test("a limit that cannot be read is logged once and changes nothing", () => {
+test("an unreadable limit is logged once and changes nothing", () => {
   const { limits, logged } = limitsWithLog();
-  hear(limits, 1.4, 0);
+  recordLimit(limits, 1.4, 0);
   for (const now of [10, 20, 30]) {
-    hear(limits, { kind: "unreadable", text: "-3" }, now);
+    recordLimit(limits, { kind: "unreadable", text: "-3" }, now);
   }
   assert.equal(limits.of("r"), 1.4);
   assert.equal(logged.length, 2);
   assert.deepEqual(logged[1]!.fields, { runner: "r", text: "-3" });
 });
 
-// Guards against an end of a limit by answers that were under way when it began.
-test("an answer to a request sent before does not end a limit", () => {
+// Responses without a limit may still be in flight when a runner first states one.
+// They must not end the limit.
+test("a response to a request sent earlier does not end a limit", () => {
   const { limits } = limitsWithLog();
-  hear(limits, 1.4, 100);
+  recordLimit(limits, 1.4, 100);
   limits.recordStated("r", undefined, { sentAt: 90, now: 110 });
   assert.equal(limits.of("r"), 1.4);
   limits.recordStated("r", undefined, { sentAt: 101, now: 120 });
   assert.equal(limits.of("r"), undefined);
 });
 
-test("what others heard counts unless something newer is known", () => {
+test("an update of another daemon applies unless a newer one is known", () => {
   const { limits } = limitsWithLog();
   const news = { runner: "r", perS: 1.4, at: 100 };
   assert.deepEqual(limits.applyUpdates([news], 150), [news]);
   assert.deepEqual(limits.applyUpdates([news], 160), []);
-  hear(limits, undefined, 200);
+  recordLimit(limits, undefined, 200);
   assert.deepEqual(limits.applyUpdates([{ ...news, at: 190 }], 210), []);
   assert.equal(limits.of("r"), undefined);
   limits.applyUpdates([{ ...news, at: 250 }], 260);
   assert.equal(limits.of("r"), 1.4);
 });
 
-test("others are told of a limit that stays now and then", () => {
+test("an unchanged limit is broadcast again periodically", () => {
   const { limits } = limitsWithLog();
-  let told = 0;
+  let sent = 0;
   for (let now = 0; now <= 10_000; now += 100) {
-    hear(limits, 1.4, now);
-    told += limits.takeUpdates().length;
+    recordLimit(limits, 1.4, now);
+    sent += limits.takeUpdates().length;
   }
-  assert.equal(told, 3);
+  assert.equal(sent, 3);
 });
 
-/** Milliseconds in which what a runner gets is bounded. */
+/** Sliding window in ms over which the number of requests is bounded. */
 const WINDOW_MS = 4_000;
 const SPAN_MS = 60_000;
 
-/** Fleets, and how many of their daemons all others know. */
+/** Fleet sizes, and how many of their daemons all others know. */
 const FLEETS = [
   { daemons: 1, known: 1 },
   { daemons: 7, known: 7 },
@@ -128,18 +131,18 @@
 
 for (const { daemons, known } of FLEETS) {
   for (const perS of [0, 0.3, 1.4, 4.3, 40, 400]) {
-    test(`${daemons} daemons together send ${perS} a second, and use it`, () => {
+    test(`${daemons} daemons together keep to and use ${perS} a second`, () => {
       const all = Array.from({ length: daemons }, (_, index) => `h-${index}`);
       const names = all.slice(0, known);
       const sent = all.flatMap((own) => {
         const { limits } = limitsWithLog({ own, names, fleetSize: daemons });
         limits.applyUpdates([{ runner: "r", perS, at: 0 }], 0);
-        const each: number[] = [];
+        const times: number[] = [];
         for (let now = 0; now < SPAN_MS; now += 4_000) {
           limits.applyUpdates([{ runner: "r", perS, at: now }], now);
-          each.push(...sentBy(limits, now, now + 4_000));
+          times.push(...sentBy(limits, now, now + 4_000));
         }
-        return each;
+        return times;
       });
       sent.sort((one, other) => one - other);
       const allowed = 1.5 * perS * WINDOW_MS / 1_000 + 5;
@@ -149,15 +152,16 @@
         const count = last - first + 1;
         assert.ok(count <= allowed, `${count} of ${allowed} at ${at}`);
       });
-      // In steps of 20 ms a daemon sends 50 a second at most.
+      // With steps of 20 ms a daemon sends at most 50 requests per second.
       const most = Math.min(perS, 50 * daemons) * SPAN_MS / 1_000;
       assert.ok(sent.length >= 0.7 * most, `${sent.length} of ${most}`);
     });
   }
 }
 
-// Guards against a runner that nobody hears of again, as who may ask has no callers.
-test("after a while without a word others have the parts", () => {
+// The daemons with shares of a limit may have no callers. Without rotation, no
+// daemon would contact the runner again and notice its recovery.
+test("shares rotate to other daemons after a silence", () => {
   const names = Array.from({ length: 30 }, (_, index) => `h-${index}`);
   const holders = (now: number) =>
     names.filter((own) => {
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -1,5 +1,5 @@
 /**
- * What this daemon knows about the load of one runner.
+ * Load and health of one runner, as this daemon sees them.
  *
  * @module
  */
@@ -10,100 +10,103 @@
 import { addLoads, NO_LOAD, subtractLoads } from "./load_totals.ts";
 import type { LoadTotals, ResponseCounts } from "./load_totals.ts";
 
-/** Load of a runner as it told with an answer. */
+/** Load that a runner reports in the headers of a response. */
 export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
 }
 
-/** A request of this daemon that is at a runner. */
+/** A request that this daemon has sent to a runner. */
 export interface PlacedRequest {
-  /** Prompt tokens that the runner has to read, as estimated. */
+  /** Estimated prompt tokens that the runner has to prefill. */
   readonly unreadTokens: number;
-  /** Tokens of its prompt and of the longest answer. */
+  /** Tokens of the prompt plus the longest possible response. */
   readonly memoryTokens: number;
-  /** Whether it is a stream that bears only short pauses. */
+  /** Whether it is a stream with a tight inter-token latency target. */
   readonly tight: boolean;
 }
 
-/** Failures in a row after which a runner gets no work for a while. */
+/** Consecutive failures after which a runner is ejected. */
 const FAILURES_TO_EJECT = 2;
-/** First span without work, in ms; doubled at each further failure. */
-const FIRST_EJECTION_MS = 500;
-/** Longest span, so that a runner that recovers is found within it. */
-const LONGEST_EJECTION_MS = 4_000;
+/** Duration of the first ejection in ms; doubled at each further failure. */
+const INITIAL_EJECTION_MS = 500;
+/** Longest ejection in ms, which bounds how late a recovery is noticed. */
+const MAX_EJECTION_MS = 4_000;
 /**
- * Milliseconds without a word on any request that is at a runner, after which
- * it is taken to be dark. Runners with a stream send an event each 30 to 250 ms,
- * and plain services answer within 450. Where no stream has begun, the time for
- * the prompts that are to be read there is added.
+ * Milliseconds without any data on any request in flight after which a runner is
+ * considered unresponsive. Runners send an event every 30 to 250 ms on a stream,
+ * and plain services answer within 450 ms. While no stream has begun, the time
+ * for prefilling the queued prompts is added.
  */
-const SILENCE_MS = 900;
-/** Age in ms at which a reported load says nothing more. */
-const REPORT_LIFE_MS = 1_000;
+const SILENCE_TIMEOUT_MS = 900;
+/** Age in ms at which a load report expires. */
+const REPORT_TTL_MS = 1_000;
 
-/** One runner as this daemon sees it. */
+/**
+ * Tracks the load that all daemons put on one runner, its queue, and whether it
+ * is ejected after failures or silence.
+ */
 export class RunnerLoad {
-  readonly #placed = new Set<PlacedRequest>();
-  readonly #starting = new Set<PlacedRequest>();
-  /** Loads of other daemons, by the neighbour that tells their sum. */
-  readonly #others = new Map<string, LoadTotals>();
-  /** Counts of answers as the neighbours told them last. */
-  readonly #told = new Map<string, ResponseCounts>();
+  readonly #inFlight = new Set<PlacedRequest>();
+  readonly #prefilling = new Set<PlacedRequest>();
+  /** Loads of other daemons, keyed by the neighbour that reports their sum. */
+  readonly #neighbourLoads = new Map<string, LoadTotals>();
+  /** Last reported response counts, by neighbour. */
+  readonly #reportedCounts = new Map<string, ResponseCounts>();
   readonly #onChange: () => void;
-  /** Requests that wait until the runner has room, here and elsewhere. */
+  /** Requests that wait for capacity of the runner, at this and other daemons. */
   readonly queue: RunnerQueue;
   #own = NO_LOAD;
-  #all = NO_LOAD;
+  #total = NO_LOAD;
   #failures = 0;
   readonly #failureRate = new FailureRate();
   #ejectedUntil = 0;
   #report: ReportedLoad | undefined;
   #reportedAt = -Infinity;
-  /** When the runner last said anything, or got work after having had none. */
-  #heardAt = 0;
+  /** When the runner last sent any data, or got work after having been idle. */
+  #lastActivityAt = 0;
 
-  /** @param onChange called when the load that this daemon puts on it changes. */
+  /** @param onChange called when this daemon's own load on the runner changes. */
   constructor(onChange: () => void = () => {}) {
     this.#onChange = onChange;
     this.queue = new RunnerQueue(onChange);
   }
 
-  /** Load of this daemon. */
+  /** Load from this daemon. */
   get own(): LoadTotals {
     return this.#own;
   }
 
-  /** Load of all daemons, as far as they have told. */
+  /** Load from all daemons, as far as it has been reported. */
   get total(): LoadTotals {
-    return this.#all;
+    return this.#total;
   }
 
-  /** Load of this daemon and, as some neighbours told, of others. */
-  sumFrom(counts: NeighbourFilter): LoadTotals {
+  /** Sum of this daemon's load and the loads reported by accepted neighbours. */
+  sumFrom(accepts: NeighbourFilter): LoadTotals {
     let sum = this.#own;
-    for (const [neighbour, share] of this.#others) {
-      if (counts(neighbour)) sum = addLoads(sum, share);
+    for (const [neighbour, load] of this.#neighbourLoads) {
+      if (accepts(neighbour)) sum = addLoads(sum, load);
     }
     return sum;
   }
 
-  /** Whether a neighbour tells of load, now or before. */
+  /** Whether a neighbour has ever reported load on this runner. */
   hasLoadFrom(neighbour: string): boolean {
-    return this.#others.has(neighbour);
+    return this.#neighbourLoads.has(neighbour);
   }
 
-  /** Failures since the last success. */
+  /** Consecutive failures since the last success. */
   get failures(): number {
     return this.#failures;
   }
 
-  /** Counts a request that is about to be sent. */
+  /** Adds a request that is about to be sent. */
   place(placed: PlacedRequest, now: number): void {
-    if (this.#own.inFlight === 0) this.#heardAt = now;
-    this.#placed.add(placed);
-    this.#starting.add(placed);
+    if (this.#own.inFlight === 0) this.#lastActivityAt = now;
+    this.#inFlight.add(placed);
+    this.#prefilling.add(placed);
     this.#change({
       ...NO_LOAD,
       inFlight: 1,
@@ -114,21 +117,21 @@
     });
   }
 
-  /** Its prompt has been read: the first event came. */
+  /** Records the first event of a response, which ends the prompt's prefill. */
   recordFirstEvent(placed: PlacedRequest): void {
-    if (!this.#starting.delete(placed)) return;
+    if (!this.#prefilling.delete(placed)) return;
     this.#change({ ...NO_LOAD, unreadTokens: -placed.unreadTokens });
   }
 
-  /** Something came from the runner, whatever it was. */
+  /** Records that any data arrived from the runner. */
   recordActivity(now: number): void {
-    this.#heardAt = Math.max(this.#heardAt, now);
+    this.#lastActivityAt = Math.max(this.#lastActivityAt, now);
   }
 
-  /** It is no longer at the runner. */
+  /** Removes a request that is no longer at the runner. */
   release(placed: PlacedRequest): void {
     this.recordFirstEvent(placed);
-    if (!this.#placed.delete(placed)) return;
+    if (!this.#inFlight.delete(placed)) return;
     this.#change({
       ...NO_LOAD,
       inFlight: -1,
@@ -139,142 +142,145 @@
   }
 
   /**
-   * Takes what other daemons have at the runner, and what waits there for them,
-   * as a neighbour adds it up. A prompt that has been read for another daemon
-   * shows that the runner works.
+   * Replaces the load and the waiting requests of other daemons, as summed up by
+   * a neighbour. A completed prefill for another daemon counts as activity of the
+   * runner.
    */
   setNeighbourLoad(
     neighbour: string,
-    share: LoadTotals,
-    told: {
-      /** Steady milliseconds. */
+    load: LoadTotals,
+    update: {
+      /** Monotonic time in ms. */
       readonly now: number;
       readonly waiting?: readonly WaitingEntry[];
     },
   ): void {
-    const { now, waiting = [] } = told;
-    const before = this.#others.get(neighbour) ?? NO_LOAD;
-    const began = share.unreadTokens < before.unreadTokens &&
-      share.inFlight >= before.inFlight;
-    if (began) this.recordActivity(now);
-    const { answered, failed } = this.#newAnswers(neighbour, share);
+    const { now, waiting = [] } = update;
+    const before = this.#neighbourLoads.get(neighbour) ?? NO_LOAD;
+    const prefilled = load.unreadTokens < before.unreadTokens &&
+      load.inFlight >= before.inFlight;
+    if (prefilled) this.recordActivity(now);
+    const { answered, failed } = this.#newResponses(neighbour, load);
     if (answered > 0) this.#failureRate.record(answered, failed, now);
     const after = {
-      ...share,
+      ...load,
       answered: before.answered + answered,
       failed: before.failed + failed,
     };
-    this.#others.set(neighbour, after);
+    this.#neighbourLoads.set(neighbour, after);
     this.queue.setNeighbourEntries(neighbour, waiting);
-    this.#all = addLoads(this.#all, subtractLoads(after, before));
+    this.#total = addLoads(this.#total, subtractLoads(after, before));
   }
 
   /**
-   * Forgets a neighbour that cannot be heard any more.
+   * Discards the load reported by a neighbour whose link is lost.
    *
-   * @returns whether it had told anything.
+   * @returns whether the neighbour had reported any load.
    */
   removeNeighbour(neighbour: string): boolean {
-    const share = this.#others.get(neighbour);
-    if (share === undefined) return false;
-    this.#others.delete(neighbour);
-    this.#told.delete(neighbour);
+    const load = this.#neighbourLoads.get(neighbour);
+    if (load === undefined) return false;
+    this.#neighbourLoads.delete(neighbour);
+    this.#reportedCounts.delete(neighbour);
     this.queue.setNeighbourEntries(neighbour, []);
-    this.#all = subtractLoads(this.#all, share);
+    this.#total = subtractLoads(this.#total, load);
     return true;
   }
 
   /**
-   * Answers since the neighbour told last. When daemons that it speaks for come
-   * or go its counts jump; of those that come it is not known when they had
-   * their answers, so none counts that was there at the first word.
+   * Responses since the neighbour's previous report. Its counts jump when daemons
+   * that it reports for join or leave. It is unknown when daemons that join had
+   * their responses, so the counts of a first report are only a baseline.
    */
-  #newAnswers(neighbour: string, share: LoadTotals): ResponseCounts {
-    const told = this.#told.get(neighbour) ?? share;
-    this.#told.set(neighbour, {
-      answered: share.answered,
-      failed: share.failed,
+  #newResponses(neighbour: string, load: LoadTotals): ResponseCounts {
+    const before = this.#reportedCounts.get(neighbour) ?? load;
+    this.#reportedCounts.set(neighbour, {
+      answered: load.answered,
+      failed: load.failed,
     });
-    const answered = Math.max(0, share.answered - told.answered);
-    const failed = Math.max(0, share.failed - told.failed);
+    const answered = Math.max(0, load.answered - before.answered);
+    const failed = Math.max(0, load.failed - before.failed);
     return { answered, failed: Math.min(answered, failed) };
   }
 
-  /** Takes the load that the runner told with an answer. */
+  /** Records the load that the runner reported with a response. */
   recordReport(load: ReportedLoad, now: number): void {
     this.#report = load;
     this.#reportedAt = now;
   }
 
-  /** Requests at the runner, as far as known. */
+  /** Requests at the runner, from daemons' loads and its own fresh report. */
   requestCount(now: number): number {
     const report = this.#freshReport(now);
-    if (report === undefined) return this.#all.inFlight;
-    return Math.max(this.#all.inFlight, report.running + report.waiting);
+    if (report === undefined) return this.#total.inFlight;
+    return Math.max(this.#total.inFlight, report.running + report.waiting);
   }
 
-  /** Part of the whole answers to all daemons that were failures lately. */
+  /** Recent fraction of complete responses, to all daemons, that were failures. */
   failureRate(now: number): number {
     return this.#failureRate.rate(now);
   }
 
-  /** A whole answer came; it may be a failure of the runner's own. */
+  /** Records a complete response, which may report a failure of the runner. */
   recordResponse(failed: boolean, now: number): void {
     const count = failed ? 1 : 0;
     this.#failureRate.record(1, count, now);
     this.#change({ ...NO_LOAD, answered: 1, failed: count });
   }
 
-  /** An answer came that shows that the runner works. */
+  /** Records a response that shows that the runner works; ends an ejection. */
   recordSuccess(): void {
     this.#failures = 0;
     this.#ejectedUntil = 0;
   }
 
   /**
-   * The runner did not answer or broke off. After some in a row it gets no work
-   * for a while: a dark runner would otherwise hold every request of its share
-   * until a timeout. The span is short, so a false alarm costs little.
+   * Records that the runner did not answer or broke off. Consecutive failures
+   * eject it for a while, since an unresponsive runner would hold each of its
+   * requests until a time-out. Ejections are short, so a false alarm costs little.
    */
   recordFailure(now: number): void {
     this.#failures += 1;
     if (this.#failures < FAILURES_TO_EJECT) return;
     const doublings = this.#failures - FAILURES_TO_EJECT;
     const span = Math.min(
-      LONGEST_EJECTION_MS,
-      FIRST_EJECTION_MS * 2 ** doublings,
+      MAX_EJECTION_MS,
+      INITIAL_EJECTION_MS * 2 ** doublings,
     );
     this.#ejectedUntil = now + span;
   }
 
   /**
-   * Whether the runner is left out for now: it rests after failures, or says
-   * nothing on all that is there. What is there goes on, as silence alone is no
-   * reason to break it off; but more requests would only wait beside it.
+   * Whether the runner gets no new requests for now: it is ejected after
+   * failures, or sends no data on any request in flight. Requests in flight
+   * continue, as silence alone is no reason to abort them.
    */
   isEjected(now: number): boolean {
     if (now < this.#ejectedUntil) return true;
-    return this.#own.inFlight > 0 && now - this.#heardAt > this.#silenceMs();
+    return this.#own.inFlight > 0 &&
+      now - this.#lastActivityAt > this.#silenceTimeoutMs();
   }
 
   /**
-   * How long a sound runner may say nothing. A fixed time would call runners
-   * dark that are reading: with one or two requests at each of 98 runners and a
-   * second of prompts ahead of them, a daemon left 7 out at any moment, and had
-   * the prompts that they hold read again elsewhere.
+   * Milliseconds for which a healthy runner may send nothing. A fixed time-out
+   * would reject runners that are busy with prefill: with one or two requests at
+   * each of 98 runners and a second of prompts ahead of them, a daemon left out 7
+   * runners at any moment, and the prompts that those had cached were prefilled
+   * again elsewhere.
    */
-  #silenceMs(): number {
-    const begun = this.#placed.size > this.#starting.size;
-    return SILENCE_MS + (begun ? 0 : prefillMs(this.#all.unreadTokens));
+  #silenceTimeoutMs(): number {
+    const streaming = this.#inFlight.size > this.#prefilling.size;
+    return SILENCE_TIMEOUT_MS +
+      (streaming ? 0 : prefillMs(this.#total.unreadTokens));
   }
 
   #change(change: LoadTotals): void {
     this.#own = addLoads(this.#own, change);
-    this.#all = addLoads(this.#all, change);
+    this.#total = addLoads(this.#total, change);
     this.#onChange();
   }
 
   #freshReport(now: number): ReportedLoad | undefined {
-    return now - this.#reportedAt < REPORT_LIFE_MS ? this.#report : undefined;
+    return now - this.#reportedAt < REPORT_TTL_MS ? this.#report : undefined;
   }
 }
--- a/packages/router/src/process/runner_load_test.ts
+++ b/packages/router/src/process/runner_load_test.ts
@@ -14,7 +14,7 @@
   failed: 0,
 };
 
-test("load ends in steps: the prompt is read, then the request is over", () => {
+test("load falls after the prefill, then when the request ends", () => {
   const load = new RunnerLoads().of("r-1");
   load.place(PLACED, 0);
   assert.deepEqual(load.total, {
@@ -34,9 +34,9 @@
   assert.deepEqual(Object.values(load.total), [0, 0, 0, 0, 0, 0, 0]);
 });
 
-// A daemon dies with requests at a runner. Counted for ever, they would keep
-// all others away from a runner that is idle.
-test("the load of a daemon that is lost is forgotten", () => {
+// A daemon dies with requests at a runner. If they were counted forever, other
+// daemons would avoid a runner that is idle.
+test("the load of a lost daemon is removed", () => {
   const loads = new RunnerLoads();
   loads.of("r-1").setNeighbourLoad("host-2", SHARE, { now: 0 });
   loads.of("r-1").setNeighbourLoad("host-2", { ...SHARE, inFlight: 3 }, {
@@ -47,9 +47,9 @@
   assert.equal(loads.of("r-1").total.inFlight, 0);
 });
 
-// A runner goes dark. Without a pause, each request of its share would wait for
-// a timeout; with one that never ended, it would stay empty after its return.
-test("a runner that fails twice rests, longer each time, and comes back", () => {
+// A runner stops responding. Without ejection, each request sent to it would wait
+// for a time-out; with a permanent one, it would stay idle after its recovery.
+test("two failures eject a runner, longer each time, until a success", () => {
   const load = new RunnerLoads().of("r-1");
   load.recordFailure(0);
   assert.equal(load.isEjected(1), false);
@@ -62,9 +62,9 @@
   assert.equal(load.isEjected(1_500), false);
 });
 
-// A runner goes dark with kept connections open: requests that are sent on them
-// hang until their timeouts, and more would follow them there.
-test("a runner that says nothing on all it has gets no more", () => {
+// A runner stops responding while its kept-alive connections stay open. Requests
+// sent on them hang until their time-outs, and more would be sent after them.
+test("a runner that is silent on all requests in flight is ejected", () => {
   const load = new RunnerLoads().of("r-1");
   load.place(PLACED, 5_000);
   assert.equal(load.isEjected(5_500), false);
@@ -77,11 +77,10 @@
   assert.equal(load.isEjected(60_100), false);
 });
 
-// In a burst callers wait for prompts that were read before and are read again.
-// A daemon has one request at a runner that first reads a second of prompts for
-// other daemons. It takes the silence for a dark runner, leaves it out, and
-// sends those who share its prompts elsewhere.
-test("a runner that reads a second of prompts first is not taken for dark", () => {
+// In a burst, a daemon has one request at a runner that first prefills a second of
+// prompts for other daemons. If the silence ejected the runner, requests that
+// share its cached prompts would go elsewhere, where they are prefilled again.
+test("a runner with a second of prefill ahead is not ejected for silence", () => {
   const load = new RunnerLoads().of("r-1");
   const others = { ...SHARE, unreadTokens: 50_000 };
   load.setNeighbourLoad("host-2", others, { now: 0 });
@@ -91,12 +90,12 @@
   load.setNeighbourLoad("host-2", { ...others, unreadTokens: 40_000 }, {
     now: 2_500,
   });
-  assert.equal(load.isEjected(2_500), false, "it has read one of the prompts");
+  assert.equal(load.isEjected(2_500), false, "one of the prompts is prefilled");
 });
 
-// The same runner has begun to answer: now it owes an event each 250 ms, however
-// much it has to read beside.
-test("a runner that falls silent in a stream is dark, whatever it has to read", () => {
+// Once a stream has begun, an event is due every 250 ms, however many prompts the
+// runner has to prefill.
+test("silence within a stream ejects a runner despite queued prefill", () => {
   const load = new RunnerLoads().of("r-1");
   load.setNeighbourLoad("host-2", { ...SHARE, unreadTokens: 50_000 }, {
     now: 0,
@@ -108,17 +107,18 @@
   assert.equal(load.isEjected(1_100), true);
 });
 
-// One of three runners begins to fail. Each daemon has an answer of it every two
-// seconds; alone, each would send it several requests to find out.
-test("failures that other daemons had count, from when they are known", () => {
+// One of three runners begins to fail, and each daemon has a response from it only
+// every two seconds. Alone, each daemon would send it several requests before its
+// failure rate shows it.
+test("failures reported by other daemons count from the second report", () => {
   const load = new RunnerLoads().of("r-1");
   load.setNeighbourLoad("host-2", { ...SHARE, answered: 900, failed: 300 }, {
     now: 0,
   });
-  assert.equal(load.failureRate(0), 0, "those may be from hours ago");
+  assert.equal(load.failureRate(0), 0, "these may be hours old");
   load.setNeighbourLoad("host-2", { ...SHARE, answered: 908, failed: 308 }, {
     now: 9,
   });
   assert.ok(load.failureRate(9) > 0.5);
-  assert.ok(load.failureRate(20_000) < 0.05, "and they are forgotten");
+  assert.ok(load.failureRate(20_000) < 0.05, "failures decay");
 });
--- a/packages/router/src/process/runner_loads.ts
+++ b/packages/router/src/process/runner_loads.ts
@@ -1,70 +1,71 @@
 /**
- * The loads of all runners, as this daemon knows them.
+ * Registry of the loads of all runners, as this daemon sees them.
  *
  * @module
  */
 import { RunnerLoad } from "./runner_load.ts";
 
-/** The loads of all runners, by their ids. */
+/** Holds the load of each runner by runner id, and tracks which have changed. */
 export class RunnerLoads {
   readonly #loads = new Map<string, RunnerLoad>();
   readonly #changed = new Set<string>();
-  /** Ids of runners that requests of this daemon wait for. */
-  readonly #awaited = new Set<string>();
+  /** Ids of runners for which requests of this daemon wait. */
+  readonly #waitedFor = new Set<string>();
   readonly #listeners: (() => void)[] = [];
 
-  /** Calls `listener` after each change of the own load on any runner. */
+  /** Calls `listener` after each change of this daemon's load on any runner. */
   onChange(listener: () => void): void {
     this.#listeners.push(listener);
   }
 
-  /** The load of a runner; an unknown one starts empty. */
+  /** Returns the load of a runner; creates an empty one for an unknown id. */
   of(id: string): RunnerLoad {
     const known = this.#loads.get(id);
     if (known !== undefined) return known;
-    const load = new RunnerLoad(() => this.#noteChange(id));
+    const load = new RunnerLoad(() => this.#recordChange(id));
     this.#loads.set(id, load);
     return load;
   }
 
-  /** Whether any request of this daemon waits for a runner to have room. */
+  /** Whether any request of this daemon waits for capacity. */
   get hasWaiting(): boolean {
-    return this.#awaited.size > 0;
+    return this.#waitedFor.size > 0;
   }
 
-  /** How many requests of this daemon wait. */
+  /** Number of requests of this daemon that wait for capacity. */
   get waitingCount(): number {
     let count = 0;
-    for (const id of this.#awaited) {
+    for (const id of this.#waitedFor) {
       count += this.of(id).queue.ownEntries.length;
     }
     return count;
   }
 
-  /** Ids of runners on which the own load has changed since the last call. */
+  /** Returns ids of runners on which the own load changed since the last call. */
   takeChanged(): readonly string[] {
     const changed = [...this.#changed];
     this.#changed.clear();
     return changed;
   }
 
-  /** Ids of all runners with any load that is known. */
+  /** Ids of all runners with a load entry. */
   ids(): readonly string[] {
     return [...this.#loads.keys()];
   }
 
   /**
-   * Forgets a neighbour that cannot be heard any more.
+   * Discards the loads reported by a neighbour whose link is lost.
    *
-   * @returns the ids of runners on which it had told load.
+   * @returns ids of the runners on which it had reported load.
    */
   removeNeighbour(neighbour: string): readonly string[] {
     return this.ids().filter((id) => this.of(id).removeNeighbour(neighbour));
   }
 
   /**
-   * Forgets runners that are not listed and have no load. One that only others
-   * have load on may have entered where this daemon has not seen it yet.
+   * Deletes runners that are not listed and have no load. An unlisted runner on
+   * which other daemons have load may be a new one whose entry has not reached
+   * this daemon yet.
    */
   retain(ids: ReadonlySet<string>): void {
     for (const [id, load] of this.#loads) {
@@ -73,10 +74,10 @@
     }
   }
 
-  #noteChange(id: string): void {
+  #recordChange(id: string): void {
     this.#changed.add(id);
-    if (this.#loads.get(id)?.queue.hasOwn) this.#awaited.add(id);
-    else this.#awaited.delete(id);
+    if (this.#loads.get(id)?.queue.hasOwn) this.#waitedFor.add(id);
+    else this.#waitedFor.delete(id);
     for (const listener of this.#listeners) listener();
   }
 }
--- a/packages/router/src/process/runner_queue.ts
+++ b/packages/router/src/process/runner_queue.ts
@@ -1,41 +1,43 @@
 /**
- * Requests that wait for one runner, at this daemon and at all others.
+ * Queue of requests that wait for one runner, at this and at other daemons.
  *
  * @module
  */
 
-/** Order of requests that wait for the same runner. */
+/** Sort key of requests that wait for the same runner. */
 export interface QueueKey {
-  /** 0 is the most urgent and goes first. */
+  /** Priority; 0 is the most urgent. */
   readonly rank: number;
-  /** When the request came, in steady ms of this daemon; the oldest goes first. */
+  /** Arrival in monotonic ms of this daemon; the oldest request goes first. */
   readonly arrivedAt: number;
   /**
-   * Until when it can be sent and still begin on time, in steady ms of this
-   * daemon. Afterwards it goes behind all of its rank that still can.
+   * Latest time, in monotonic ms of this daemon, at which the request can be sent
+   * and still start on time. Afterwards it goes behind all requests of its rank
+   * that can still start on time.
    */
   readonly startBy: number;
 }
 
-/** A request that waits until a runner has room, or a few that are told as one. */
+/** A waiting request, or several that a neighbour reports as one entry. */
 export interface WaitingEntry extends QueueKey {
-  /** How many requests it stands for. */
+  /** Number of requests in this entry. */
   readonly requests: number;
-  /** Prompt tokens that the runner will have to read for them. */
+  /** Prompt tokens that the runner will have to prefill for them. */
   readonly unreadTokens: number;
 }
 
-/** What goes before a request that waits. */
+/** Work queued ahead of a waiting request. */
 export interface WorkAhead {
   readonly requests: number;
-  /** Prompt tokens that the runner will have to read for them. */
+  /** Prompt tokens that the runner will have to prefill for these requests. */
   readonly unreadTokens: number;
 }
 
 /**
- * Whether one request goes before another one. Oldest first alone makes all late
- * in a burst that engines cannot serve whole: each is sent when its own target
- * has passed, and half of what is served is of little use to its caller.
+ * Whether one request is sent before another one. In a burst that exceeds the
+ * engines' capacity, oldest-first alone would make all requests late: each would
+ * be sent after its own target has passed, and half of the responses would be of
+ * little use to their callers.
  */
 export function precedes(
   one: QueueKey,
@@ -48,69 +50,69 @@
   return one.arrivedAt < other.arrivedAt;
 }
 
-/** Whether what a neighbour told counts, by the neighbour's name. */
+/** Selects the neighbours whose reports count, by name. */
 export type NeighbourFilter = (name: string) => boolean;
 
-/** The requests that wait for one runner, as far as neighbours have told. */
+/** Queue of one runner, with this daemon's requests and neighbours' reports. */
 export class RunnerQueue {
   readonly #own = new Set<WaitingEntry>();
   readonly #others = new Map<string, readonly WaitingEntry[]>();
   readonly #onChange: () => void;
 
-  /** @param onChange called when what waits at this daemon changes. */
+  /** @param onChange called when the waiting requests of this daemon change. */
   constructor(onChange: () => void) {
     this.#onChange = onChange;
   }
 
-  /** Requests of this daemon that wait for room. */
+  /** Waiting requests of this daemon. */
   get ownEntries(): readonly WaitingEntry[] {
     return [...this.#own];
   }
 
-  /** Whether requests of this daemon wait for room. */
+  /** Whether any request of this daemon waits. */
   get hasOwn(): boolean {
     return this.#own.size > 0;
   }
 
-  /** Requests that wait at this daemon and, as some neighbours told, elsewhere. */
-  entriesFrom(counts: NeighbourFilter): readonly WaitingEntry[] {
-    const told = [...this.#others].filter(([name]) => counts(name));
-    return [...this.#own, ...told.flatMap(([, waiting]) => waiting)];
+  /** Entries of this daemon and those reported by accepted neighbours. */
+  entriesFrom(accepts: NeighbourFilter): readonly WaitingEntry[] {
+    const reported = [...this.#others].filter(([name]) => accepts(name));
+    return [...this.#own, ...reported.flatMap(([, entries]) => entries)];
   }
 
-  /** Counts a request that waits here until the runner has room. */
-  add(waiting: WaitingEntry): void {
-    this.#own.add(waiting);
+  /** Adds a request of this daemon that waits for capacity. */
+  add(entry: WaitingEntry): void {
+    this.#own.add(entry);
     this.#onChange();
   }
 
-  /** It was sent, or waits no more. */
-  remove(waiting: WaitingEntry): void {
-    if (this.#own.delete(waiting)) this.#onChange();
+  /** Removes a request that was sent or has stopped waiting. */
+  remove(entry: WaitingEntry): void {
+    if (this.#own.delete(entry)) this.#onChange();
   }
 
-  /** Takes what a neighbour tells to wait elsewhere. */
+  /** Replaces the entries that a neighbour reports for other daemons. */
   setNeighbourEntries(
     neighbour: string,
-    waiting: readonly WaitingEntry[],
+    entries: readonly WaitingEntry[],
   ): void {
-    if (waiting.length > 0) this.#others.set(neighbour, waiting);
+    if (entries.length > 0) this.#others.set(neighbour, entries);
     else this.#others.delete(neighbour);
   }
 
   /**
-   * What waits at any daemon and goes before a request. Without it every daemon
-   * that holds a request would send it at the moment when the runner has room:
-   * ten prompts at once, then none for seconds.
+   * Sums up the requests at any daemon that go before a given one. Without this,
+   * all daemons with a waiting request would send it as soon as the runner has
+   * capacity: ten prompts at once, then none for seconds.
    */
-  workAhead(turn: QueueKey, now: number): WorkAhead {
+  workAhead(key: QueueKey, now: number): WorkAhead {
     let requests = 0;
     let unreadTokens = 0;
     for (const list of [this.#own, ...this.#others.values()]) {
-      for (const each of list) {
-        if (!precedes(each, turn, now)) continue;
-        requests += each.requests;
-        unreadTokens += each.unreadTokens;
+      for (const entry of list) {
+        if (!precedes(entry, key, now)) continue;
+        requests += entry.requests;
+        unreadTokens += entry.unreadTokens;
       }
     }
     return { requests, unreadTokens };
--- a/packages/router/src/process/stale_entries.ts
+++ b/packages/router/src/process/stale_entries.ts
@@ -1,19 +1,19 @@
 /**
- * Entries of runners that seem to come late: of a life before the known one.
+ * Quarantine for runner entries that seem to belong to an earlier incarnation.
  *
  * @module
  */
 import type { Runner } from "./runner.ts";
 
 /**
- * Milliseconds for which an entry of an earlier life is not believed. A write that
- * was done late is replaced by the living runner's next one, within about a
- * second. An entry that stands for longer is that of a runner whose clock was set
- * back before it started again; without an end, it would never be used.
+ * Milliseconds for which an entry of an earlier incarnation is ignored. A delayed
+ * write is replaced by the running incarnation's next one within about a second.
+ * An entry that stands for longer comes from a runner whose clock was set back
+ * before its restart; without a bound, it would never be used.
  */
 const HOLD_MS = 4_000;
 
-/** Whether an entry is of a life that began before the known one. */
+/** Whether an entry is of an incarnation that started before the known one. */
 export function isStale(entry: Runner, known: Runner): boolean {
   if (entry.startedAtMs === undefined || known.startedAtMs === undefined) {
     return false;
@@ -21,34 +21,34 @@
   return entry.startedAtMs < known.startedAtMs;
 }
 
-/** Holds late entries back until they prove to be the runner's own. */
+/** Holds back stale entries, and accepts those that are not replaced in time. */
 export class StaleEntries {
   readonly #accept: (runner: Runner) => void;
-  readonly #timers = new Map<string, NodeJS.Timeout>();
+  readonly #timersByName = new Map<string, NodeJS.Timeout>();
 
-  /** @param accept takes an entry that still stands after a while. */
+  /** @param accept called with an entry that was not replaced in time. */
   constructor(accept: (runner: Runner) => void) {
     this.#accept = accept;
   }
 
-  /** Holds an entry back, until another one of that name comes. */
+  /** Holds an entry back until another one of the same name arrives. */
   hold(entry: Runner): void {
     this.forget(entry.name);
     const timer = setTimeout(() => {
-      this.#timers.delete(entry.name);
+      this.#timersByName.delete(entry.name);
       this.#accept(entry);
     }, HOLD_MS);
-    this.#timers.set(entry.name, timer.unref());
+    this.#timersByName.set(entry.name, timer.unref());
   }
 
-  /** Another entry of that name came, or it is gone. */
+  /** Discards the held entry of a name that was replaced or removed. */
   forget(name: string): void {
-    clearTimeout(this.#timers.get(name));
-    this.#timers.delete(name);
+    clearTimeout(this.#timersByName.get(name));
+    this.#timersByName.delete(name);
   }
 
-  /** A new list replaces all that was held back. */
+  /** Discards all held entries. */
   clear(): void {
-    for (const name of [...this.#timers.keys()]) this.forget(name);
+    for (const name of [...this.#timersByName.keys()]) this.forget(name);
   }
 }
--- a/packages/router/src/process/token_bucket.ts
+++ b/packages/router/src/process/token_bucket.ts
@@ -1,59 +1,60 @@
 /**
- * A bound on what is sent over time.
+ * Rate limiting with a token bucket.
  *
  * @module
  */
 
-/** How much may be sent. */
+/** Rate and burst size of a bucket. */
 export interface Rate {
+  /** Tokens added per second. */
   readonly perSecond: number;
-  /** Most that may be sent at once, after a pause. */
+  /** Capacity: most tokens that may be used at once, after a pause. */
   readonly burst: number;
 }
 
 /**
- * Counts what may be sent: so much a second, and some at once after a pause.
+ * Token bucket with a constant refill rate and a bounded burst.
  *
  * @example
  * ```ts
- * const allowance = new Allowance({ perSecond: 29_000, most: 290_000 });
- * const bytes = allowance.left(performance.now());
+ * const bucket = new TokenBucket({ perSecond: 29_000, burst: 290_000 });
+ * const bytes = bucket.available(performance.now());
  * ```
  */
 export class TokenBucket {
   #rate: Rate;
-  #left: number;
-  #at = 0;
+  #tokens: number;
+  #refilledAt = 0;
 
-  /** @param left what may be sent at once at the start. */
-  constructor(rate: Rate, left = rate.burst) {
+  /** @param tokens initial number of tokens. */
+  constructor(rate: Rate, tokens = rate.burst) {
     this.#rate = rate;
-    this.#left = left;
+    this.#tokens = tokens;
   }
 
-  /** What may be sent now; negative after more was sent than that. */
+  /** Tokens available now; negative after more were taken than available. */
   available(now: number): number {
     const { perSecond, burst: most } = this.#rate;
-    const elapsedS = Math.max(0, now - this.#at) / 1_000;
-    this.#left = Math.min(most, this.#left + elapsedS * perSecond);
-    this.#at = now;
-    return this.#left;
+    const elapsedS = Math.max(0, now - this.#refilledAt) / 1_000;
+    this.#tokens = Math.min(most, this.#tokens + elapsedS * perSecond);
+    this.#refilledAt = now;
+    return this.#tokens;
   }
 
-  /** Counts what was sent. */
+  /** Takes tokens, whether available or not. */
   take(amount: number): void {
-    this.#left -= amount;
+    this.#tokens -= amount;
   }
 
-  /** Counts at another rate from now on. */
+  /** Changes the rate from now on. */
   setRate(rate: Rate, now: number): void {
     this.available(now);
     this.#rate = rate;
   }
 
-  /** Has nothing left now. */
+  /** Removes all tokens. */
   empty(now: number): void {
-    this.#left = 0;
-    this.#at = now;
+    this.#tokens = 0;
+    this.#refilledAt = now;
   }
 }
