--- a/packages/router/src/request/attempt.ts
+++ b/packages/router/src/request/attempt.ts
@@ -93,7 +93,7 @@
   }
 
   /** Whether any byte of the request may have reached the runner. */
-  get left(): boolean {
+  get mayHaveReachedRunner(): boolean {
     return this.#left;
   }
 
--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -102,7 +102,7 @@
     );
     try {
       const sent = await attempt.start();
-      if (attempt.left) this.#progress.attempts += 1;
+      if (attempt.mayHaveReachedRunner) this.#progress.attempts += 1;
       const beganAt = sent.kind === "answer" ? this.#daemon.now() : sentAt;
       return await this.#take(subject, sent, {
         load,
