--- a/packages/router/src/request/attempt.ts
+++ b/packages/router/src/request/attempt.ts
@@ -98,7 +98,7 @@
   }
 
   /** Whether the runner has begun to answer. */
-  get answered(): boolean {
+  get responseStarted(): boolean {
     return this.#incoming !== undefined;
   }
 
--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -121,7 +121,7 @@
 
   /** The runner would end under the request, which still waits there. */
   #withdraw(attempt: Attempt): void {
-    if (attempt.answered) return;
+    if (attempt.responseStarted) return;
     this.#progress.withdrawn = true;
     attempt.cancel("quarantined");
   }
