--- a/packages/router/src/request/attempt.ts
+++ b/packages/router/src/request/attempt.ts
@@ -103,7 +103,7 @@
   }
 
   /** Waits for the head of the answer. */
-  start(): Promise<SendResult> {
+  send(): Promise<SendResult> {
     return new Promise((resolve) => {
       this.#settle = resolve;
       this.#outgoing.on(
--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -101,7 +101,7 @@
       () => this.#withdraw(attempt),
     );
     try {
-      const sent = await attempt.start();
+      const sent = await attempt.send();
       if (attempt.mayHaveReachedRunner) this.#progress.attempts += 1;
       const beganAt = sent.kind === "answer" ? this.#daemon.now() : sentAt;
       return await this.#take(subject, sent, {
