--- a/packages/router/tests/crashing_fleet.ts
+++ b/packages/router/tests/crashing_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Linked routers before runners that one request ends.
+ * Linked routers and runners, with a request that crashes any runner.
  *
  * @module
  */
@@ -12,39 +12,39 @@
 import type { FakeRunner } from "./fixtures.ts";
 import { LinkedRouters } from "./linked_routers.ts";
 
-/** Milliseconds from the arrival of the request until its runner ends. */
-const CRASH_MS = 45;
-/** Milliseconds of any other request. */
-const WORK_MS = 10;
-/** Milliseconds after which another runner takes the place of one that ended. */
-const BACK_MS = 1_000;
-/** What the body of the request that ends runners begins with. */
-export const CRASHING = "crash";
+/** Time from the arrival of a crashing request to the crash, in ms. */
+const CRASH_DELAY_MS = 45;
+/** Duration of any other request, in ms. */
+const REQUEST_MS = 10;
+/** Time from a crash until another runner replaces the crashed one, in ms. */
+const REPLACEMENT_MS = 1_000;
+/** Prefix of the body of a request that crashes its runner. */
+export const CRASHING_BODY = "crash";
 
-/** Routers and runners of one test. */
+/** The routers and runners of a test. */
 export class CrashingFleet {
   readonly linked: LinkedRouters;
-  /** Bodies of all requests that reached runners, in turn. */
+  /** Bodies of all requests that reached runners, in order of arrival. */
   readonly arrivals: string[] = [];
-  /** Runners that have ended. */
+  /** Number of runners that have crashed. */
   crashedRunners = 0;
-  /** Requests that end runners which wait there, of those that come next. */
+  /** How many of the next crashing requests stay queued at their runners. */
   requestsToQueue = 0;
-  /** Requests that were taken back while they waited. */
+  /** Number of requests that were withdrawn while they were queued. */
   withdrawn = 0;
   readonly #context: TestContext;
   readonly #listed = new Map<string, Runner>();
-  #names = 0;
+  #runnersStarted = 0;
   #size = 0;
-  #over = false;
+  #finished = false;
 
   private constructor(context: TestContext, route: Partial<Route>) {
     this.#context = context;
     this.linked = new LinkedRouters(context, route);
-    context.after(() => this.#over = true);
+    context.after(() => this.#finished = true);
   }
 
-  /** Starts all of them and waits until the routers are ready and linked. */
+  /** Starts routers and runners, and waits until the routers are ready and linked. */
   static async start(context: TestContext, shape: {
     readonly routers: number;
     readonly runners: number;
@@ -52,14 +52,14 @@
   }): Promise<CrashingFleet> {
     const fleet = new CrashingFleet(context, shape.route ?? {});
     fleet.#size = shape.runners;
-    for (let index = 0; index < shape.runners; index++) await fleet.#enter();
+    for (let index = 0; index < shape.runners; index++) await fleet.#add();
     for (let index = 0; index < shape.routers; index++) {
       await fleet.linked.add();
     }
     return fleet;
   }
 
-  /** Waits until another runner has taken the place of each that ended. */
+  /** Waits until all routers see a replacement for each crashed runner. */
   async waitUntilRestored(): Promise<void> {
     await waitUntil(() => this.#listed.size === this.#size);
     const names = [...this.#listed.keys()].sort().join();
@@ -71,45 +71,45 @@
     );
   }
 
-  /** Requests whose body begins so that have reached runners. */
-  countArrivals(body: string): number {
-    return this.arrivals.filter((each) => each.startsWith(body)).length;
+  /** Number of requests with this prefix of the body that have reached runners. */
+  countArrivals(prefix: string): number {
+    return this.arrivals.filter((body) => body.startsWith(prefix)).length;
   }
 
-  async #enter(): Promise<void> {
-    this.#names += 1;
-    const played: FakeRunner = await startFakeRunner(
+  async #add(): Promise<void> {
+    this.#runnersStarted += 1;
+    const fake: FakeRunner = await startFakeRunner(
       this.#context,
-      `r-${this.#names}`,
-      (socket, text, id) => void this.#run(played, { socket, text, id }),
+      `r-${this.#runnersStarted}`,
+      (socket, text, id) => void this.#handle(fake, { socket, text, id }),
     );
-    this.#listed.set(played.runner.id, played.runner);
+    this.#listed.set(fake.runner.id, fake.runner);
     this.linked.runners.set([...this.#listed.values()]);
   }
 
-  async #run(played: FakeRunner, run: {
+  async #handle(fake: FakeRunner, request: {
     readonly socket: Socket;
     readonly text: string;
     readonly id: string;
   }): Promise<void> {
-    const body = run.text.slice(run.text.indexOf("\r\n\r\n") + 4);
+    const body = request.text.slice(request.text.indexOf("\r\n\r\n") + 4);
     this.arrivals.push(body);
-    if (!body.startsWith(CRASHING)) {
-      await pause(WORK_MS);
-      run.socket.write(runnerResponse(run.id, body));
+    if (!body.startsWith(CRASHING_BODY)) {
+      await pause(REQUEST_MS);
+      request.socket.write(runnerResponse(request.id, body));
       return;
     }
     if (this.requestsToQueue > 0) {
       this.requestsToQueue -= 1;
-      run.socket.once("close", () => this.withdrawn += 1);
+      request.socket.once("close", () => this.withdrawn += 1);
       return;
     }
-    await pause(CRASH_MS);
-    if (!this.#listed.delete(played.runner.id)) return;
+    await pause(CRASH_DELAY_MS);
+    if (!this.#listed.delete(fake.runner.id)) return;
     this.crashedRunners += 1;
-    await played.end();
-    // Its entry stands until its successor's is there.
-    await pause(BACK_MS, undefined, { ref: false });
-    if (!this.#over) await this.#enter();
+    await fake.end();
+    // The entry of a crashed runner stays listed until its replacement's is added.
+    await pause(REPLACEMENT_MS, undefined, { ref: false });
+    if (!this.#finished) await this.#add();
   }
 }
--- a/packages/router/tests/fake_clock.ts
+++ b/packages/router/tests/fake_clock.ts
@@ -1,5 +1,5 @@
 /**
- * Time that passes only when a test lets it, and chance that repeats.
+ * A clock that tests advance by hand, with repeatable random numbers.
  *
  * @module
  */
@@ -13,12 +13,13 @@
 }
 
 /**
- * Replaces timers, the steady clock and random numbers until {@linkcode restore}. The mocks of
- * `node:test` keep every call, which is gigabytes for hundreds of daemons.
+ * Replaces timers, the monotonic clock and random numbers until {@linkcode restore}.
+ * The mocks of `node:test` record every call, which takes gigabytes of memory for
+ * hundreds of daemons.
  */
 export class FakeClock {
-  readonly #settle = setImmediate;
-  /** A heap: no timer is later than the two below it. */
+  readonly #setImmediate = setImmediate;
+  /** Pending timers as a binary min-heap, by time and then by order of creation. */
   readonly #timers: Timer[] = [];
   #now = 0;
   #order = 0;
@@ -31,7 +32,7 @@
   };
   #seed: number;
 
-  /** @param seed of all random numbers, so that each run is the same. */
+  /** @param seed seed of all random numbers, so that every run is the same. */
   constructor(t: TestContext, seed = 1) {
     this.#seed = seed;
     Math.random = () => this.random();
@@ -43,7 +44,7 @@
     t.after(() => this.restore());
   }
 
-  /** Real time passes again. */
+  /** Restores the real timers, clock and random numbers. */
   restore(): void {
     globalThis.setTimeout = this.#real.setTimeout;
     globalThis.clearTimeout = this.#real.clearTimeout;
@@ -51,7 +52,7 @@
     Math.random = this.#real.random;
   }
 
-  /** In [0, 1). */
+  /** Returns the next random number in [0, 1). */
   random(): number {
     this.#seed = (this.#seed * 48_271) % 2_147_483_647;
     return this.#seed / 2_147_483_647;
@@ -61,59 +62,59 @@
     return this.#now;
   }
 
-  /** Lets milliseconds pass; whatever follows without waiting has happened. */
+  /** Advances the clock, and runs all timers that are due and what they trigger. */
   async advance(millis: number): Promise<void> {
-    const until = this.#now + millis;
+    const end = this.#now + millis;
     for (;;) {
       const next = this.#timers[0];
-      if (next === undefined || next.at > until) break;
+      if (next === undefined || next.at > end) break;
       this.#now = next.at;
       while (this.#timers[0] !== undefined && this.#timers[0].at <= next.at) {
-        const timer = this.#take();
+        const timer = this.#pop();
         if (!timer.cancelled) timer.run();
       }
-      await new Promise<void>((resolve) => this.#settle(resolve));
+      await new Promise<void>((resolve) => this.#setImmediate(resolve));
     }
-    this.#now = until;
+    this.#now = end;
   }
 
   readonly #set = (run: () => void, millis = 0): Timer => {
     const at = Math.ceil(this.#now + Math.max(1, millis));
     const timer = { at, order: this.#order++, run, cancelled: false };
-    this.#put(timer);
+    this.#push(timer);
     return Object.assign(timer, { unref: () => timer });
   };
 
-  #put(timer: Timer): void {
+  #push(timer: Timer): void {
     const heap = this.#timers;
-    let place = heap.push(timer) - 1;
-    while (place > 0) {
-      const above = (place - 1) >> 1;
-      if (!isBefore(timer, heap[above]!)) break;
-      heap[place] = heap[above]!;
-      place = above;
+    let index = heap.push(timer) - 1;
+    while (index > 0) {
+      const parent = (index - 1) >> 1;
+      if (!isBefore(timer, heap[parent]!)) break;
+      heap[index] = heap[parent]!;
+      index = parent;
     }
-    heap[place] = timer;
+    heap[index] = timer;
   }
 
-  #take(): Timer {
+  #pop(): Timer {
     const heap = this.#timers;
     const first = heap[0]!;
     const last = heap.pop()!;
     if (heap.length === 0) return first;
-    let place = 0;
+    let index = 0;
     for (;;) {
-      let below = 2 * place + 1;
-      if (below >= heap.length) break;
-      const right = below + 1;
-      if (right < heap.length && isBefore(heap[right]!, heap[below]!)) {
-        below = right;
+      let child = 2 * index + 1;
+      if (child >= heap.length) break;
+      const right = child + 1;
+      if (right < heap.length && isBefore(heap[right]!, heap[child]!)) {
+        child = right;
       }
-      if (!isBefore(heap[below]!, last)) break;
-      heap[place] = heap[below]!;
-      place = below;
+      if (!isBefore(heap[child]!, last)) break;
+      heap[index] = heap[child]!;
+      index = child;
     }
-    heap[place] = last;
+    heap[index] = last;
     return first;
   }
 }
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -1,5 +1,5 @@
 /**
- * A router with a played platform and played runners, in one process.
+ * Fixtures for tests of the router: a router with fake feeds and runners.
  *
  * @module
  */
@@ -33,14 +33,14 @@
 
 const LOCALHOST = "127.0.0.1";
 
-/** A log that keeps nothing. */
+/** A log that discards all lines. */
 export const SILENT_LOG: EventLog = { event() {}, decision() {} };
 
-function limitIn(text: string | undefined): StatedLimit | undefined {
+function parseLimit(text: string | undefined): StatedLimit | undefined {
   return text === undefined ? undefined : { kind: "limit", perS: Number(text) };
 }
 
-/** Headers that these tests use; any platform's could stand here. */
+/** The dialect of these tests, independent of any platform's. */
 export const TEST_DIALECT: Dialect = {
   parseRequest: (headers) => ({
     id: headerOf(headers, "x-id") ?? "",
@@ -70,7 +70,7 @@
     misdirected: status === 421,
     encoded: false,
     load: undefined,
-    limit: limitIn(headerOf(headers, "x-limit")),
+    limit: parseLimit(headerOf(headers, "x-limit")),
   }),
   eventId: (event) => {
     const id = /^id: (\d+)$/m.exec(event)?.[1];
@@ -82,7 +82,7 @@
   return "name" in value ? String(value.name) : undefined;
 }
 
-/** Limits of runners for one daemon alone, which has heard of none. */
+/** Returns the rate limits of a lone daemon, which knows of none yet. */
 export function emptyLimits(): RunnerLimits {
   return new RunnerLimits(SILENT_LOG, () => ({
     own: "a",
@@ -91,7 +91,7 @@
   }));
 }
 
-/** What a daemon shares that has no part in leading. */
+/** Returns the leadership state of a daemon that never leads. */
 export function withoutLeadership() {
   return {
     time: new FleetTime(HOST_CLOCKS),
@@ -100,14 +100,14 @@
   };
 }
 
-/** A store for the leader's record, which a test may have fail. */
+/** An in-memory store for the leader's record, with faults that tests can set. */
 export class MemoryLeaderStore implements LeaderStore {
   record: StoredRecord | undefined;
   calls = 0;
   /** Whether every call fails. */
   down = false;
-  /** Whether answers to writes are lost. */
-  losesWriteResponses = false;
+  /** Whether writes take effect, but their responses are lost. */
+  losesReplies = false;
 
   async read(): Promise<StoredRecord | undefined> {
     await this.#called();
@@ -124,9 +124,7 @@
       return { kind: "conflict", found: this.record };
     }
     this.record = { revision: revision + 1, record };
-    if (this.losesWriteResponses) {
-      throw new FeedError("unavailable", "answer lost");
-    }
+    if (this.losesReplies) throw new FeedError("unavailable", "response lost");
     return { kind: "written", revision: revision + 1 };
   }
 
@@ -137,7 +135,7 @@
   }
 }
 
-/** A message between daemons that tells nothing. */
+/** Returns a state update without any changes, except for the given fields. */
 export function testUpdate(fields: Partial<StateUpdate> = {}): StateUpdate {
   return {
     kind: "state",
@@ -158,24 +156,24 @@
   };
 }
 
-/** A feed whose values a test sets. */
+/** A feed whose values tests set. */
 export class SettableFeed<T extends object> implements Feed<T> {
   #listing: Listing<T>;
-  /** Names of all that were there once. */
-  readonly #known = new Set<string>();
-  #wake: (() => void)[] = [];
+  /** Names of all values so far, so that a watch can report removed ones. */
+  readonly #seenNames = new Set<string>();
+  #watchers: (() => void)[] = [];
   /** Whether every call fails. */
   down = false;
 
   constructor(values: readonly T[]) {
     this.#listing = { revision: 1, values };
-    this.#know(values);
+    this.#recordNames(values);
   }
 
   set(values: readonly T[]): void {
-    this.#know(values);
+    this.#recordNames(values);
     this.#listing = { revision: this.#listing.revision + 1, values };
-    for (const wake of this.#wake.splice(0)) wake();
+    for (const wake of this.#watchers.splice(0)) wake();
   }
 
   list(): Promise<Listing<T>> {
@@ -191,24 +189,24 @@
     if (this.down) throw new FeedError("unavailable", "down");
     if (this.#listing.revision <= since) {
       await new Promise<void>((resolve) => {
-        this.#wake.push(resolve);
+        this.#watchers.push(resolve);
         signal.addEventListener("abort", () => resolve());
       });
     }
     const { revision, values } = this.#listing;
     const names = new Set(values.map(nameOf));
-    const left = [...this.#known].filter((name) => !names.has(name));
+    const left = [...this.#seenNames].filter((name) => !names.has(name));
     return { revision, entered: values, left };
   }
 
-  #know(values: readonly T[]): void {
+  #recordNames(values: readonly T[]): void {
     for (const name of values.map(nameOf)) {
-      if (name !== undefined) this.#known.add(name);
+      if (name !== undefined) this.#seenNames.add(name);
     }
   }
 }
 
-/** A route to service `service`, for every path of host `test`. */
+/** Returns a route to service `service` for every path of host `test`. */
 export function testRoute(fields: Partial<Route> = {}): Route {
   return {
     name: "route",
@@ -228,7 +226,7 @@
   };
 }
 
-/** A configuration with the routes given. */
+/** Returns a configuration with the given routes. */
 export function testConfiguration(
   routes: readonly Route[],
   fields: Partial<Configuration> = {},
@@ -250,29 +248,29 @@
   };
 }
 
-/** Plays a runner's side of one request, given its text. */
+/** Handles one request at a runner, given its text and its id. */
 export type RequestHandler = (
   socket: Socket,
   request: string,
   id: string,
 ) => void;
 
-/** A runner that a test plays byte by byte. */
+/** A runner whose responses a test scripts byte by byte. */
 export interface FakeRunner {
   readonly runner: Runner;
-  /** Texts of the requests that came. */
+  /** Texts of the received requests. */
   readonly requests: string[];
-  /** Requests whose connection has closed. */
+  /** Number of connections that have closed. */
   closed: number;
-  /** Ends as a crash does: its connections break, its port refuses others. */
+  /** Simulates a crash: connections break, and the port refuses new ones. */
   end(): Promise<void>;
 }
 
-/** Opens a runner. */
+/** Starts a fake runner on a local port. */
 export async function startFakeRunner(
   context: TestContext,
   id: string,
-  play: RequestHandler,
+  handle: RequestHandler,
 ): Promise<FakeRunner> {
   const requests: string[] = [];
   const sockets = new Set<Socket>();
@@ -281,12 +279,12 @@
     socket.on("error", () => {});
     socket.on("close", () => {
       sockets.delete(socket);
-      played.closed += 1;
+      fake.closed += 1;
     });
     socket.on("data", (chunk) => {
       const received = chunk.toString("latin1");
       requests.push(received);
-      play(socket, received, /x-id: (\S+)/i.exec(received)?.[1] ?? "");
+      handle(socket, received, /x-id: (\S+)/i.exec(received)?.[1] ?? "");
     });
   });
   const end = () => {
@@ -300,7 +298,7 @@
   await once(server, "listening");
   context.after(() => end());
   const { port } = server.address() as AddressInfo;
-  const played: FakeRunner = {
+  const fake: FakeRunner = {
     runner: {
       id,
       name: id,
@@ -317,10 +315,10 @@
     closed: 0,
     end,
   };
-  return played;
+  return fake;
 }
 
-/** A whole answer of a runner. */
+/** Returns the text of a complete response of a runner. */
 export function runnerResponse(
   id: string,
   body: string,
@@ -331,13 +329,13 @@
     `Content-Length: ${body.length}\r\n\r\n${body}`;
 }
 
-/** The head of a stream, and its parts as chunks. */
+/** Returns the head of a chunked event stream. */
 export function streamHead(id: string): string {
   return `HTTP/1.1 200 OK\r\nX-Id: ${id}\r\nX-Seal: s\r\n` +
     "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 }
 
-/** One chunk of a body. */
+/** Encodes one chunk of a chunked body. */
 export function encodeChunk(part: string): string {
   return `${part.length.toString(16)}\r\n${part}\r\n`;
 }
@@ -371,7 +369,7 @@
   addresses: () => Promise.resolve([]),
 };
 
-/** A router that is ready, unless it has no configuration. */
+/** Starts a router; it is ready unless it has no configuration. */
 export async function startRouter(
   context: TestContext,
   parts: {
@@ -398,12 +396,12 @@
   return router;
 }
 
-/** Waits until something holds, asking again at each turn of the loop. */
-export async function waitUntil(holds: () => boolean): Promise<void> {
-  while (!holds()) await new Promise((resolve) => setTimeout(resolve, 5));
+/** Waits until a condition holds, checking it every 5 ms. */
+export async function waitUntil(condition: () => boolean): Promise<void> {
+  while (!condition()) await new Promise((resolve) => setTimeout(resolve, 5));
 }
 
-/** A router with one route to the runners given. */
+/** Starts a router with one route to the given runners. */
 export async function startSingleRouteRouter(
   context: TestContext,
   route: Partial<Route>,
@@ -420,16 +418,16 @@
   return router;
 }
 
-/** What a caller got. */
+/** A response as a caller received it. */
 export interface CallerResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: string;
-  /** Whether the connection broke off before the end of the answer. */
-  readonly broken: boolean;
+  /** Whether the connection closed before the end of the response. */
+  readonly truncated: boolean;
 }
 
-/** Sends a request as a caller. */
+/** Sends a request to a router as a caller, and reads the response. */
 export async function sendRequest(
   router: Router,
   options: {
@@ -452,8 +450,8 @@
   const { statusCode: status, headers } = incoming;
   try {
     const body = await text(incoming);
-    return { status, headers, body, broken: false };
+    return { status, headers, body, truncated: false };
   } catch {
-    return { status, headers, body: "", broken: true };
+    return { status, headers, body: "", truncated: true };
   }
 }
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -319,7 +319,7 @@
   /** Whether the leader's store does not answer this host. */
   storeUnreachable = false;
   /** Names of daemons that nothing from here reaches. */
-  readonly unreachable = new Set<string>();
+  readonly blocked = new Set<string>();
   accept: ((opening: LinkOpening) => void) | undefined;
   readonly fleetSync: FleetSync;
   /** Mbit/s of what it sends on all its links together. */
@@ -407,7 +407,7 @@
   /** Whether bytes from here arrive there. */
   canReach(other: Member): boolean {
     return this.alive && other.alive &&
-      !this.unreachable.has(other.contact.name);
+      !this.blocked.has(other.contact.name);
   }
 
   get ready(): boolean {
@@ -536,14 +536,14 @@
     const [inside, outside] = this.sides(domain);
     for (const [from, to] of [[inside, outside], [outside, inside]] as const) {
       for (const one of from) {
-        for (const { contact } of to) one.unreachable.add(contact.name);
+        for (const { contact } of to) one.blocked.add(contact.name);
       }
     }
   }
 
   /** Ends all cuts. */
   heal(): void {
-    for (const { unreachable: deafTo } of this.members) deafTo.clear();
+    for (const { blocked: deafTo } of this.members) deafTo.clear();
   }
 
   /** Starts all daemons within 0.3 s of each other, in any order. */
--- a/packages/router/tests/fleet_test.ts
+++ b/packages/router/tests/fleet_test.ts
@@ -105,14 +105,12 @@
   const [head] = fleet.inDomain(0);
   const child = fleet.inDomain(0).at(-1)!;
   const relays = fleet.inDomain(0).slice(0, 2);
-  for (const { contact } of relays.slice(0, 1)) {
-    child.unreachable.add(contact.name);
-  }
+  for (const { contact } of relays.slice(0, 1)) child.blocked.add(contact.name);
   child.place("r-1");
   await clock.advance(TAKEOVER_MS);
   assertAllBelieve(fleet.alive, "r-1", 1);
   assert.ok(head!.alive);
-  child.unreachable.clear();
+  child.blocked.clear();
   child.place("r-1");
   await clock.advance(TAKEOVER_MS);
   assertAllBelieve(fleet.alive, "r-1", 2);
--- a/packages/router/tests/forwarding_test.ts
+++ b/packages/router/tests/forwarding_test.ts
@@ -263,7 +263,7 @@
     maxAttempts: 2,
   }, runners);
   const got = await sendRequest(router);
-  assert.equal(got.broken, false);
+  assert.equal(got.truncated, false);
   assert.equal(got.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   const resumed = runners.flatMap(({ requests }) => requests)
     .filter((request) => request.includes("Last-Event-Id: 1"));
@@ -276,7 +276,7 @@
     setTimeout(() => socket.resetAndDestroy(), 20);
   });
   const router = await startSingleRouteRouter(t, { streaming: true }, [runner]);
-  assert.equal((await sendRequest(router)).broken, true);
+  assert.equal((await sendRequest(router)).truncated, true);
 });
 
 // A runner never answers. The caller gets its final answer at the timeout of
--- a/packages/router/tests/linked_routers.ts
+++ b/packages/router/tests/linked_routers.ts
@@ -1,5 +1,5 @@
 /**
- * Routers that are linked to each other, before the same runners.
+ * Routers with links to each other and the same runners.
  *
  * @module
  */
@@ -22,7 +22,7 @@
 
 const LOCALHOST = "127.0.0.1";
 
-/** A port that nobody listens on. */
+/** Returns a port that no process listens on. */
 async function unusedPort(): Promise<number> {
   const server = createServer();
   server.listen(0, LOCALHOST);
@@ -33,16 +33,16 @@
   return port;
 }
 
-/** Routers of one test, each of them linked to all others. */
+/** The routers of a test, each with links to all others. */
 export class LinkedRouters {
   readonly routers: Router[] = [];
-  /** The runners that they know. */
+  /** The runners that all routers use. */
   readonly runners = new SettableFeed<Runner>([]);
   readonly #context: TestContext;
   readonly #routes: readonly Partial<Route>[];
-  #tries = 0;
+  #attempts = 0;
 
-  /** @param routes one for every path, unless given. */
+  /** @param routes changes to the default route, which matches every path. */
   constructor(
     context: TestContext,
     routes: Partial<Route> | readonly Partial<Route>[] = {},
@@ -51,7 +51,7 @@
     this.#routes = [routes].flat();
   }
 
-  /** Starts one more router and waits until it is ready and linked. */
+  /** Starts a router and waits until it is ready and linked to all others. */
   async add(): Promise<Router> {
     const seeds = this.routers.map(({ peersPort }) =>
       `${LOCALHOST}:${peersPort}`
@@ -79,18 +79,18 @@
     return router;
   }
 
-  /** Sends a request to the next router; each try has an id of its own. */
+  /** Sends a request to the routers in turn; each attempt has its own id. */
   send(
     body: string,
     options: { readonly path?: string } = {},
   ): Promise<CallerResponse> {
-    const router = this.routers[this.#tries % this.routers.length]!;
-    this.#tries += 1;
+    const router = this.routers[this.#attempts % this.routers.length]!;
+    this.#attempts += 1;
     return sendRequest(router, {
       method: "POST",
       path: options.path ?? "/",
       body,
-      headers: { "x-id": `try-${this.#tries}` },
+      headers: { "x-id": `try-${this.#attempts}` },
     });
   }
 }
