--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -8,7 +8,7 @@
 import { AnswerRelay } from "./response_relay.ts";
 import type { Passed, TryParts } from "./response_relay.ts";
 import type { Attempt, SendResult } from "./attempt.ts";
-import { attemptOf } from "./create_attempt.ts";
+import { createAttempt } from "./create_attempt.ts";
 import type { ResponseHead } from "./dialect.ts";
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
@@ -87,7 +87,7 @@
     logChoice(this.#daemon, subject, { choice, fingerprint, leftMs });
     load.place(placed, sentAt);
     this.#daemon.prefixes.recordSent(runner.id, call.prompt, sentAt);
-    const attempt = attemptOf(this.#daemon, subject, {
+    const attempt = createAttempt(this.#daemon, subject, {
       request: this.#caller.request,
       choice,
       body,
--- a/packages/router/src/request/create_attempt.ts
+++ b/packages/router/src/request/create_attempt.ts
@@ -14,7 +14,7 @@
  * Makes an attempt to have a request run by the runner that was chosen; nothing
  * is sent until it is started.
  */
-export function attemptOf(
+export function createAttempt(
   daemon: Daemon,
   subject: RoutedRequest,
   options: {
