--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -5,7 +5,7 @@
  */
 import type { Buffer } from "node:buffer";
 import type { PlacedRequest } from "../process/runner_load.ts";
-import { AnswerRelay } from "./response_relay.ts";
+import { ResponseRelay } from "./response_relay.ts";
 import type { Passed, TryParts } from "./response_relay.ts";
 import type { Attempt, SendResult } from "./attempt.ts";
 import { createAttempt } from "./create_attempt.ts";
@@ -41,7 +41,7 @@
   readonly #caller: Caller;
   readonly #progress: Progress;
   readonly #own: OwnOutcomes;
-  readonly #relay: AnswerRelay;
+  readonly #relay: ResponseRelay;
   #attempt: Attempt | undefined;
 
   constructor(daemon: Daemon, caller: Caller, parts: {
@@ -52,7 +52,7 @@
     this.#caller = caller;
     this.#progress = parts.progress;
     this.#own = parts.own;
-    this.#relay = new AnswerRelay(daemon, caller, {
+    this.#relay = new ResponseRelay(daemon, caller, {
       endedByUs: () => parts.progress.over,
     });
   }
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -51,7 +51,7 @@
  * Passes on the answers of one request's tries: whole ones after their end, and
  * streams by whole events, as one stream however many runners it comes from.
  */
-export class AnswerRelay {
+export class ResponseRelay {
   readonly #daemon: Daemon;
   readonly #caller: Caller;
   /** Whether this daemon ended the try, so the runner is not to blame. */
