--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -21,7 +21,7 @@
 const FIRST_SERVER_ERROR = 500;
 
 /** An answer that a runner has begun. */
-export type Answer = Extract<SendResult, { readonly kind: "answer" }>;
+export type RunnerResponse = Extract<SendResult, { readonly kind: "answer" }>;
 
 /** What belongs to one try. */
 export interface TryParts {
@@ -79,7 +79,11 @@
   }
 
   /** Passes one answer on, if its runner vouches for it. */
-  pass(subject: RoutedRequest, sent: Answer, parts: TryParts): Promise<Passed> {
+  pass(
+    subject: RoutedRequest,
+    sent: RunnerResponse,
+    parts: TryParts,
+  ): Promise<Passed> {
     const { status, head } = sent;
     const success = status < FIRST_ERROR;
     if (success && (!head.sealed || head.encoded)) {
@@ -95,7 +99,7 @@
 
   async #passWhole(
     subject: RoutedRequest,
-    sent: Answer,
+    sent: RunnerResponse,
     parts: TryParts,
   ): Promise<Passed> {
     const { status, incoming } = sent;
@@ -116,7 +120,7 @@
 
   async #passStream(
     subject: RoutedRequest,
-    sent: Answer,
+    sent: RunnerResponse,
     parts: TryParts,
   ): Promise<Passed> {
     const { route } = subject;
@@ -167,7 +171,7 @@
   }
 
   /** The first event came: the prompt has been read. */
-  #begin(subject: RoutedRequest, sent: Answer, parts: TryParts): void {
+  #begin(subject: RoutedRequest, sent: RunnerResponse, parts: TryParts): void {
     const { load, placed, attempt } = parts;
     this.#daemon.requestStarted(subject);
     load.recordFirstEvent(placed);
