--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -6,7 +6,7 @@
 import type { Buffer } from "node:buffer";
 import type { PlacedRequest } from "../process/runner_load.ts";
 import { ResponseRelay } from "./response_relay.ts";
-import type { Passed, TryParts } from "./response_relay.ts";
+import type { AttemptContext, Passed } from "./response_relay.ts";
 import type { Attempt, SendResult } from "./attempt.ts";
 import { createAttempt } from "./create_attempt.ts";
 import type { ResponseHead } from "./dialect.ts";
@@ -142,7 +142,7 @@
   async #take(
     subject: RoutedRequest,
     sent: SendResult,
-    parts: TryParts,
+    parts: AttemptContext,
   ): Promise<AttemptResult> {
     const { load } = parts;
     const now = this.#daemon.now();
@@ -181,7 +181,7 @@
   }
 
   /** Only the runner's own answer shows that it names no limit any more. */
-  #hearLimit(head: ResponseHead, { attempt, sentAt }: TryParts): void {
+  #hearLimit(head: ResponseHead, { attempt, sentAt }: AttemptContext): void {
     const silent = head.limit === undefined && !head.sealed;
     if (silent || head.misdirected) return;
     const times = { sentAt, now: this.#daemon.now() };
@@ -189,7 +189,10 @@
   }
 
   /** The connection broke before the head of an answer. */
-  #broke(reason: string, { attempt, load, run }: TryParts): AttemptResult {
+  #broke(
+    reason: string,
+    { attempt, load, run }: AttemptContext,
+  ): AttemptResult {
     this.#progress.mayHaveRun = true;
     // The connection may have gone silent, and its siblings with it.
     if (!this.#caller.disconnected) {
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -24,7 +24,7 @@
 export type RunnerResponse = Extract<SendResult, { readonly kind: "answer" }>;
 
 /** What belongs to one try. */
-export interface TryParts {
+export interface AttemptContext {
   readonly load: RunnerLoad;
   readonly placed: PlacedRequest;
   readonly attempt: Attempt;
@@ -82,7 +82,7 @@
   pass(
     subject: RoutedRequest,
     sent: RunnerResponse,
-    parts: TryParts,
+    parts: AttemptContext,
   ): Promise<Passed> {
     const { status, head } = sent;
     const success = status < FIRST_ERROR;
@@ -100,7 +100,7 @@
   async #passWhole(
     subject: RoutedRequest,
     sent: RunnerResponse,
-    parts: TryParts,
+    parts: AttemptContext,
   ): Promise<Passed> {
     const { status, incoming } = sent;
     if (sent.head.sealed) this.#daemon.requestStarted(subject);
@@ -121,7 +121,7 @@
   async #passStream(
     subject: RoutedRequest,
     sent: RunnerResponse,
-    parts: TryParts,
+    parts: AttemptContext,
   ): Promise<Passed> {
     const { route } = subject;
     const { status, incoming } = sent;
@@ -147,7 +147,10 @@
   }
 
   /** Takes the times of a stream's events. */
-  #paceOf(subject: RoutedRequest, parts: TryParts): (now: number) => void {
+  #paceOf(
+    subject: RoutedRequest,
+    parts: AttemptContext,
+  ): (now: number) => void {
     const { service } = subject;
     if (service.engine === undefined) return () => {};
     const { eventTokens: tokens } = service.engine;
@@ -171,7 +174,11 @@
   }
 
   /** The first event came: the prompt has been read. */
-  #begin(subject: RoutedRequest, sent: RunnerResponse, parts: TryParts): void {
+  #begin(
+    subject: RoutedRequest,
+    sent: RunnerResponse,
+    parts: AttemptContext,
+  ): void {
     const { load, placed, attempt } = parts;
     this.#daemon.requestStarted(subject);
     load.recordFirstEvent(placed);
@@ -185,7 +192,7 @@
     this.#caller.beginStream(sent.status, sent.incoming.rawHeaders);
   }
 
-  #brokeOff(parts: TryParts, cause: string, reason: string): Passed {
+  #brokeOff(parts: AttemptContext, cause: string, reason: string): Passed {
     parts.attempt.cancel(cause);
     if (!this.#endedByUs()) {
       parts.load.recordFailure(this.#daemon.now());
