--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -6,7 +6,7 @@
 import type { Buffer } from "node:buffer";
 import type { PlacedRequest } from "../process/runner_load.ts";
 import { ResponseRelay } from "./response_relay.ts";
-import type { AttemptContext, Passed } from "./response_relay.ts";
+import type { AttemptContext, RelayResult } from "./response_relay.ts";
 import type { Attempt, SendResult } from "./attempt.ts";
 import { createAttempt } from "./create_attempt.ts";
 import type { ResponseHead } from "./dialect.ts";
@@ -205,7 +205,7 @@
     return this.#repeat(reason);
   }
 
-  #ended(subject: RoutedRequest, passed: Passed): AttemptResult {
+  #ended(subject: RoutedRequest, passed: RelayResult): AttemptResult {
     if (passed.kind === "broken") return this.#repeat(passed.reason);
     const { fingerprint, over } = this.#progress;
     this.#daemon.crashes.recordResponse(fingerprint, this.#daemon.now());
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -35,7 +35,7 @@
 }
 
 /** What became of an answer. */
-export type Passed =
+export type RelayResult =
   /** The caller has all of it. */
   | { readonly kind: "answered"; readonly status: number }
   /** The runner broke off, or the answer is not its own. */
@@ -83,7 +83,7 @@
     subject: RoutedRequest,
     sent: RunnerResponse,
     parts: AttemptContext,
-  ): Promise<Passed> {
+  ): Promise<RelayResult> {
     const { status, head } = sent;
     const success = status < FIRST_ERROR;
     if (success && (!head.sealed || head.encoded)) {
@@ -101,7 +101,7 @@
     subject: RoutedRequest,
     sent: RunnerResponse,
     parts: AttemptContext,
-  ): Promise<Passed> {
+  ): Promise<RelayResult> {
     const { status, incoming } = sent;
     if (sent.head.sealed) this.#daemon.requestStarted(subject);
     const whole = await readWhole(incoming, MAX_ANSWER_BYTES);
@@ -122,7 +122,7 @@
     subject: RoutedRequest,
     sent: RunnerResponse,
     parts: AttemptContext,
-  ): Promise<Passed> {
+  ): Promise<RelayResult> {
     const { route } = subject;
     const { status, incoming } = sent;
     const stream = this.#streamOf(subject);
@@ -192,7 +192,7 @@
     this.#caller.beginStream(sent.status, sent.incoming.rawHeaders);
   }
 
-  #brokeOff(parts: AttemptContext, cause: string, reason: string): Passed {
+  #brokeOff(parts: AttemptContext, cause: string, reason: string): RelayResult {
     parts.attempt.cancel(cause);
     if (!this.#endedByUs()) {
       parts.load.recordFailure(this.#daemon.now());
