--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -92,7 +92,7 @@
       choice,
       body,
       leftMs,
-      lastEventId: this.#relay.lastId,
+      lastEventId: this.#relay.lastEventId,
     });
     this.#attempt = attempt;
     const silence = this.#watchSilence(subject, attempt);
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -69,7 +69,7 @@
   }
 
   /** Last event of a stream that the caller has. */
-  get lastId(): number | undefined {
+  get lastEventId(): number | undefined {
     return this.#stream?.lastId;
   }
 
