--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -59,7 +59,7 @@
 
   /** Events that were passed on; none when the answer is no stream. */
   get events(): number | undefined {
-    return this.#relay.events;
+    return this.#relay.eventCount;
   }
 
   /** Ends the try that goes on, if any. */
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -74,7 +74,7 @@
   }
 
   /** Events that were passed on; none when the answer is no stream. */
-  get events(): number | undefined {
+  get eventCount(): number | undefined {
     return this.#stream?.events;
   }
 
