--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -175,7 +175,7 @@
         }
         return this.#ended(
           subject,
-          await this.#relay.pass(subject, sent, parts),
+          await this.#relay.relay(subject, sent, parts),
         );
     }
   }
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -79,7 +79,7 @@
   }
 
   /** Passes one answer on, if its runner vouches for it. */
-  pass(
+  relay(
     subject: RoutedRequest,
     sent: RunnerResponse,
     parts: AttemptContext,
