--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -70,7 +70,7 @@
 
   /** Last event of a stream that the caller has. */
   get lastEventId(): number | undefined {
-    return this.#stream?.lastId;
+    return this.#stream?.lastEventId;
   }
 
   /** Events that were passed on; none when the answer is no stream. */
--- a/packages/router/src/request/stream_relay.ts
+++ b/packages/router/src/request/stream_relay.ts
@@ -38,7 +38,7 @@
   }
 
   /** Id of the last event that was passed on. */
-  get lastId(): number | undefined {
+  get lastEventId(): number | undefined {
     return this.#lastId;
   }
 
