--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -168,7 +168,7 @@
   #streamOf(subject: RoutedRequest): StreamRelay {
     this.#stream ??= new StreamRelay(this.#caller.response, {
       dialect: this.#daemon.dialect,
-      lastId: subject.head.lastEventId,
+      lastEventId: subject.head.lastEventId,
     });
     return this.#stream;
   }
--- a/packages/router/src/request/stream_relay.ts
+++ b/packages/router/src/request/stream_relay.ts
@@ -29,12 +29,12 @@
     response: ServerResponse,
     options: {
       readonly dialect: Dialect;
-      readonly lastId: number | undefined;
+      readonly lastEventId: number | undefined;
     },
   ) {
     this.#body = new StreamBody(response);
     this.#dialect = options.dialect;
-    this.#lastId = options.lastId;
+    this.#lastId = options.lastEventId;
   }
 
   /** Id of the last event that was passed on. */
