--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -75,7 +75,7 @@
 
   /** Events that were passed on; none when the answer is no stream. */
   get eventCount(): number | undefined {
-    return this.#stream?.events;
+    return this.#stream?.eventCount;
   }
 
   /** Passes one answer on, if its runner vouches for it. */
--- a/packages/router/src/request/stream_relay.ts
+++ b/packages/router/src/request/stream_relay.ts
@@ -43,7 +43,7 @@
   }
 
   /** Events that were passed on. */
-  get events(): number {
+  get eventCount(): number {
     return this.#events;
   }
 
