--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -58,7 +58,7 @@
   }
 
   /** Events that were passed on; none when the answer is no stream. */
-  get events(): number | undefined {
+  get eventCount(): number | undefined {
     return this.#relay.eventCount;
   }
 
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -192,7 +192,7 @@
       outcome: result,
       reason: outcome.kind === "broken" ? outcome.reason : undefined,
       attempts,
-      events: this.#tries.events,
+      events: this.#tries.eventCount,
       elapsed_ms: Math.round(elapsedMs),
       config: subject?.version ?? this.#daemon.routingTable()?.version,
     });
