--- a/packages/router/src/process/autoscaler.ts
+++ b/packages/router/src/process/autoscaler.ts
@@ -1,5 +1,5 @@
 /**
- * Which runners are ordered for the load that the fleet sees.
+ * Autoscaling of runners from the load that the fleet observes.
  *
  * @module
  */
@@ -15,52 +15,52 @@
 import { validateScaling } from "./scaling.ts";
 import type { Scaling } from "./scaling.ts";
 
-/** Milliseconds for which the list of runners must not have grown at first. */
+/** Milliseconds without growth of the list of runners before the first order. */
 const SETTLED_MS = 3_000;
 /**
- * Milliseconds for which a failure domain has no preemptible runners to give after
- * some of them were taken back there.
+ * Milliseconds for which a failure domain counts as out of preemptible runners
+ * after the platform has reclaimed them there.
  */
-const RECLAIMED_MS = 6_000;
-/** The same after the platform has said so. */
-const NONE_LEFT_MS = 3_000;
+const RECLAIMED_DEPLETION_MS = 6_000;
+/** The same in ms after the platform has answered that none are left. */
+const UNAVAILABLE_DEPLETION_MS = 3_000;
 
-/** A service, as far as the number of its runners depends on it. */
+/** Properties of a service that determine the number of its runners. */
 export interface ScaledService {
   readonly name: string;
   /** Absent for a plain service. */
   readonly engine: object | undefined;
-  /** Absent where the number of runners is not for daemons to decide. */
+  /** Absent where daemons do not scale the service. */
   readonly scaling?: Scaling | undefined;
 }
 
-/** What an autoscaler looks at. */
+/** Inputs of an autoscaler. */
 export interface AutoscalerSources {
   readonly loads: RunnerLoads;
   readonly log: EventLog;
-  /** All runners that are listed. */
+  /** All listed runners. */
   runners(): readonly Runner[];
   services(): readonly ScaledService[];
 }
 
 type ScalableService = ScaledService & { readonly scaling: Scaling };
 
-/** What is kept of one service. */
+/** State kept per service. */
 interface ServiceState {
   readonly need: DemandEstimator;
-  /** The last plan, as it was logged. */
+  /** The last logged plan. */
   logged: string;
 }
 
-/** Decides how many runners each service has. */
+/** Decides how many runners of each service to order. */
 export class Autoscaler implements ScalingPolicy {
   readonly #sources: AutoscalerSources;
   readonly #states = new Map<string, ServiceState>();
-  /** Until when, in steady ms, a place is taken to have no preemptible runners. */
+  /** End, in monotonic ms, of the time a pool counts as out of preemptible runners. */
   readonly #depletedUntil = new Map<string, number>();
-  /** Most runners that were listed, by service, and since when. */
-  readonly #listed = new Map<string, { count: number; since: number }>();
-  readonly #unsound = new Set<string>();
+  /** Largest number of listed runners, by service, and when it was reached. */
+  readonly #peakListed = new Map<string, { count: number; since: number }>();
+  readonly #invalid = new Set<string>();
 
   constructor(sources: AutoscalerSources) {
     this.#sources = sources;
@@ -76,7 +76,7 @@
     );
     return this.#sources.services().flatMap((service) => {
       const { name, scaling } = service;
-      if (scaling === undefined || !this.#isSound(name, scaling)) return [];
+      if (scaling === undefined || !this.#isValid(name, scaling)) return [];
       return this.#ordersOf({ ...service, scaling }, {
         runners: byService.get(name) ?? [],
         orders: orders.filter((each) => each.service === name),
@@ -87,8 +87,8 @@
 
   recordNoneLeft({ service, failureDomain }: RunnerOrder, now: number): void {
     this.#depletedUntil.set(
-      placeOf(service, failureDomain),
-      now + NONE_LEFT_MS,
+      poolKey(service, failureDomain),
+      now + UNAVAILABLE_DEPLETION_MS,
     );
   }
 
@@ -102,9 +102,9 @@
   ): readonly RunnerOrder[] {
     const { runners, orders, now } = seen;
     const { name, scaling } = service;
-    const begun = orders.length > 0 || this.#isSettled(name, runners, now);
-    if (!begun) return [];
-    this.#noteReclaims(runners, now);
+    const started = orders.length > 0 || this.#isSettled(name, runners, now);
+    if (!started) return [];
+    this.#markReclaimed(runners, now);
     const domains = this.#domains(service, seen);
     const state = this.#stateOf(name, domains, orders);
     const ready = runners.filter(({ draining }) => !draining);
@@ -113,32 +113,35 @@
     const needed = state.need.estimate(now);
     const plan = planRunners(needed, scaling, domains);
     this.#logPlan(name, state, { needed, busy, ready: ready.length, plan });
-    return plan.flatMap((each) => ordersIn(name, each));
+    return plan.flatMap((each) => toOrders(name, each));
   }
 
-  /** While all start, runners enter one after the other. */
+  /** Whether the list is complete; while all start, runners are added one by one. */
   #isSettled(
     service: string,
     { length: count }: readonly Runner[],
     now: number,
   ): boolean {
-    const before = this.#listed.get(service);
+    const before = this.#peakListed.get(service);
     if (count === 0) return false;
     if (before === undefined || count > before.count) {
-      this.#listed.set(service, { count, since: now });
+      this.#peakListed.set(service, { count, since: now });
       return false;
     }
     return now - before.since >= SETTLED_MS;
   }
 
-  /** Where only some leave they are replaced, or were not wanted any more. */
-  #noteReclaims(runners: readonly Runner[], now: number): void {
+  /**
+   * Marks failure domains as depleted in which all preemptible runners drain. Where
+   * only some drain, they are being replaced or were scaled down.
+   */
+  #markReclaimed(runners: readonly Runner[], now: number): void {
     const preemptible = runners.filter((each) => each.preemptible);
     const byDomain = groupBy(preemptible, (each) => each.failureDomain);
-    for (const [failureDomain, ofDomain] of byDomain) {
-      if (!ofDomain.every(({ draining }) => draining)) continue;
-      const place = placeOf(ofDomain[0]!.service, failureDomain);
-      this.#depletedUntil.set(place, now + RECLAIMED_MS);
+    for (const [failureDomain, inDomain] of byDomain) {
+      if (!inDomain.every(({ draining }) => draining)) continue;
+      const pool = poolKey(inDomain[0]!.service, failureDomain);
+      this.#depletedUntil.set(pool, now + RECLAIMED_DEPLETION_MS);
     }
   }
 
@@ -158,7 +161,7 @@
         each.failureDomain === name && !each.draining
       );
       const preemptible = ready.filter((each) => each.preemptible).length;
-      const depletedUntil = this.#depletedUntil.get(placeOf(service, name)) ??
+      const depletedUntil = this.#depletedUntil.get(poolKey(service, name)) ??
         -Infinity;
       return {
         name,
@@ -177,15 +180,17 @@
   ): ServiceState {
     const known = this.#states.get(service);
     if (known !== undefined) return known;
-    const standing = domains
+    const serving = domains
       .reduce((sum, each) => sum + each.preemptible + each.regular, 0);
-    const need = new DemandEstimator(neededBefore(orders, domains) ?? standing);
+    const need = new DemandEstimator(
+      neededByPreviousLeader(orders, domains) ?? serving,
+    );
     const state = { need, logged: "" };
     this.#states.set(service, state);
     return state;
   }
 
-  /** How many runners' worth of work there is at this moment. */
+  /** Current load, in units of fully busy runners. */
   #busy({ engine }: ScaledService, ready: readonly Runner[]): number {
     return ready.reduce((sum, { id, slots }) => {
       const { inFlight, unreadTokens } = this.#sources.loads.of(id).total;
@@ -194,44 +199,44 @@
     }, 0);
   }
 
-  #isSound(service: string, scaling: Scaling): boolean {
+  #isValid(service: string, scaling: Scaling): boolean {
     const finding = validateScaling(scaling);
     if (finding === undefined) {
-      this.#unsound.delete(service);
+      this.#invalid.delete(service);
       return true;
     }
-    if (!this.#unsound.has(service)) {
-      this.#unsound.add(service);
+    if (!this.#invalid.has(service)) {
+      this.#invalid.add(service);
       const place = `${service}.${finding.place}`;
       this.#sources.log.event("scaling_invalid", { place, text: finding.text });
     }
     return false;
   }
 
-  #logPlan(service: string, state: ServiceState, told: {
+  #logPlan(service: string, state: ServiceState, details: {
     readonly needed: RunnersNeeded;
     readonly busy: number;
     readonly ready: number;
     readonly plan: readonly DomainPlan[];
   }): void {
-    const plan = told.plan
+    const plan = details.plan
       .map((each) => `${each.name}:${each.preemptible}+${each.regular}`)
       .join(",");
     if (plan === state.logged) return;
     state.logged = plan;
     this.#sources.log.event("runners_planned", {
       service,
-      needed_now: told.needed.now,
-      needed_most: told.needed.peak,
-      busy: Math.round(10 * told.busy) / 10,
-      ready: told.ready,
+      needed_now: details.needed.now,
+      needed_most: details.needed.peak,
+      busy: Math.round(10 * details.busy) / 10,
+      ready: details.ready,
       preemptible_and_regular: plan,
     });
   }
 }
 
-/** Runners that the leader before took to be needed; none if nobody led. */
-function neededBefore(
+/** Runners needed according to the previous leader's orders; none without one. */
+function neededByPreviousLeader(
   orders: readonly RunnerOrder[],
   domains: readonly DomainState[],
 ): number | undefined {
@@ -240,17 +245,17 @@
       .filter((each) => each.preemptible === preemptible)
       .reduce((sum, { runners }) => sum + runners, 0);
   if (orders.length === 0) return undefined;
-  // Beside preemptible ones others stand in for a while only.
+  // Regular runners beside preemptible ones only replace them temporarily.
   if (ordered(true) === 0) return ordered(false);
   const spare = domains.length > 1 ? 1 / domains.length : 0;
   return (1 - spare) * ordered(true);
 }
 
-function placeOf(service: string, failureDomain: string): string {
+function poolKey(service: string, failureDomain: string): string {
   return `${service} ${failureDomain}`;
 }
 
-function ordersIn(
+function toOrders(
   service: string,
   { name: failureDomain, preemptible, regular }: DomainPlan,
 ): readonly RunnerOrder[] {
--- a/packages/router/src/process/autoscaler_test.ts
+++ b/packages/router/src/process/autoscaler_test.ts
@@ -39,8 +39,8 @@
   }));
 }
 
-/** An autoscaler whose orders a platform follows at once. */
-class Played {
+/** An autoscaler with a simulated list of runners and set of orders. */
+class Simulation {
   readonly events: { readonly name: string; readonly fields: Fields }[] = [];
   readonly loads = new RunnerLoads();
   runners: readonly Runner[];
@@ -62,8 +62,8 @@
     });
   }
 
-  /** Looks from a moment on for some seconds, by the leader's steps. */
-  look(from: number, to: number): void {
+  /** Runs the autoscaler over a span of time, in the leader's steps of 200 ms. */
+  run(from: number, to: number): void {
     for (let now = from; now <= to; now += 200) {
       const wanted = this.scaler.desiredOrders(this.orders, now);
       if (wanted.length > 0) this.orders = wanted;
@@ -91,93 +91,96 @@
     .flatMap((domain) => runnersOf(domain, each, { preemptible: true }));
 }
 
-test("nothing is ordered while runners still enter themselves", () => {
-  const played = new Played(runnersOf("a", 8));
-  played.look(0, 2_000);
-  played.runners = standing();
-  played.look(2_200, 4_800);
-  assert.deepEqual(played.orders, []);
-  played.look(5_000, 5_400);
-  assert.equal(played.shown, "a:12+8 b:12+8 c:12+8");
+test("nothing is ordered while the list of runners is still growing", () => {
+  const simulation = new Simulation(runnersOf("a", 8));
+  simulation.run(0, 2_000);
+  simulation.runners = standing();
+  simulation.run(2_200, 4_800);
+  assert.deepEqual(simulation.orders, []);
+  simulation.run(5_000, 5_400);
+  assert.equal(simulation.shown, "a:12+8 b:12+8 c:12+8");
 });
 
-test("regular runners go when preemptible ones serve in their place", () => {
-  const played = new Played(standing());
-  played.look(0, 4_000);
-  played.runners = [...standing(), ...preemptible(12)];
-  played.look(4_200, 5_000);
-  assert.equal(played.shown, "a:12+0 b:12+0 c:12+0");
+test("regular runners are removed when preemptible ones serve in their place", () => {
+  const simulation = new Simulation(standing());
+  simulation.run(0, 4_000);
+  simulation.runners = [...standing(), ...preemptible(12)];
+  simulation.run(4_200, 5_000);
+  assert.equal(simulation.shown, "a:12+0 b:12+0 c:12+0");
 });
 
-test("a failure domain that is taken back is made up for at once", () => {
-  const played = new Played(standing());
-  played.look(0, 4_000);
-  played.runners = preemptible(12);
-  played.look(4_200, 5_000);
-  played.runners = [
+test("a reclaimed failure domain is compensated for at once", () => {
+  const simulation = new Simulation(standing());
+  simulation.run(0, 4_000);
+  simulation.runners = preemptible(12);
+  simulation.run(4_200, 5_000);
+  simulation.runners = [
     ...runnersOf("a", 12, { preemptible: true, draining: true }),
     ...runnersOf("b", 12, { preemptible: true }),
     ...runnersOf("c", 12, { preemptible: true }),
   ];
-  for (const { id } of played.runners) {
+  for (const { id } of simulation.runners) {
     const placed = { unreadTokens: 9_000, memoryTokens: 10_000, tight: false };
-    played.loads.of(id).place(placed, 5_000);
+    simulation.loads.of(id).place(placed, 5_000);
   }
-  played.look(5_200, 5_200);
-  assert.match(played.shown, /^a:0\+\d+ b:12\+0 c:12\+0$/);
-  played.look(5_400, 9_000);
-  const [, regular] = /^a:0\+(\d+)/.exec(played.shown)!;
-  assert.ok(Number(regular) > 0, played.shown);
+  simulation.run(5_200, 5_200);
+  assert.match(simulation.shown, /^a:0\+\d+ b:12\+0 c:12\+0$/);
+  simulation.run(5_400, 9_000);
+  const [, regular] = /^a:0\+(\d+)/.exec(simulation.shown)!;
+  assert.ok(Number(regular) > 0, simulation.shown);
 });
 
-test("some runners that leave are not taken for a failure domain taken back", () => {
-  const played = new Played(standing());
-  played.look(0, 4_000);
-  played.runners = preemptible(12)
+test("some draining runners do not count as a reclaimed failure domain", () => {
+  const simulation = new Simulation(standing());
+  simulation.run(0, 4_000);
+  simulation.runners = preemptible(12)
     .map((each, at) => at < 3 ? { ...each, draining: true } : each);
-  played.look(4_200, 5_000);
-  assert.equal(played.shown, "a:12+0 b:12+0 c:12+0");
+  simulation.run(4_200, 5_000);
+  assert.equal(simulation.shown, "a:12+0 b:12+0 c:12+0");
 });
 
-test("where there are none left, it is not asked for a while", () => {
-  const played = new Played(preemptible(8));
-  played.look(0, 4_000);
-  const [order] = played.orders;
-  played.scaler.recordNoneLeft(order!, 4_000);
-  played.look(4_200, 4_200);
-  assert.match(played.shown, /^a:8\+/);
-  played.look(7_200, 7_400);
-  assert.match(played.shown, /^a:12\+/);
+test("no preemptible runners are ordered for a while where none are left", () => {
+  const simulation = new Simulation(preemptible(8));
+  simulation.run(0, 4_000);
+  const [order] = simulation.orders;
+  simulation.scaler.recordNoneLeft(order!, 4_000);
+  simulation.run(4_200, 4_200);
+  assert.match(simulation.shown, /^a:8\+/);
+  simulation.run(7_200, 7_400);
+  assert.match(simulation.shown, /^a:12\+/);
 });
 
-test("a leader that follows another one goes on from its orders", () => {
-  const first = new Played(standing());
-  first.look(0, 4_000);
-  const next = new Played(preemptible(12));
-  next.orders = first.orders;
-  next.look(10_000, 10_400);
-  assert.equal(next.shown, "a:12+0 b:12+0 c:12+0");
+test("a new leader continues from the previous leader's orders", () => {
+  const first = new Simulation(standing());
+  first.run(0, 4_000);
+  const second = new Simulation(preemptible(12));
+  second.orders = first.orders;
+  second.run(10_000, 10_400);
+  assert.equal(second.shown, "a:12+0 b:12+0 c:12+0");
 });
 
-test("bounds that contradict each other order nothing, and are told once", () => {
+test("contradictory bounds order nothing and are logged once", () => {
   const scaling = { ...SERVICE.scaling!, least: 9, most: 4 };
-  const played = new Played(standing(), { ...SERVICE, scaling });
-  played.look(0, 9_000);
-  assert.deepEqual(played.orders, []);
-  assert.deepEqual(played.events.map(({ name, fields }) => [name, fields]), [
-    ["scaling_invalid", {
-      place: "drafting.scaling",
-      text: 'Needs whole numbers, "9" no more than "4"',
-    }],
-  ]);
+  const simulation = new Simulation(standing(), { ...SERVICE, scaling });
+  simulation.run(0, 9_000);
+  assert.deepEqual(simulation.orders, []);
+  assert.deepEqual(
+    simulation.events.map(({ name, fields }) => [name, fields]),
+    [
+      ["scaling_invalid", {
+        place: "drafting.scaling",
+        text: 'Needs integers with 0 <= least <= most, got "9" and "4"',
+      }],
+    ],
+  );
 });
 
-test("orders of a service stay while its bounds are unsound", () => {
-  const played = new Played(standing());
-  played.look(0, 4_000);
-  const before = played.shown;
+test("orders of a service are kept while its configuration is invalid", () => {
+  const simulation = new Simulation(standing());
+  simulation.run(0, 4_000);
+  const before = simulation.shown;
   const scaling = { ...SERVICE.scaling!, prices: { a: NaN } };
-  played.services = [{ ...SERVICE, scaling }];
-  played.look(4_200, 6_000);
-  assert.equal(played.shown, before);
+  simulation.services = [{ ...SERVICE, scaling }];
+  simulation.run(4_200, 6_000);
+  assert.equal(simulation.shown, before);
 });
--- a/packages/router/src/process/crash_entry.ts
+++ b/packages/router/src/process/crash_entry.ts
@@ -1,100 +1,106 @@
 /**
- * What is known of one request that was at runners which ended.
+ * Crashes of runners while they ran one request.
  *
  * @module
  */
 
-/** A run of a request at a runner that ended meanwhile; steady ms. */
+/** A run of a request at a runner that crashed meanwhile; times in monotonic ms. */
 export interface CrashedRun {
-  /** The same for each try of the request. */
+  /** Identifies the request across attempts. */
   readonly fingerprint: string;
-  /** Id of the runner's life that ended. */
+  /** Id of the runner's incarnation that crashed. */
   readonly runner: string;
   readonly startedAt: number;
   readonly endedAt: number;
 }
 
-/** A run of a request that its runner answered whole. */
+/** A run of a request that its runner completed. */
 export interface CompleteResponse {
   readonly fingerprint: string;
-  /** When the answer ended, in steady ms. */
+  /** End of the response, in monotonic ms. */
   readonly at: number;
 }
 
-/** Ends after which a request is not sent any more. */
-const ENDS = 3;
+/** Consecutive crashes after which a request is quarantined. */
+const CRASHES_TO_BLAME = 3;
 /**
- * The same for a request that has been answered whole before: one that comes over
- * and over may well be at three runners in turn that end for another reason.
+ * The same for a request that has completed before: one that is repeated often may
+ * well be at three runners in turn that crash for another reason.
  */
-const ENDS_ONCE_ANSWERED = 6;
-/** Runners that are remembered of one request. */
+const CRASHES_TO_BLAME_COMPLETED = 6;
+/** Crashed runs remembered per request. */
 const MAX_RUNS = 8;
 
-/** Ends of runners under one request, and answers to it. */
+/** Crashed runs of one request, and its last complete response. */
 export interface CrashEntry {
-  /** In the order of their ends. */
+  /** In the order of their crashes. */
   readonly runs: readonly CrashedRun[];
-  /** When it was answered whole, if ever. */
-  readonly answeredAt: number | undefined;
-  /** Ends in turn since then. */
-  readonly ends: number;
-  readonly lastEndAt: number;
+  /** End of its last complete response, if any. */
+  readonly completedAt: number | undefined;
+  /** Consecutive crashes since then. */
+  readonly crashes: number;
+  readonly lastCrashAt: number;
 }
 
-/** Of a request that was at no runner that ended. */
-export const NO_ENDS: CrashEntry = {
+/** The entry of a request without crashes. */
+export const EMPTY_ENTRY: CrashEntry = {
   runs: [],
-  answeredAt: undefined,
-  ends: 0,
-  lastEndAt: -Infinity,
+  completedAt: undefined,
+  crashes: 0,
+  lastCrashAt: -Infinity,
 };
 
-/** The entry with one more run; the oldest of too many are left out. */
+/** Returns the entry with one more run; drops the oldest beyond the maximum. */
 export function withRun(entry: CrashEntry, run: CrashedRun): CrashEntry {
   const runs = [...entry.runs, run]
     .sort((one, other) => one.endedAt - other.endedAt)
     .slice(-MAX_RUNS);
-  return entryOf(runs, entry.answeredAt);
+  return entryOf(runs, entry.completedAt);
 }
 
-/** The entry after the request was answered whole. */
-export function withAnswer(entry: CrashEntry, at: number): CrashEntry {
+/** Returns the entry after a complete response. */
+export function withCompletion(entry: CrashEntry, at: number): CrashEntry {
   return entryOf(entry.runs, at);
 }
 
-/** Whether the request has ended so many runners that it must not be sent. */
-export function isBlamed({ ends, answeredAt }: CrashEntry): boolean {
-  return ends >= (answeredAt === undefined ? ENDS : ENDS_ONCE_ANSWERED);
+/** Whether the request is blamed for so many crashes that it must not be sent. */
+export function isBlamed(
+  { crashes, completedAt }: CrashEntry,
+): boolean {
+  return crashes >=
+    (completedAt === undefined ? CRASHES_TO_BLAME : CRASHES_TO_BLAME_COMPLETED);
 }
 
 function entryOf(
   runs: readonly CrashedRun[],
-  answeredAt: number | undefined,
+  completedAt: number | undefined,
 ): CrashEntry {
   return {
     runs,
-    answeredAt,
-    ends: endsInTurn(runs, answeredAt ?? -Infinity),
-    lastEndAt: runs.at(-1)!.endedAt,
+    completedAt,
+    crashes: consecutiveCrashes(runs, completedAt ?? -Infinity),
+    lastCrashAt: runs.at(-1)!.endedAt,
   };
 }
 
 /**
- * How many runs each began after the one before had ended its runner. Runs that
- * overlap count once: when a failure domain loses power, all runners at which a
- * request is end at once, whatever the request.
+ * Counts the runs that each started after the crash of the one before. Overlapping
+ * runs count once: when a failure domain loses power, all runners that run a
+ * request crash at once, whatever the request.
  *
- * @param runs in the order of their ends.
- * @param since steady ms before which none counts.
+ * @param runs in the order of their crashes.
+ * @param since monotonic ms; runs that started earlier do not count.
  */
-function endsInTurn(runs: readonly CrashedRun[], since: number): number {
-  let ends = 0;
-  let free = since;
+function consecutiveCrashes(
+  runs: readonly CrashedRun[],
+  since: number,
+): number {
+  let crashes = 0;
+  let previousEnd = since;
   for (const { startedAt, endedAt } of runs) {
-    if (startedAt < free) continue;
-    ends += 1;
-    free = endedAt;
+    if (startedAt < previousEnd) continue;
+    crashes += 1;
+    previousEnd = endedAt;
   }
-  return ends;
+  return crashes;
 }
--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -1,10 +1,15 @@
 /**
- * Which requests were at runners when these ended, and which are therefore not
- * sent any more.
+ * Record of requests that were running when runners crashed, and quarantine of
+ * those that crash runners repeatedly.
  *
  * @module
  */
-import { isBlamed, NO_ENDS, withAnswer, withRun } from "./crash_entry.ts";
+import {
+  EMPTY_ENTRY,
+  isBlamed,
+  withCompletion,
+  withRun,
+} from "./crash_entry.ts";
 import type {
   CompleteResponse,
   CrashedRun,
@@ -12,95 +17,93 @@
 } from "./crash_entry.ts";
 import type { EventLog } from "./event_log.ts";
 
-/** What is to be told to other daemons, or was told by one. */
+/** Crashes and complete responses, as exchanged between daemons. */
 export interface CrashUpdate {
   readonly crashed: readonly CrashedRun[];
-  /** Runs of requests that were at runners which ended before or after. */
+  /** Completed runs of requests that have crashed runners as well. */
   readonly answers: readonly CompleteResponse[];
 }
 
 /** Why a request is not sent. */
 export interface Quarantine {
-  /** Runners that ended under it, one after the other. */
+  /** Consecutive crashes of runners that ran the request. */
   readonly crashes: number;
-  /** Steady ms of the last of these ends. */
+  /** Time of the last crash, in monotonic ms. */
   readonly lastCrashAt: number;
-  /** Milliseconds after which it may be sent again. */
+  /** Milliseconds until the request may be sent again. */
   readonly leftMs: number;
 }
 
-/** Milliseconds after the last end for which a request is not sent. */
+/** Duration of a quarantine in ms, from the last crash. */
 const QUARANTINE_MS = 600_000;
 /**
- * Milliseconds for which ends, and whole answers, are remembered. A request that
- * is sent again after its quarantine goes back to it at the first end.
+ * Milliseconds for which crashes and complete responses are remembered. A request
+ * that is sent again after its quarantine is quarantined at the next crash.
  */
 const MEMORY_MS = 3_600_000;
-/** Requests that are remembered: 2.6 MB at most, with eight runs of each. */
+/** Requests remembered for crashes: at most 2.6 MB, with eight runs each. */
 const MAX_REQUESTS = 2_000;
-/** Requests answered whole that are remembered: 0.24 MB. */
-const MAX_ANSWERS = 4_000;
-/** Runs of which a daemon is told that has just been met. */
-const MAX_TOLD = 200;
+/** Completed requests remembered: 0.24 MB. */
+const MAX_COMPLETED = 4_000;
+/** Runs sent to a daemon that has just connected. */
+const MAX_SNAPSHOT_RUNS = 200;
 /**
- * Milliseconds between two whole answers that count as one: what is told of them
- * goes several ways, and each gives it another age.
+ * Milliseconds within which two complete responses count as one: updates arrive
+ * over several paths, and each path yields a slightly different age.
  */
-const SAME_ANSWER_MS = 2_000;
+const SAME_RESPONSE_MS = 2_000;
 
 /**
- * Remembers, for each request that was at a runner which ended, at how many
- * runners that happened in turn. A request that crashes whatever runs it comes
- * again at any daemon, with another id each time: what is remembered of runners
- * alone has it sent to the next sound runner for as long as it comes.
+ * Counts, for each request that was at a crashing runner, the consecutive crashes.
+ * A request that crashes any runner is retried at any daemon, with another id each
+ * time. Health tracking of runners alone would send it to the next healthy runner
+ * as long as it is retried.
  *
- * All that is at a runner that ends is suspect. What tells the one that caused it
- * from the others is that it was sent again after an end and the next runner
- * ended as well: others are at one end, or are answered in between.
+ * All requests at a crashing runner are suspect. The one that caused the crash
+ * differs from the others in that it is sent again and the next runner crashes as
+ * well, whereas the others see one crash, or complete in between.
  *
  * @example
  * ```ts
  * const record = new CrashRecord(log);
- * record.crashed(runs, performance.now());
+ * record.recordCrashes(runs, performance.now());
  * record.quarantine(fingerprint, performance.now())?.leftMs;
  * ```
  */
 export class CrashRecord {
   readonly #log: EventLog;
-  /** By fingerprint, the one whose last end was noted first, first. */
+  /** By fingerprint, in the order in which their last crashes were recorded. */
   readonly #entries = new Map<string, CrashEntry>();
-  /** When requests were last answered whole, the oldest first. */
-  readonly #answers = new Map<string, number>();
+  /** Time of the last complete response by fingerprint, oldest first. */
+  readonly #completedAt = new Map<string, number>();
   readonly #listeners: (() => void)[] = [];
-  /** Called when a request is quarantined, by its fingerprint. */
+  /** Callbacks for the quarantine of a request, by fingerprint. */
   readonly #watchers = new Map<string, Set<() => void>>();
-  #crashedNews: CrashedRun[] = [];
-  #answerNews: CompleteResponse[] = [];
+  #crashUpdates: CrashedRun[] = [];
+  #responseUpdates: CompleteResponse[] = [];
 
   constructor(log: EventLog) {
     this.#log = log;
   }
 
-  /** Calls `listener` whenever something is noted here that others lack. */
+  /** Calls `listener` when this daemon has an update for other daemons. */
   onUpdate(listener: () => void): void {
     this.#listeners.push(listener);
   }
 
-  /** Why a request must not be sent to any runner now, if so. */
+  /** Returns the quarantine of a request that must not be sent now, if any. */
   quarantine(fingerprint: string, now: number): Quarantine | undefined {
     const entry = this.#entries.get(fingerprint);
     if (entry === undefined || !isBlamed(entry)) return undefined;
-    const { ends, lastEndAt } = entry;
-    const leftMs = lastEndAt + QUARANTINE_MS - now;
-    return leftMs > 0
-      ? { crashes: ends, lastCrashAt: lastEndAt, leftMs }
-      : undefined;
+    const { crashes, lastCrashAt } = entry;
+    const leftMs = lastCrashAt + QUARANTINE_MS - now;
+    return leftMs > 0 ? { crashes, lastCrashAt, leftMs } : undefined;
   }
 
   /**
-   * Calls `quarantined` if the request is quarantined from now on.
+   * Calls `quarantined` when the request is quarantined.
    *
-   * @returns what ends the watch.
+   * @returns a function that ends the watch.
    */
   watch(fingerprint: string, quarantined: () => void): () => void {
     const watchers = this.#watchers.get(fingerprint) ?? new Set();
@@ -112,145 +115,158 @@
     };
   }
 
-  /** Notes requests of this daemon that were at a runner when it ended. */
+  /** Records requests of this daemon that were at a runner when it crashed. */
   recordCrashes(runs: readonly CrashedRun[], now: number): void {
-    const news = runs.filter((run) => this.#add(run, now));
-    if (news.length === 0) return;
-    this.#crashedNews.push(...news);
-    this.#tell();
+    const added = runs.filter((run) => this.#add(run, now));
+    if (added.length === 0) return;
+    this.#crashUpdates.push(...added);
+    this.#notify();
   }
 
-  /** Notes that a runner has answered a request whole, here. */
+  /** Records that a runner has completed a request of this daemon. */
   recordResponse(fingerprint: string, now: number): void {
-    this.#remember({ fingerprint, at: now });
+    this.#rememberCompletion({ fingerprint, at: now });
     const entry = this.#entries.get(fingerprint);
-    if (entry === undefined || entry.ends === 0) return;
-    this.#vouch({ fingerprint, at: now });
+    if (entry === undefined || entry.crashes === 0) return;
+    this.#publishResponse({ fingerprint, at: now });
   }
 
   /**
-   * Takes what another daemon tells.
+   * Applies an update from another daemon.
    *
-   * @returns what was not known here, to be passed on.
+   * @returns the part that was new to this daemon, to be forwarded.
    */
   applyUpdate({ crashed, answers }: CrashUpdate, now: number): CrashUpdate {
     return {
       crashed: crashed.filter((run) => this.#add(run, now)),
-      answers: answers.filter((run) => this.#takeAnswer(run)),
+      answers: answers.filter((run) => this.#applyResponse(run)),
     };
   }
 
-  /** What was noted here since the last call. */
+  /** Returns the updates that originated here since the last call. */
   takeUpdates(): CrashUpdate {
-    const news = { crashed: this.#crashedNews, answers: this.#answerNews };
-    this.#crashedNews = [];
-    this.#answerNews = [];
-    return news;
+    const update = {
+      crashed: this.#crashUpdates,
+      answers: this.#responseUpdates,
+    };
+    this.#crashUpdates = [];
+    this.#responseUpdates = [];
+    return update;
   }
 
   /**
-   * What a daemon needs to know that has just been met: first of requests that
-   * are not sent any more, then what was noted last.
+   * Returns the state for a daemon that has just connected: first quarantined
+   * requests, then the most recently recorded ones.
    */
   snapshot(now: number): CrashUpdate {
-    this.#forgetOld(now);
+    this.#evict(now);
     const entries = [...this.#entries].reverse();
     const blamed = entries.filter(([, entry]) => isBlamed(entry));
     const others = entries.filter(([, entry]) => !isBlamed(entry));
     const crashed: CrashedRun[] = [];
     const answers: CompleteResponse[] = [];
-    for (const [fingerprint, { runs, answeredAt }] of [...blamed, ...others]) {
-      if (crashed.length + runs.length > MAX_TOLD) break;
+    for (
+      const [fingerprint, { runs, completedAt }] of [
+        ...blamed,
+        ...others,
+      ]
+    ) {
+      if (crashed.length + runs.length > MAX_SNAPSHOT_RUNS) break;
       crashed.push(...runs);
-      if (answeredAt !== undefined) {
-        answers.push({ fingerprint, at: answeredAt });
+      if (completedAt !== undefined) {
+        answers.push({ fingerprint, at: completedAt });
       }
     }
     return { crashed, answers };
   }
 
-  /** @returns whether the run was not known. */
+  /** @returns whether the run was new. */
   #add(run: CrashedRun, now: number): boolean {
     const { fingerprint, runner } = run;
-    this.#forgetOld(now);
-    const before = this.#entries.get(fingerprint) ?? NO_ENDS;
+    this.#evict(now);
+    const before = this.#entries.get(fingerprint) ?? EMPTY_ENTRY;
     const held = this.quarantine(fingerprint, now) !== undefined;
     if (now - run.endedAt > MEMORY_MS) return false;
     if (before.runs.some((each) => each.runner === runner)) return false;
-    const vouched = before.answeredAt === undefined &&
-      this.#answers.has(fingerprint);
+    const completedBefore = before.completedAt === undefined &&
+      this.#completedAt.has(fingerprint);
     this.#entries.delete(fingerprint);
     this.#entries.set(fingerprint, withRun(before, run));
-    if (vouched) {
-      this.#vouch({ fingerprint, at: this.#answers.get(fingerprint)! });
+    if (completedBefore) {
+      this.#publishResponse({
+        fingerprint,
+        at: this.#completedAt.get(fingerprint)!,
+      });
     }
     const begins = !held && this.quarantine(fingerprint, now) !== undefined;
-    if (begins) this.#quarantined(fingerprint);
+    if (begins) this.#startQuarantine(fingerprint);
     return true;
   }
 
-  /** Has it known here and elsewhere that a request does not end runners. */
-  #vouch(run: CompleteResponse): void {
-    if (!this.#clear(run)) return;
-    this.#answerNews.push(run);
-    this.#tell();
+  /** Records that a request completed, and queues this for other daemons. */
+  #publishResponse(run: CompleteResponse): void {
+    if (!this.#recordCompletion(run)) return;
+    this.#responseUpdates.push(run);
+    this.#notify();
   }
 
-  #takeAnswer(run: CompleteResponse): boolean {
-    const known = this.#answers.get(run.fingerprint) ?? -Infinity;
-    if (run.at - known <= SAME_ANSWER_MS) return false;
-    this.#remember(run);
-    this.#clear(run);
+  #applyResponse(run: CompleteResponse): boolean {
+    const known = this.#completedAt.get(run.fingerprint) ?? -Infinity;
+    if (run.at - known <= SAME_RESPONSE_MS) return false;
+    this.#rememberCompletion(run);
+    this.#recordCompletion(run);
     return true;
   }
 
-  /** @returns whether it changes what is known. */
-  #clear({ fingerprint, at }: CompleteResponse): boolean {
+  /** @returns whether the entry has changed. */
+  #recordCompletion({ fingerprint, at }: CompleteResponse): boolean {
     const entry = this.#entries.get(fingerprint);
     if (entry === undefined) return false;
-    if (entry.answeredAt !== undefined && at <= entry.answeredAt) return false;
-    this.#entries.set(fingerprint, withAnswer(entry, at));
+    if (entry.completedAt !== undefined && at <= entry.completedAt) {
+      return false;
+    }
+    this.#entries.set(fingerprint, withCompletion(entry, at));
     return true;
   }
 
-  #remember({ fingerprint, at }: CompleteResponse): void {
-    this.#answers.delete(fingerprint);
-    this.#answers.set(fingerprint, at);
-    for (const [oldest, since] of this.#answers) {
+  #rememberCompletion({ fingerprint, at }: CompleteResponse): void {
+    this.#completedAt.delete(fingerprint);
+    this.#completedAt.set(fingerprint, at);
+    for (const [oldest, since] of this.#completedAt) {
       const old = at - since > MEMORY_MS;
-      if (!old && this.#answers.size <= MAX_ANSWERS) break;
-      this.#answers.delete(oldest);
+      if (!old && this.#completedAt.size <= MAX_COMPLETED) break;
+      this.#completedAt.delete(oldest);
     }
   }
 
-  /** Makes room, first of what is too old, then of requests that are still sent. */
-  #forgetOld(now: number): void {
-    for (const [fingerprint, { lastEndAt }] of this.#entries) {
-      if (now - lastEndAt <= MEMORY_MS) break;
+  /** Evicts expired entries; if too many remain, the oldest, blamed ones last. */
+  #evict(now: number): void {
+    for (const [fingerprint, { lastCrashAt }] of this.#entries) {
+      if (now - lastCrashAt <= MEMORY_MS) break;
       this.#entries.delete(fingerprint);
     }
-    for (const unblamed of [true, false]) {
+    for (const keepBlamed of [true, false]) {
       for (const [fingerprint, entry] of this.#entries) {
         if (this.#entries.size <= MAX_REQUESTS) return;
-        if (unblamed && isBlamed(entry)) continue;
+        if (keepBlamed && isBlamed(entry)) continue;
         this.#entries.delete(fingerprint);
       }
     }
   }
 
-  #tell(): void {
+  #notify(): void {
     for (const listener of this.#listeners) listener();
   }
 
-  #quarantined(fingerprint: string): void {
+  #startQuarantine(fingerprint: string): void {
     const entry = this.#entries.get(fingerprint)!;
     for (const watcher of this.#watchers.get(fingerprint) ?? []) watcher();
     this.#log.event("request_quarantined", {
       fingerprint,
-      ends: entry.ends,
+      ends: entry.crashes,
       runners: entry.runs.map(({ runner }) => runner).join(","),
-      span_ms: Math.round(entry.lastEndAt - entry.runs[0]!.startedAt),
-      answered_before: entry.answeredAt !== undefined,
+      span_ms: Math.round(entry.lastCrashAt - entry.runs[0]!.startedAt),
+      answered_before: entry.completedAt !== undefined,
     });
   }
 }
--- a/packages/router/src/process/demand_estimator.ts
+++ b/packages/router/src/process/demand_estimator.ts
@@ -1,88 +1,90 @@
 /**
- * How many runners of a service the load needs.
+ * Estimation of how many runners of a service the load requires.
  *
  * @module
  */
 import { Decay } from "./decay.ts";
 
 /**
- * Part of the time in which a runner works, at most, while requests do not wait
- * long for each other: at this one a request waits about as long as one takes.
+ * Target utilization of a runner. At 0.5 a request waits about as long as one
+ * request takes to serve.
  */
-const BUSY_SHARE = 0.5;
-/** Milliseconds after which what was seen counts half of what is seen now. */
-const SEEN_MS = 1_500;
+const TARGET_UTILIZATION = 0.5;
+/** Half-life in ms of observations of the current load. */
+const LOAD_HALF_LIFE_MS = 1_500;
 /**
- * Milliseconds after which the most that was needed counts half. Bursts come
- * again, and a runner that is missed in one costs more than one that stands idle
- * until the next.
+ * Half-life in ms of the peak. Bursts recur, and a missing runner in a burst costs
+ * more than one that idles until the next burst.
  */
-const MOST_MS = 300_000;
-/** Part of what is held to which the need must fall before fewer are held. */
-const LOWER_SHARE = 0.7;
+const PEAK_HALF_LIFE_MS = 300_000;
+/** Fraction of the held count below which the need must fall to reduce it. */
+const RELEASE_FRACTION = 0.7;
 
-/** A number of runners that rises at once and falls in large steps. */
+/** Count with hysteresis: rises immediately and falls in large steps. */
 class HeldCount {
   #held = 0;
 
   of(runners: number): number {
     const needed = Math.ceil(runners);
-    const holds = needed <= this.#held && runners >= LOWER_SHARE * this.#held;
+    const holds = needed <= this.#held &&
+      runners >= RELEASE_FRACTION * this.#held;
     if (!holds) this.#held = needed;
     return this.#held;
   }
 }
 
-/** How many runners are needed. */
+/** Estimated numbers of runners needed. */
 export interface RunnersNeeded {
-  /** For what is seen now. */
+  /** For the current load. */
   readonly now: number;
-  /** For the worst that was seen lately. */
+  /** For the recent peak load. */
   readonly peak: number;
 }
 
 /**
- * Follows how many runners are busy and tells how many are needed, so that none
- * is for more than a part of the time. The most that is needed rises at once and
- * falls slowly.
+ * Estimates the number of runners needed from the number of busy ones, so that
+ * the utilization stays below its target. The peak rises at once and falls slowly.
  *
  * @example
  * ```ts
- * const need = new RunnerNeed(12);
- * need.see(7.5, now);
- * need.runners(now).most; // 12 and, if this goes on, 15
+ * const estimator = new DemandEstimator(12);
+ * estimator.observe(7.5, now);
+ * estimator.estimate(now).peak; // 12, and 15 if this load continues
  * ```
  */
 export class DemandEstimator {
-  readonly #age = new Decay(SEEN_MS);
-  readonly #mostAge = new Decay(MOST_MS);
+  readonly #loadDecay = new Decay(LOAD_HALF_LIFE_MS);
+  readonly #peakDecay = new Decay(PEAK_HALF_LIFE_MS);
   #busy = 0;
-  #most: number;
+  #peak: number;
   readonly #nowHeld = new HeldCount();
-  readonly #mostHeld = new HeldCount();
+  readonly #peakHeld = new HeldCount();
 
-  /** @param runners that are taken to be needed before anything was seen. */
+  /** @param runners initial peak, before any observation. */
   constructor(runners: number) {
-    this.#most = runners;
+    this.#peak = runners;
   }
 
-  /** Takes how many runners have work now, with parts of others. */
+  /** Adds an observation: the number of busy runners, fractions included. */
   observe(busy: number, now: number): void {
-    const left = this.#age.remaining(now);
-    this.#busy = left * this.#busy + (1 - left) * busy;
-    this.#most = Math.max(this.#decayed(now), this.#busy / BUSY_SHARE);
+    const weight = this.#loadDecay.remaining(now);
+    this.#busy = weight * this.#busy + (1 - weight) * busy;
+    this.#peak = Math.max(
+      this.#decayedPeak(now),
+      this.#busy / TARGET_UTILIZATION,
+    );
   }
 
-  /** Runners that are needed. */
+  /** Returns the numbers of runners needed. */
   estimate(now: number): RunnersNeeded {
-    this.#most = this.#decayed(now);
+    this.#peak = this.#decayedPeak(now);
     return {
-      now: this.#nowHeld.of(this.#busy / BUSY_SHARE),
-      peak: this.#mostHeld.of(this.#most),
+      now: this.#nowHeld.of(this.#busy / TARGET_UTILIZATION),
+      peak: this.#peakHeld.of(this.#peak),
     };
   }
 
-  #decayed(now: number): number {
-    return this.#most * this.#mostAge.remaining(now);
+  #decayedPeak(now: number): number {
+    return this.#peak * this.#peakDecay.remaining(now);
   }
 }
--- a/packages/router/src/process/order_tracker.ts
+++ b/packages/router/src/process/order_tracker.ts
@@ -1,5 +1,5 @@
 /**
- * Which orders for runners are to be sent, and when again.
+ * Delivery of orders for runners to the platform, with retries.
  *
  * @module
  */
@@ -8,83 +8,83 @@
 import { isSamePool } from "./runner_order.ts";
 import type { RunnerOrder, ScalingPolicy } from "./runner_order.ts";
 
-/** Milliseconds until a failed order is sent again; doubled up to the longest. */
-const FIRST_RETRY_MS = 400;
-const LONGEST_RETRY_MS = 6_400;
+/** Backoff in ms after the first failed attempt; doubled up to the longest. */
+const INITIAL_RETRY_MS = 400;
+const MAX_RETRY_MS = 6_400;
 
-interface Sending {
+interface SentOrder {
   readonly order: RunnerOrder;
   readonly accepted: boolean;
   readonly retryMs: number;
-  /** Steady ms. */
+  /** Earliest retry, in monotonic ms. */
   readonly notBefore: number;
 }
 
-/** Keeps what became of the orders of one term. */
+/** Tracks which orders of one leader's term have been accepted by the platform. */
 export class OrderTracker {
-  readonly #demand: ScalingPolicy | undefined;
+  readonly #policy: ScalingPolicy | undefined;
   readonly #log: EventLog;
-  #sent: readonly Sending[] = [];
+  #sent: readonly SentOrder[] = [];
 
-  constructor(demand: ScalingPolicy | undefined, log: EventLog) {
-    this.#demand = demand;
+  constructor(policy: ScalingPolicy | undefined, log: EventLog) {
+    this.#policy = policy;
     this.#log = log;
   }
 
-  /** A new term: whether an earlier leader's orders arrived is not known. */
+  /** Starts a new term: whether an earlier leader's orders arrived is unknown. */
   reset(): void {
     this.#sent = [];
   }
 
-  /** The orders as they should stand, if that differs from how they stand. */
+  /** Returns all orders as they should be, or nothing if none has changed. */
   reconcile(
     orders: readonly RunnerOrder[],
     now: number,
   ): readonly RunnerOrder[] | undefined {
-    const wanted = this.#demand?.desiredOrders(orders, now) ?? [];
-    const changed = wanted.filter((each) =>
-      runnersOf(orders, each) !== each.runners
+    const desired = this.#policy?.desiredOrders(orders, now) ?? [];
+    const changed = desired.filter((order) =>
+      runnersOf(orders, order) !== order.runners
     );
     if (changed.length === 0) return undefined;
-    const kept = orders.filter((each) =>
-      !changed.some((other) => isSamePool(each, other))
+    const kept = orders.filter((order) =>
+      !changed.some((other) => isSamePool(order, other))
     );
     return [...kept, ...changed];
   }
 
-  /** Orders that have to be sent now. */
+  /** Orders that have to be sent now: changed ones and due retries. */
   due(orders: readonly RunnerOrder[], now: number): readonly RunnerOrder[] {
     const due = orders.filter((order) => {
-      const sending = this.#sendingOf(order);
-      if (sending?.order.runners !== order.runners) return true;
-      return !sending.accepted && now >= sending.notBefore;
+      const sentOrder = this.#sentOrderOf(order);
+      if (sentOrder?.order.runners !== order.runners) return true;
+      return !sentOrder.accepted && now >= sentOrder.notBefore;
     });
-    // Bounds hold for both kinds together: the fewer ones make room for others.
-    const isMore = ({ preemptible, runners }: RunnerOrder) =>
+    // Bounds apply to both kinds together: orders that make room are sent first.
+    const needsRoom = ({ preemptible, runners }: RunnerOrder) =>
       preemptible && runners > 0;
     return [
-      ...due.filter((each) => !isMore(each)),
-      ...due.filter(isMore),
+      ...due.filter((order) => !needsRoom(order)),
+      ...due.filter(needsRoom),
     ];
   }
 
-  /** An order has been sent. */
+  /** Records the platform's answer to an order. */
   recordResult(order: RunnerOrder, end: CallEnd, sent: {
     readonly fencing: number;
     readonly now: number;
   }): void {
-    const before = this.#sendingOf(order);
-    const again = before?.order.runners === order.runners;
-    const retryMs = again
-      ? Math.min(LONGEST_RETRY_MS, 2 * before.retryMs)
-      : FIRST_RETRY_MS;
+    const before = this.#sentOrderOf(order);
+    const isRetry = before?.order.runners === order.runners;
+    const retryMs = isRetry
+      ? Math.min(MAX_RETRY_MS, 2 * before.retryMs)
+      : INITIAL_RETRY_MS;
     const accepted = end.kind === "accepted";
     const notBefore = sent.now + retryMs;
     this.#sent = [
-      ...this.#sent.filter((each) => !isSamePool(each.order, order)),
+      ...this.#sent.filter((other) => !isSamePool(other.order, order)),
       { order, accepted, retryMs, notBefore },
     ];
-    if (end.kind === "none-left") this.#demand?.recordNoneLeft(order, sent.now);
+    if (end.kind === "none-left") this.#policy?.recordNoneLeft(order, sent.now);
     this.#log.event("runners_ordered", {
       service: order.service,
       failure_domain: order.failureDomain,
@@ -96,8 +96,8 @@
     });
   }
 
-  #sendingOf(order: RunnerOrder): Sending | undefined {
-    return this.#sent.find((each) => isSamePool(each.order, order));
+  #sentOrderOf(order: RunnerOrder): SentOrder | undefined {
+    return this.#sent.find((other) => isSamePool(other.order, order));
   }
 }
 
@@ -105,5 +105,5 @@
   orders: readonly RunnerOrder[],
   order: RunnerOrder,
 ): number | undefined {
-  return orders.find((each) => isSamePool(each, order))?.runners;
+  return orders.find((other) => isSamePool(other, order))?.runners;
 }
--- a/packages/router/src/process/order_tracker_test.ts
+++ b/packages/router/src/process/order_tracker_test.ts
@@ -15,63 +15,63 @@
   };
 }
 
-/** A desk for what is wanted, and the orders of which there were none left. */
-function deskFor(wanted: readonly RunnerOrder[]) {
+/** A tracker for desired orders, and the orders recorded as having none left. */
+function trackerFor(desired: readonly RunnerOrder[]) {
   const noneLeft: RunnerOrder[] = [];
   const demand: ScalingPolicy = {
-    desiredOrders: () => wanted,
-    recordNoneLeft: (each) => void noneLeft.push(each),
+    desiredOrders: () => desired,
+    recordNoneLeft: (refused) => void noneLeft.push(refused),
   };
-  return { desk: new OrderTracker(demand, SILENT_LOG), noneLeft };
+  return { tracker: new OrderTracker(demand, SILENT_LOG), noneLeft };
 }
 
 const ACCEPTED: CallEnd = { kind: "accepted" };
 const FAILED: CallEnd = { kind: "failed", reason: "No answer in time" };
 
-test("only what differs from how it stands is decided", () => {
+test("only changed orders are replaced", () => {
   const other = order({ failureDomain: "b" });
-  const { desk } = deskFor([order({ runners: 7 }), other]);
-  const decided = desk.reconcile([order(), other], 0);
-  assert.deepEqual(decided, [other, order({ runners: 7 })]);
-  assert.equal(desk.reconcile(decided!, 0), undefined);
+  const { tracker } = trackerFor([order({ runners: 7 }), other]);
+  const reconciled = tracker.reconcile([order(), other], 0);
+  assert.deepEqual(reconciled, [other, order({ runners: 7 })]);
+  assert.equal(tracker.reconcile(reconciled!, 0), undefined);
 });
 
-test("an order that was accepted is not sent again", () => {
-  const { desk } = deskFor([]);
-  assert.deepEqual(desk.due([order()], 0), [order()]);
-  desk.recordResult(order(), ACCEPTED, { fencing: 1, now: 0 });
-  assert.deepEqual(desk.due([order()], 60_000), []);
+test("an accepted order is not sent again", () => {
+  const { tracker } = trackerFor([]);
+  assert.deepEqual(tracker.due([order()], 0), [order()]);
+  tracker.recordResult(order(), ACCEPTED, { fencing: 1, now: 0 });
+  assert.deepEqual(tracker.due([order()], 60_000), []);
   const more = order({ runners: 6 });
-  assert.deepEqual(desk.due([more], 60_000), [more]);
+  assert.deepEqual(tracker.due([more], 60_000), [more]);
 });
 
-test("an order without an answer is sent again, less and less often", () => {
-  const { desk } = deskFor([]);
+test("a failed order is retried with exponential backoff", () => {
+  const { tracker } = trackerFor([]);
   const sentAt: number[] = [];
   for (let now = 0; now < 20_000; now += 100) {
-    for (const each of desk.due([order()], now)) {
+    for (const due of tracker.due([order()], now)) {
       sentAt.push(now);
-      desk.recordResult(each, FAILED, { fencing: 1, now });
+      tracker.recordResult(due, FAILED, { fencing: 1, now });
     }
   }
   assert.deepEqual(sentAt, [0, 400, 1_200, 2_800, 6_000, 12_400, 18_800]);
 });
 
-test("a new leader sends what stands, as it may not have arrived", () => {
-  const { desk } = deskFor([]);
-  desk.recordResult(order(), ACCEPTED, { fencing: 1, now: 0 });
-  desk.reset();
-  assert.deepEqual(desk.due([order()], 100), [order()]);
+test("a new leader sends all orders again, as they may not have arrived", () => {
+  const { tracker } = trackerFor([]);
+  tracker.recordResult(order(), ACCEPTED, { fencing: 1, now: 0 });
+  tracker.reset();
+  assert.deepEqual(tracker.due([order()], 100), [order()]);
 });
 
-test("that there are none left is told to who decides", () => {
-  const { desk, noneLeft } = deskFor([]);
-  desk.recordResult(order(), { kind: "none-left" }, { fencing: 1, now: 0 });
+test("the scaling policy learns that none are left", () => {
+  const { tracker, noneLeft } = trackerFor([]);
+  tracker.recordResult(order(), { kind: "none-left" }, { fencing: 1, now: 0 });
   assert.deepEqual(noneLeft, [order()]);
 });
 
-test("fewer runners of one kind are ordered before more of the other", () => {
-  const { desk } = deskFor([]);
+test("fewer regular runners are ordered before more preemptible ones", () => {
+  const { tracker } = trackerFor([]);
   const fewer = order({ preemptible: false, runners: 1 });
-  assert.deepEqual(desk.due([order(), fewer], 0), [fewer, order()]);
+  assert.deepEqual(tracker.due([order(), fewer], 0), [fewer, order()]);
 });
--- a/packages/router/src/process/runner_order.ts
+++ b/packages/router/src/process/runner_order.ts
@@ -1,34 +1,34 @@
 /**
- * How many runners are ordered from the platform.
+ * Orders for runners that are placed with the platform.
  *
  * @module
  */
 
-/** A place where runners of one kind are ordered. */
+/** Runners of one kind, for one service in one failure domain. */
 export interface RunnerPool {
   readonly service: string;
   readonly failureDomain: string;
-  /** Whether its runners cost less and may be taken back. */
+  /** Whether its runners are cheaper and may be reclaimed by the platform. */
   readonly preemptible: boolean;
 }
 
-/** The number of runners that a place shall have. */
+/** Number of runners that a pool should have. */
 export interface RunnerOrder extends RunnerPool {
   readonly runners: number;
 }
 
-/** How many runners are wanted now. */
+/** Decides how many runners to order. */
 export interface ScalingPolicy {
-  /** The orders that fit what is known; those that fit already may be left out. */
+  /** Returns the orders for the current load; unchanged ones may be left out. */
   desiredOrders(
     orders: readonly RunnerOrder[],
     now: number,
   ): readonly RunnerOrder[];
-  /** There are no runners of an order to be had. */
+  /** Records that the platform has no runners left for an order. */
   recordNoneLeft(order: RunnerOrder, now: number): void;
 }
 
-/** Whether both name the same place and kind. */
+/** Whether both are for the same service, failure domain and kind. */
 export function isSamePool(one: RunnerPool, other: RunnerPool): boolean {
   return one.service === other.service &&
     one.failureDomain === other.failureDomain &&
--- a/packages/router/src/process/runner_plan.ts
+++ b/packages/router/src/process/runner_plan.ts
@@ -1,5 +1,5 @@
 /**
- * How many runners of each kind are ordered, and where.
+ * Planning of preemptible and regular runners per failure domain.
  *
  * @module
  */
@@ -7,26 +7,26 @@
 import type { RunnersNeeded } from "./demand_estimator.ts";
 import type { Scaling } from "./scaling.ts";
 
-/** What an operator allows. */
+/** Bounds and prices configured by an operator. */
 export type ScalingBounds = Pick<
   Scaling,
   "least" | "most" | "preemptiblePrice"
 >;
 
-/** A failure domain with runners of a service. */
+/** Runners of a service in one failure domain, and their price. */
 export interface DomainState {
   readonly name: string;
-  /** Price of its runners against that of others. */
+  /** Price of its runners relative to other failure domains. */
   readonly price: number;
-  /** Preemptible runners that serve. */
+  /** Preemptible runners in service. */
   readonly preemptible: number;
-  /** Others that serve. */
+  /** Regular runners in service. */
   readonly regular: number;
-  /** Whether preemptible runners leave there, or are not to be had. */
+  /** Whether preemptible runners are being reclaimed there or are unavailable. */
   readonly depleted: boolean;
 }
 
-/** Numbers for one failure domain. */
+/** Planned numbers of runners in one failure domain. */
 export interface DomainPlan {
   readonly name: string;
   readonly preemptible: number;
@@ -34,15 +34,16 @@
 }
 
 /**
- * Plans so that what is needed is there also after the platform has taken back
- * all preemptible runners of one failure domain, at the least price: preemptible
- * ones in all domains, so many that those of the others suffice. Where there are
- * none to be had, the other domains get more, and what is missing at the moment
- * comes as regular runners. Regular ones go only as others serve in their place.
+ * Plans the cheapest set of runners that suffices even after the platform has
+ * reclaimed all preemptible runners of one failure domain: each domain gets so
+ * many preemptible runners that those of the other domains are enough. Where none
+ * are available, the other domains get more, and regular runners cover what is
+ * missing at the moment. Regular runners are removed only once others serve in
+ * their place.
  *
  * @example
  * ```ts
- * const needed = { now: 8, most: 20 };
+ * const needed = { now: 8, peak: 20 };
  * planRunners(needed, bounds, domains); // 10 preemptible in each of three domains
  * ```
  */
@@ -52,7 +53,7 @@
   domains: readonly DomainState[],
 ): readonly DomainPlan[] {
   const perDomain = preemptiblePerDomain(needed.peak, bounds, domains);
-  const serving = sum(domains, (each) => each.preemptible + each.regular);
+  const serving = sum(domains, (domain) => domain.preemptible + domain.regular);
   const spare = Math.max(0, serving - needed.peak);
   const preemptible = planPreemptible(perDomain, bounds, domains, {
     replaceable: Math.floor(spare / Math.max(1, domains.length)),
@@ -66,7 +67,7 @@
   }));
 }
 
-/** Preemptible runners that each failure domain should have. */
+/** Target number of preemptible runners in each failure domain. */
 function preemptiblePerDomain(
   needed: number,
   { most, preemptiblePrice }: ScalingBounds,
@@ -74,16 +75,16 @@
 ): number {
   if (preemptiblePrice === undefined || preemptiblePrice >= 1) return 0;
   const available = domains.filter(({ depleted }) => !depleted).length;
-  // While one domain is lost already, no second loss is planned for.
+  // While one domain is already depleted, no second loss is planned for.
   const sharing = available < domains.length ? available : available - 1;
   return Math.min(most, Math.ceil(needed / Math.max(1, sharing)));
 }
 
 /**
- * Preemptible runners by failure domain, as far as they may be ordered now.
+ * Preemptible runners to order now, by failure domain.
  *
- * @param options how many regular ones a domain can do without while others
- * start.
+ * @param options how many regular runners a domain can give up while preemptible
+ * ones start.
  */
 function planPreemptible(
   perDomain: number,
@@ -98,10 +99,10 @@
   }));
 }
 
-/** Regular runners that are wanted in all, and whether more may come. */
+/** Total of regular runners wanted, and whether new ones may be ordered. */
 interface RegularWanted {
   readonly runners: number;
-  /** Otherwise only some of those that there are stay. */
+  /** Whether to order new ones; otherwise only existing ones are kept. */
   readonly more: boolean;
 }
 
@@ -110,16 +111,16 @@
   perDomain: number,
   domains: readonly DomainState[],
 ): RegularWanted {
-  const serving = sum(domains, (each) => each.preemptible);
-  const depleted = domains.some((each) => each.depleted);
-  // Without preemptible ones, regular runners are all that there is.
+  const serving = sum(domains, (domain) => domain.preemptible);
+  const depleted = domains.some((domain) => domain.depleted);
+  // Without preemptible runners, regular ones cover the whole need.
   if (perDomain === 0) return { runners: needed.peak - serving, more: true };
   const total = perDomain * domains.length;
   if (!depleted) return { runners: total - serving, more: false };
   return { runners: Math.min(needed.now, total) - serving, more: true };
 }
 
-/** Regular runners by failure domain: those that are there first, then cheap ones. */
+/** Regular runners by failure domain: existing ones first, then the cheapest. */
 function planRegular(
   wanted: RegularWanted,
   { least, most }: ScalingBounds,
@@ -150,5 +151,5 @@
 }
 
 function sum<T>(items: readonly T[], of: (item: T) => number): number {
-  return items.reduce((total, each) => total + of(each), 0);
+  return items.reduce((total, item) => total + of(item), 0);
 }
--- a/packages/router/src/process/runner_plan_test.ts
+++ b/packages/router/src/process/runner_plan_test.ts
@@ -12,12 +12,12 @@
   return { name, ...empty, ...fields };
 }
 
-/** Three failure domains of which all have the same. */
+/** Three failure domains in the same state. */
 function three(fields: Partial<DomainState> = {}): readonly DomainState[] {
   return ["a", "b", "c"].map((name) => domain(name, fields));
 }
 
-/** A need that is now what it was at most. */
+/** A current need that equals the peak. */
 function steady(runners: number): RunnersNeeded {
   return { now: runners, peak: runners };
 }
@@ -30,12 +30,12 @@
     .join(" ");
 }
 
-test("what is needed is there when one failure domain is taken back", () => {
+test("the plan suffices when one failure domain is reclaimed", () => {
   const plan = planRunners(steady(20), BOUNDS, three({ preemptible: 10 }));
   assert.equal(shown(plan), "a:10+0 b:10+0 c:10+0");
 });
 
-test("regular runners stay until preemptible ones serve in their place", () => {
+test("regular runners are kept until preemptible ones serve in their place", () => {
   const standing = three({ regular: 10 });
   const first = planRunners(steady(20), BOUNDS, standing);
   assert.equal(shown(first), "a:10+10 b:10+10 c:10+10");
@@ -46,13 +46,13 @@
   );
 });
 
-test("bounds hold for both kinds together while one follows the other", () => {
+test("bounds apply to both kinds together while one replaces the other", () => {
   const bounds = { ...BOUNDS, most: 8 };
   const plan = planRunners(steady(12), bounds, three({ regular: 6 }));
   assert.equal(shown(plan), "a:4+4 b:4+4 c:4+4");
 });
 
-test("regular runners go again when the others come back", () => {
+test("regular runners are removed when preemptible ones are back", () => {
   const [a, ...others] = three({ preemptible: 8 });
   const bounds = { ...BOUNDS, most: 8 };
   const before = { ...a!, preemptible: 0, regular: 8 };
@@ -61,27 +61,27 @@
   assert.equal(shown(plan), "a:3+5 b:7+0 c:7+0");
 });
 
-test("the other domains make up for one that is taken back", () => {
+test("the other failure domains compensate for a reclaimed one", () => {
   const [a, ...others] = three({ preemptible: 10 });
   const lost = { ...a!, preemptible: 0, depleted: true };
   const plan = planRunners(steady(30), BOUNDS, [lost, ...others]);
   assert.equal(shown(plan), "a:0+10 b:15+0 c:15+0");
 });
 
-test("regular runners come where no others are to be had, cheap ones first", () => {
+test("regular runners replace unavailable preemptible ones, cheapest first", () => {
   const [a, b, c] = three({ depleted: true, preemptible: 5 });
   const domains = [a!, { ...b!, price: 0.5 }, { ...c!, preemptible: 0 }];
   const plan = planRunners(steady(12), { ...BOUNDS, most: 10 }, domains);
   assert.equal(shown(plan), "a:5+0 b:5+1 c:0+1");
 });
 
-test("without a price for preemptible runners all are regular", () => {
+test("without a price for preemptible runners, all runners are regular", () => {
   const bounds = { ...BOUNDS, preemptiblePrice: undefined };
   const plan = planRunners(steady(7), bounds, three({ regular: 4 }));
   assert.equal(shown(plan), "a:0+4 b:0+2 c:0+1");
 });
 
-test("no plan leaves the bounds of the operators", () => {
+test("every plan keeps to the configured bounds", () => {
   const state = fc.record({
     price: fc.constantFrom(0.85, 1, 1.2),
     preemptible: fc.nat(12),
