--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -42,7 +42,7 @@
 }
 
 /** Tells that all runners which are left have had what they take. */
-export function logLimited(
+export function logLimitsReached(
   daemon: Daemon,
   subject: RoutedRequest,
   limits: {
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -8,7 +8,7 @@
 import type { QueueKey } from "../process/runner_queue.ts";
 import type { Daemon } from "./daemon.ts";
 import type { Demand } from "./demand.ts";
-import { logLimited, logOverload, logWait } from "./exchange_log.ts";
+import { logLimitsReached, logOverload, logWait } from "./exchange_log.ts";
 import { finishesInTime } from "./completion_check.ts";
 import { chooseRunner, hasCapacity } from "./placement.ts";
 import type { RunnerChoice } from "./placement.ts";
@@ -184,7 +184,7 @@
     const { limits } = this.#daemon;
     const hope = limited.some(({ id }) => limits.hasShare(id, now));
     if (hope && now <= until && !this.#limits.isAbandoned()) return true;
-    logLimited(this.#daemon, this.#subject, {
+    logLimitsReached(this.#daemon, this.#subject, {
       limited: limited.length,
       waitedMs: now - this.#limits.receivedAt,
       hasPart: hope,
