--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -63,7 +63,7 @@
 }
 
 /** Tells that a request waits for a runner, and for what. */
-export function logWait(
+export function logCapacityWait(
   daemon: Daemon,
   subject: RoutedRequest,
   wait: { readonly choice: RunnerChoice; readonly turn: QueueKey },
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -8,7 +8,11 @@
 import type { QueueKey } from "../process/runner_queue.ts";
 import type { Daemon } from "./daemon.ts";
 import type { Demand } from "./demand.ts";
-import { logLimitsReached, logOverload, logWait } from "./exchange_log.ts";
+import {
+  logCapacityWait,
+  logLimitsReached,
+  logOverload,
+} from "./exchange_log.ts";
 import { finishesInTime } from "./completion_check.ts";
 import { chooseRunner, hasCapacity } from "./placement.ts";
 import type { RunnerChoice } from "./placement.ts";
@@ -221,7 +225,7 @@
       now: this.#daemon.now(),
     });
     if (!begun) return;
-    logWait(this.#daemon, this.#subject, { choice, turn: this.#turn });
+    logCapacityWait(this.#daemon, this.#subject, { choice, turn: this.#turn });
   }
 
   /** Looks at one runner until it has room and the wait is settled. */
