--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -12,7 +12,7 @@
 import type { ResponseHead } from "./dialect.ts";
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
-import { logChoice } from "./exchange_log.ts";
+import { logRunnerChosen } from "./exchange_log.ts";
 import type { Outcome } from "./outcome.ts";
 import type { OwnOutcomes } from "./local_outcomes.ts";
 import type { RunnerChoice } from "./placement.ts";
@@ -84,7 +84,7 @@
     };
     const sentAt = this.#daemon.now();
     this.#progress.tried.add(runner.id);
-    logChoice(this.#daemon, subject, { choice, fingerprint, leftMs });
+    logRunnerChosen(this.#daemon, subject, { choice, fingerprint, leftMs });
     load.place(placed, sentAt);
     this.#daemon.prefixes.recordSent(runner.id, call.prompt, sentAt);
     const attempt = createAttempt(this.#daemon, subject, {
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -99,7 +99,7 @@
 }
 
 /** Tells which runner was chosen, and what was known of it. */
-export function logChoice(
+export function logRunnerChosen(
   daemon: Daemon,
   subject: RoutedRequest,
   chosen: {
