--- a/packages/router/src/connection/apply_update.ts
+++ b/packages/router/src/connection/apply_update.ts
@@ -1,5 +1,5 @@
 /**
- * Taking what a neighbour tells of runners.
+ * Applies the updates that neighbours send to the state that daemons share.
  *
  * @module
  */
@@ -10,11 +10,11 @@
 import type { FleetTime } from "../process/fleet_time.ts";
 import type { LeaderLease } from "../process/leader_lease.ts";
 import type { UsageMeter } from "../process/usage_meter.ts";
-import { newsOf } from "./crash_ages.ts";
+import { fromAges } from "./crash_ages.ts";
 import type { ReceivedUpdate } from "./update_broadcaster.ts";
 import type { RunnerLoadEntry, StateUpdate } from "./peer_message.ts";
 
-/** What daemons tell each other of runners. */
+/** State of runners that daemons exchange. */
 export interface SharedRunnerState {
   readonly loads: RunnerLoads;
   readonly prefixes: PrefixIndex;
@@ -22,57 +22,57 @@
   readonly limits: RunnerLimits;
 }
 
-/** What daemons tell each other so that one of them can act for all. */
+/** State that daemons exchange for the leader. */
 export interface SharedLeaderState {
   readonly time: FleetTime;
-  /** Absent where nobody asks for usage. */
+  /** Absent where usage is not reported. */
   readonly usage: UsageMeter | undefined;
-  /** Absent where nothing is done by one daemon for all. */
+  /** Absent where there is no leader. */
   readonly lease: LeaderLease | undefined;
 }
 
 /**
- * Takes what a neighbour tells.
+ * Applies an update from a neighbour.
  *
- * @returns what of it others may lack.
+ * @returns the changes that other neighbours may not have received yet.
  */
 export function applyUpdate(
-  known: SharedRunnerState & SharedLeaderState,
+  shared: SharedRunnerState & SharedLeaderState,
   neighbour: string,
-  state: StateUpdate,
+  update: StateUpdate,
 ): ReceivedUpdate {
-  const { whole, loads, parts, crashes, limits } = state;
+  const { whole, loads, parts, crashes, limits } = update;
   const now = performance.now();
-  const { timeMs, lease } = state;
-  if (timeMs !== undefined) known.time.toldBy(neighbour, timeMs);
+  const { timeMs, lease } = update;
+  if (timeMs !== undefined) shared.time.toldBy(neighbour, timeMs);
   if (lease !== undefined) {
-    known.lease?.observe({ ...lease, at: now - lease.agoMs });
+    shared.lease?.observe({ ...lease, at: now - lease.agoMs });
   }
-  const changed = new Set(whole ? known.loads.removeNeighbour(neighbour) : []);
-  for (const share of loads) {
-    changed.add(share.runner);
-    takeLoad(known.loads, neighbour, { share, now });
+  const changed = new Set(whole ? shared.loads.removeNeighbour(neighbour) : []);
+  for (const load of loads) {
+    changed.add(load.runner);
+    applyLoad(shared.loads, neighbour, { load, now });
   }
-  for (const news of parts) known.prefixes.applyUpdate(news, now);
+  for (const each of parts) shared.prefixes.applyUpdate(each, now);
   return {
     changed,
     parts,
-    crashes: known.crashes.applyUpdate(newsOf(crashes, now), now),
-    limits: known.limits.applyUpdates(
-      limits.map(({ agoMs, ...news }) => ({ ...news, at: now - agoMs })),
+    crashes: shared.crashes.applyUpdate(fromAges(crashes, now), now),
+    limits: shared.limits.applyUpdates(
+      limits.map(({ agoMs, ...limit }) => ({ ...limit, at: now - agoMs })),
       now,
     ),
-    usage: known.usage?.take(state.usage) ?? [],
+    usage: shared.usage?.take(update.usage) ?? [],
     urgent: loads.some(({ waiting }) => waiting.length > 0),
   };
 }
 
-function takeLoad(loads: RunnerLoads, neighbour: string, told: {
-  readonly share: RunnerLoadEntry;
+function applyLoad(loads: RunnerLoads, neighbour: string, received: {
+  readonly load: RunnerLoadEntry;
   readonly now: number;
 }): void {
-  const { share, now } = told;
-  const waiting = share.waiting.map(
+  const { load, now } = received;
+  const waiting = load.waiting.map(
     ({ rank, ageMs, leftMs, requests, unreadTokens }) => ({
       rank,
       requests,
@@ -81,5 +81,5 @@
       startBy: now + leftMs,
     }),
   );
-  loads.of(share.runner).setNeighbourLoad(neighbour, share, { now, waiting });
+  loads.of(load.runner).setNeighbourLoad(neighbour, load, { now, waiting });
 }
--- a/packages/router/src/connection/crash_ages.ts
+++ b/packages/router/src/connection/crash_ages.ts
@@ -39,7 +39,7 @@
 }
 
 /** Puts news in ages, for a message that is sent now. */
-export function agesOf(
+export function toAges(
   { crashed, answers }: CrashUpdate,
   now: number,
 ): CrashAges {
@@ -61,7 +61,7 @@
 }
 
 /** Reads ages of a message that came now. */
-export function newsOf(
+export function fromAges(
   { crashed, answers }: CrashAges,
   now: number,
 ): CrashUpdate {
--- a/packages/router/src/connection/peer_encoding.ts
+++ b/packages/router/src/connection/peer_encoding.ts
@@ -1,5 +1,5 @@
 /**
- * How messages between daemons are laid out in CBOR.
+ * The CBOR layout of messages between daemons.
  *
  * @module
  */
@@ -61,7 +61,7 @@
 
 type PackedDead = readonly [name: string, incarnation: string];
 
-/** Without its last field the runner names no limit any more. */
+/** A limit; without `perS` the runner no longer states one. */
 type PackedLimit = readonly [runner: string, agoMs: number, perS?: number];
 
 type PackedUsage = readonly [
@@ -82,11 +82,12 @@
   domain: number,
   contacts: readonly PackedContact[],
   gone: readonly PackedDead[],
-  /** Left out from the last one on that there is, as by daemons that know of none. */
-  ...later: PackedLater,
+  /** Trailing fields without a value are omitted. */
+  ...optional: PackedOptionalFields,
 ];
 
-type PackedLater = readonly [
+/** Fields added later; older daemons send none of them. */
+type PackedOptionalFields = readonly [
   crashes?: PackedCrashes | undefined,
   limits?: readonly PackedLimit[] | undefined,
   timeMs?: number | undefined,
@@ -123,7 +124,10 @@
   };
 }
 
-/** One that is too low draws all requests to a runner, so none is taken on trust. */
+/**
+ * Reads a load and validates its counts: a count that is too low would attract
+ * all requests to the runner.
+ */
 function unpackLoad(packed: PackedLoad): RunnerLoadEntry {
   const [runner, inFlight, unreadTokens, workTokens, memoryTokens, tight] =
     packed;
@@ -141,15 +145,18 @@
   };
 }
 
-function packParts(news: PrefixUpdate): PackedParts {
-  const parts = news.parts.flatMap(({ id, tokens }) => [id, tokens]);
-  return [news.runner, news.read, parts];
+function packParts(update: PrefixUpdate): PackedParts {
+  const parts = update.parts.flatMap(({ id, tokens }) => [id, tokens]);
+  return [update.runner, update.read, parts];
 }
 
 function unpackParts([runner, read, packed]: PackedParts): PrefixUpdate {
   const parts = [];
-  for (let at = 0; at + 1 < packed.length; at += 2) {
-    parts.push({ id: packed[at] as string, tokens: packed[at + 1] as number });
+  for (let index = 0; index + 1 < packed.length; index += 2) {
+    parts.push({
+      id: packed[index] as string,
+      tokens: packed[index + 1] as number,
+    });
   }
   return { runner, read, parts };
 }
@@ -159,14 +166,14 @@
   return [name, incarnation, address, failureDomain, linkMbps];
 }
 
-/** Contacts that can be dialled; others are left out and hurt nobody else. */
+/** Reads contacts; invalid ones are skipped and the others kept. */
 function unpackContacts(packed: readonly PackedContact[]): Contact[] {
-  return packed.flatMap((each) => {
-    const [name, incarnation, address, failureDomain, linkMbps] = each;
+  return packed.flatMap((contact) => {
+    const [name, incarnation, address, failureDomain, linkMbps] = contact;
     const texts = [name, incarnation, address, failureDomain];
-    const sound = texts.every((text) => typeof text === "string") &&
+    const valid = texts.every((text) => typeof text === "string") &&
       ADDRESS.test(address) && Number.isFinite(linkMbps);
-    if (!sound) return [];
+    if (!valid) return [];
     return [{ name, incarnation, address, failureDomain, linkMbps }];
   });
 }
@@ -196,21 +203,21 @@
     state.contacts.map(packContact),
     state.gone.map(({ name, incarnation }) => [name, incarnation] as const),
   ] as const;
-  return [...packed, ...packLater(state)];
+  return [...packed, ...packOptionalFields(state)];
 }
 
-/** The later fields up to the last one that there is. */
-function packLater(state: StateUpdate): PackedLater {
+/** Packs the optional fields, up to the last one that has a value. */
+function packOptionalFields(state: StateUpdate): PackedOptionalFields {
   const { crashes, limits, timeMs, usage, lease } = state;
-  const later: PackedLater = [
+  const fields: PackedOptionalFields = [
     hasCrashes(crashes) ? packCrashes(crashes) : undefined,
     limits.length === 0 ? undefined : limits.map(packLimit),
     timeMs,
     usage.length === 0 ? undefined : usage.map(packUsage),
     lease && [lease.revision, lease.holderId, lease.agoMs],
   ];
-  const last = later.findLastIndex((each) => each !== undefined);
-  return later.slice(0, last + 1) as unknown as PackedLater;
+  const last = fields.findLastIndex((field) => field !== undefined);
+  return fields.slice(0, last + 1) as unknown as PackedOptionalFields;
 }
 
 function packUsage({ life, window, counts }: UsageCount): PackedUsage {
@@ -219,9 +226,9 @@
 
 function unpackUsage([life, window, packed]: PackedUsage): UsageCount {
   const counts: WorkspaceCount[] = [];
-  for (let at = 0; at + 1 < packed.length; at += 2) {
-    const requests = checkCount(packed[at + 1] as number, "usage.counts");
-    counts.push([String(packed[at]), requests]);
+  for (let index = 0; index + 1 < packed.length; index += 2) {
+    const requests = checkCount(packed[index + 1] as number, "usage.counts");
+    counts.push([String(packed[index]), requests]);
   }
   return {
     life: String(life),
@@ -244,8 +251,8 @@
 
 function unpackState(packed: PackedState): StateUpdate {
   const [configuration, runners, whole, loads, parts, fleet, domain] = packed;
-  const [, , , , , , , contacts, gone, ...later] = packed;
-  const [crashes, limits = [], timeMs, usage = [], lease] = later;
+  const [, , , , , , , contacts, gone, ...optional] = packed;
+  const [crashes, limits = [], timeMs, usage = [], lease] = optional;
   return {
     kind: "state",
     configuration,
@@ -267,27 +274,27 @@
   };
 }
 
-/** A message that goes with the names of its fields. */
-type PackedNamed =
+/** A message that is encoded as a map, with its field names. */
+type PackedMap =
   | Exclude<PeerMessage, FetchResponse | Hello | StateUpdate>
   | (Omit<Hello, "known"> & { readonly known: readonly PackedContact[] })
-  | PackedGive;
+  | PackedFetchResponse;
 
-type PackedGive = Omit<FetchResponse, "configuration" | "runners"> & {
+type PackedFetchResponse = Omit<FetchResponse, "configuration" | "runners"> & {
   readonly configuration: Uint8Array | undefined;
   readonly runners: Uint8Array | undefined;
 };
 
-function packGive(give: FetchResponse): PackedGive {
-  const { configuration, runners } = give;
+function packFetchResponse(response: FetchResponse): PackedFetchResponse {
+  const { configuration, runners } = response;
   return {
-    ...give,
+    ...response,
     configuration: configuration && compressItem(configuration),
     runners: runners && compressItem(runners),
   };
 }
 
-function unpackGive(packed: PackedGive): FetchResponse {
+function unpackFetchResponse(packed: PackedFetchResponse): FetchResponse {
   const { configuration, runners } = packed;
   return {
     ...packed,
@@ -296,28 +303,28 @@
   };
 }
 
-function unpackNamed(packed: PackedNamed): PeerMessage {
+function unpackMap(packed: PackedMap): PeerMessage {
   switch (packed.kind) {
     case "hello":
       return { ...packed, known: unpackContacts(packed.known) };
     case "give":
-      return unpackGive(packed);
+      return unpackFetchResponse(packed);
     default:
       return packed;
   }
 }
 
 /**
- * Lays out a message for the wire. States, nearly all of the traffic, go as
- * lists without the names of their fields: 26 bytes for a runner's load and 8
- * for each entry that waits, under 0.4 of what they take with names.
+ * Converts a message to its layout on the wire. State updates, nearly all of the
+ * traffic, are arrays without field names: 26 bytes for a runner's load and 8 for
+ * each waiting entry, less than 0.4 of their size with field names.
  */
 export function packMessage(message: PeerMessage): unknown {
   switch (message.kind) {
     case "state":
       return packState(message);
     case "give":
-      return packGive(message);
+      return packFetchResponse(message);
     case "hello":
       return { ...message, known: message.known.map(packContact) };
     default:
@@ -326,12 +333,12 @@
 }
 
 /**
- * Reads what {@linkcode packMessage} laid out.
+ * Reads a message in the layout of {@linkcode packMessage}.
  *
- * @throws {TypeError} when a daemon of another version has another layout, or
- * tells what cannot be.
+ * @throws {TypeError} when the layout differs, as another version's may, or when
+ * a count or age in it is invalid.
  */
 export function unpackMessage(item: unknown): PeerMessage {
   if (Array.isArray(item)) return unpackState(item as unknown as PackedState);
-  return unpackNamed(item as PackedNamed);
+  return unpackMap(item as PackedMap);
 }
--- a/packages/router/src/connection/peer_message.ts
+++ b/packages/router/src/connection/peer_message.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between daemons.
+ * The messages that daemons exchange.
  *
  * @module
  */
@@ -15,37 +15,40 @@
 import type { Configuration } from "../version/configuration.ts";
 
 /**
- * Version of this protocol. Daemons of different versions keep no links, as each
- * would take the other's sums for something else.
+ * Version of this protocol. Daemons of different versions keep no links, because
+ * each would misread the other's load totals.
  */
 export const PROTOCOL_VERSION = 3;
 
-/** Requests that wait, as they are told. */
+/** Requests that wait for a runner: one of them, or several of one rank. */
 export interface QueuedRequests {
   readonly rank: number;
-  /** Milliseconds since they came. */
+  /** Milliseconds since the requests arrived. */
   readonly ageMs: number;
-  /** Milliseconds until they cannot begin on time any more; may be negative. */
+  /**
+   * Milliseconds until the latest start that still meets the latency target;
+   * negative once that has passed.
+   */
   readonly leftMs: number;
   readonly requests: number;
   readonly unreadTokens: number;
 }
 
-/** Load that the sender, and those it speaks for, put on one runner. */
+/** Load that the sender, and the daemons it relays for, put on one runner. */
 export interface RunnerLoadEntry extends LoadTotals {
   readonly runner: string;
   readonly waiting: readonly QueuedRequests[];
 }
 
-/** First message on a link, in both directions. */
+/** First message on a link, in both directions. Its field names are on the wire. */
 export interface Hello extends Contact {
   readonly kind: "hello";
   readonly protocol: number;
-  /** Other daemons that it knows. */
+  /** Contacts of other daemons. */
   readonly known: readonly Contact[];
 }
 
-/** Versions of what the platform's store holds, as the sender knows them. */
+/** Versions of the store's contents that the sender has. */
 export interface Versions {
   /** Version of the configuration in force; -1 without one. */
   readonly configuration: number;
@@ -53,54 +56,54 @@
   readonly runners: number;
 }
 
-/** For how many daemons a message speaks. */
+/** Number of daemons whose load a message includes. */
 export interface MemberCounts {
   readonly fleet: number;
-  /** Those of them in the sender's failure domain. */
+  /** Number of these daemons in the sender's failure domain. */
   readonly domain: number;
 }
 
-/** What a runner said of its limit, in ms before the message. */
+/** A rate limit that a runner stated, with its age when the message was sent. */
 export type LimitAge = Omit<LimitUpdate, "at"> & { readonly agoMs: number };
 
-/** What was seen of the leader's lease, in ms before the message. */
+/** An observation of the leader's lease, with its age when the message was sent. */
 export type LeaseAge = Omit<LeaseObservation, "at"> & {
   readonly agoMs: number;
 };
 
-/** What changed on runners, put together from one daemon or many. */
+/** Changes on runners, merged from one or more daemons. */
 export interface RunnerUpdate {
-  /** Whether it names all loads, not only changed ones. */
+  /** Whether `loads` is a snapshot of all loads; otherwise it is a delta. */
   readonly whole: boolean;
   readonly loads: readonly RunnerLoadEntry[];
   readonly parts: readonly PrefixUpdate[];
-  /** Requests at runners that ended, and answers that clear some of them. */
+  /** Requests that were at crashed runners, and complete answers that clear some of them. */
   readonly crashes: CrashAges;
   readonly limits: readonly LimitAge[];
 }
 
-/** What changed since the last one; also the heartbeat of a link. */
+/** Changes since the sender's last update; also the heartbeat of a link. */
 export interface StateUpdate extends Versions, RunnerUpdate, ContactUpdates {
   readonly kind: "state";
   readonly members: MemberCounts;
-  /** The time of day as the sender takes it to be, in epoch ms, if it tells. */
+  /** The sender's estimate of the time, in epoch ms; absent where usage is not metered. */
   readonly timeMs: number | undefined;
-  /** Requests that runners began, for those that may lead. */
+  /** Requests that runners started, counted for the daemons that may lead. */
   readonly usage: readonly UsageCount[];
   readonly lease: LeaseAge | undefined;
 }
 
-/** Asks for what the other side has newer. */
+/** Requests newer data from a peer. Its field names are on the wire. */
 export interface FetchRequest {
   readonly kind: "want";
   readonly configuration: boolean;
-  /** Revision of the list of runners that the sender has; none to get no list. */
+  /** The sender's revision of the runner list; undefined to skip the list. */
   readonly runnersSince: number | undefined;
-  /** What runners hold, for a daemon that has just started. */
+  /** Whether to send the prompt parts that runners cache; set after a start. */
   readonly parts: boolean;
 }
 
-/** Answers a {@linkcode FetchRequest}. */
+/** Response to a {@linkcode FetchRequest}. Its field names are on the wire. */
 export interface FetchResponse {
   readonly kind: "give";
   readonly configuration: Configuration | undefined;
@@ -108,17 +111,18 @@
   readonly parts: readonly PrefixUpdate[] | undefined;
 }
 
-/** Says for whom the receiver is to pass on loads to the sender. */
+/** Subscribes the sender to load updates that the receiver relays. */
 export interface Subscribe {
   readonly kind: "subscribe";
   /**
-   * `fleet` for all others, from a child to its parent; `domain` for the
-   * receiver and its children, between heads of failure domains; `none` ends it.
+   * The daemons whose loads to relay. `fleet`: all others, from a child to its
+   * parent. `domain`: the receiver and its children, between heads of failure
+   * domains. `none` ends the subscription.
    */
   readonly scope: "fleet" | "domain" | "none";
 }
 
-/** Says that the sender does not need the link; whoever does keeps it. */
+/** Tells the peer that the sender no longer needs the link; the peer may keep it. */
 export interface LinkUnneeded {
   readonly kind: "unneeded";
 }
--- a/packages/router/src/connection/update_broadcaster.ts
+++ b/packages/router/src/connection/update_broadcaster.ts
@@ -15,7 +15,7 @@
 import type { LimitUpdate, RunnerLimits } from "../process/runner_limits.ts";
 import type { RunnerLoads } from "../process/runner_loads.ts";
 import type { NeighbourFilter } from "../process/runner_queue.ts";
-import { ageOf, agesOf } from "./crash_ages.ts";
+import { ageOf, toAges } from "./crash_ages.ts";
 import { LoadSums } from "./load_sums.ts";
 import type { MembershipCounts } from "./membership_counts.ts";
 import { Outbox } from "./outbox.ts";
@@ -281,7 +281,7 @@
       whole: false,
       loads,
       parts,
-      crashes: agesOf(crashes, now),
+      crashes: toAges(crashes, now),
       limits: limits.map(({ runner, perS, at }) => ({
         runner,
         perS,
