--- a/packages/router/src/connection/outbox.ts
+++ b/packages/router/src/connection/outbox.ts
@@ -1,5 +1,5 @@
 /**
- * What neighbours are still to be told.
+ * Changes that wait to be sent to neighbours.
  *
  * @module
  */
@@ -12,38 +12,38 @@
 import type { PrefixUpdate } from "../process/prefix_index.ts";
 
 /**
- * Prompts told at once; of more the oldest are left out. An engine may then read
- * a prompt that another one holds, once.
+ * Prompt updates in one message; beyond them the oldest are dropped. An engine may
+ * then prefill, once, a prompt that another one has cached.
  */
 const MAX_PARTS = 2_000;
 /**
- * Requests at runners that ended which one message tells: about 1 KB, with as
- * many answers that clear some. When hundreds of runners end at once, the others
+ * Crashed requests in one message: about 1 KB, together with as many complete
+ * answers that clear some. When hundreds of runners crash at once, the others
  * wait for the next message.
  */
 const MAX_CRASHES = 25;
 /**
- * Those that wait; of more the oldest are left out. What ends its runners comes
- * again, and is told then.
+ * Crashed requests that wait to be sent; beyond them the oldest are dropped. A
+ * request that crashes its runners arrives again, and is reported then.
  */
 const MAX_CRASHES_WAITING = 1_000;
 
-/** Limits of runners which one message tells, about 3 KB; others wait. */
+/** Limits of runners in one message, about 3 KB; others wait. */
 const MAX_LIMITS = 100;
 
-/** Who told something. */
+/** The origin of a change. */
 export interface Sourced {
-  /** Name of the neighbour that told it; none for what comes from here. */
+  /** Name of the neighbour that reported it; undefined for this daemon. */
   readonly from: string | undefined;
 }
 
-/** Requests at runners that ended, with the neighbours that told of them. */
+/** Requests at crashed runners, with the neighbours that reported them. */
 export interface SourcedCrashes {
   readonly crashed: readonly (CrashedRun & Sourced)[];
   readonly answers: readonly (CompleteResponse & Sourced)[];
 }
 
-/** What goes out with the next messages. */
+/** The changes to send in the next messages. */
 export interface OutgoingUpdate {
   /** Ids of runners whose loads have changed. */
   readonly runners: readonly string[];
@@ -55,34 +55,34 @@
   readonly lease: LeaseObservation | undefined;
 }
 
-/** Collects what has changed until it is sent to one group of neighbours. */
+/** Collects changes until they are sent to one group of neighbours. */
 export class Outbox {
   readonly #urgent = new Set<string>();
-  readonly #calm = new Set<string>();
+  readonly #normal = new Set<string>();
   #parts: (PrefixUpdate & Sourced)[] = [];
   #contacts: ContactUpdates[] = [];
   readonly #crashed: (CrashedRun & Sourced)[] = [];
   readonly #answers: (CompleteResponse & Sourced)[] = [];
-  /** What each runner said last. */
+  /** The last limit stated by each runner. */
   readonly #limits = new Map<string, LimitUpdate & Sourced>();
   /** By life and window, what was counted last for each workspace. */
   readonly #usage = new Map<string, UsageCount>();
   #lease: LeaseObservation | undefined;
 
-  /** Notes changed loads; urgent ones, where requests wait, go first. */
+  /** Adds runners with changed loads; urgent ones, where requests wait, go first. */
   addRunners(runners: Iterable<string>, urgent: boolean): void {
     for (const runner of runners) {
       if (urgent) {
         this.#urgent.add(runner);
-        this.#calm.delete(runner);
+        this.#normal.delete(runner);
       } else if (!this.#urgent.has(runner)) {
-        this.#calm.add(runner);
+        this.#normal.add(runner);
       }
     }
   }
 
   addParts(parts: readonly PrefixUpdate[], from?: string): void {
-    for (const news of parts) this.#parts.push({ ...news, from });
+    for (const update of parts) this.#parts.push({ ...update, from });
     if (this.#parts.length > MAX_PARTS) {
       this.#parts = this.#parts.slice(-MAX_PARTS);
     }
@@ -93,15 +93,17 @@
   }
 
   addCrashes({ crashed, answers }: CrashUpdate, from?: string): void {
-    wait(this.#crashed, crashed, from);
-    wait(this.#answers, answers, from);
+    enqueue(this.#crashed, crashed, from);
+    enqueue(this.#answers, answers, from);
   }
 
   addLimits(limits: readonly LimitUpdate[], from?: string): void {
-    for (const news of limits) this.#limits.set(news.runner, { ...news, from });
+    for (const limit of limits) {
+      this.#limits.set(limit.runner, { ...limit, from });
+    }
   }
 
-  /** Notes counts; they go with the next message that there is in any case. */
+  /** Adds usage counts. They do not trigger a message but go with the next one. */
   addUsage(usage: readonly UsageCount[]): void {
     for (const each of usage) {
       const key = `${each.life} ${each.window}`;
@@ -113,32 +115,36 @@
     }
   }
 
-  /** Notes a renewal, which has time; that nobody leads goes out by itself. */
+  /**
+   * Adds the state of the leader's lease. A renewal goes with the next message;
+   * a release triggers one.
+   */
   addLease(lease: LeaseObservation): void {
     this.#lease = lease;
   }
 
+  /** Whether no change needs a message of its own. */
   get empty(): boolean {
-    return this.#urgent.size === 0 && this.#calm.size === 0 &&
+    return this.#urgent.size === 0 && this.#normal.size === 0 &&
       this.#parts.length === 0 && this.#contacts.length === 0 &&
       this.#crashed.length === 0 && this.#answers.length === 0 &&
       this.#limits.size === 0 && this.#lease?.holderId !== "";
   }
 
-  /** Whether others should know soon. */
+  /** Whether requests wait for a runner whose load is to be sent. */
   get urgent(): boolean {
     return this.#urgent.size > 0;
   }
 
   /**
-   * Takes what is to be sent now. Loads beyond `mostRunners` stay for the next
-   * time, those first that have waited longest.
+   * Removes and returns the changes to send now. Loads beyond `maxRunners` stay
+   * for the next call; the oldest are taken first.
    */
-  take(mostRunners: number): OutgoingUpdate {
-    const urgent = takeFrom(this.#urgent, mostRunners);
-    const calm = takeFrom(this.#calm, mostRunners - urgent.length);
-    const post = {
-      runners: [...urgent, ...calm],
+  take(maxRunners: number): OutgoingUpdate {
+    const urgent = takeFrom(this.#urgent, maxRunners);
+    const normal = takeFrom(this.#normal, maxRunners - urgent.length);
+    const update = {
+      runners: [...urgent, ...normal],
       parts: this.#parts,
       contacts: {
         contacts: this.#contacts.flatMap(({ contacts }) => contacts),
@@ -154,29 +160,29 @@
     };
     this.#usage.clear();
     this.#lease = undefined;
-    for (const { runner } of post.limits) this.#limits.delete(runner);
+    for (const { runner } of update.limits) this.#limits.delete(runner);
     this.#parts = [];
     this.#contacts = [];
-    return post;
+    return update;
   }
 }
 
-/** Adds crashes to those that wait, as far as there is room. */
-function wait<Item>(
+/** Appends items to a queue and drops the oldest beyond its capacity. */
+function enqueue<Item>(
   waiting: (Item & Sourced)[],
   items: readonly Item[],
   from: string | undefined,
 ): void {
   for (const item of items) waiting.push({ ...item, from });
-  const over = waiting.length - MAX_CRASHES_WAITING;
-  if (over > 0) waiting.splice(0, over);
+  const excess = waiting.length - MAX_CRASHES_WAITING;
+  if (excess > 0) waiting.splice(0, excess);
 }
 
-/** Takes the first of a set out of it. */
-function takeFrom(set: Set<string>, most: number): readonly string[] {
+/** Removes up to `max` items from a set, in insertion order, and returns them. */
+function takeFrom(set: Set<string>, max: number): readonly string[] {
   const taken = [];
   for (const each of set) {
-    if (taken.length >= most) break;
+    if (taken.length >= max) break;
     taken.push(each);
     set.delete(each);
   }
--- a/packages/router/src/connection/outbox_test.ts
+++ b/packages/router/src/connection/outbox_test.ts
@@ -2,14 +2,14 @@
 import { test } from "node:test";
 import { Outbox } from "./outbox.ts";
 
-// A link carries less than there is to tell. Runners for which requests wait go
-// first; what does not fit stays for the next message and is not lost.
-test("urgent runners go first, and the others later", () => {
+// A link has less bandwidth than there are changes. Runners for which requests wait
+// go first; loads that do not fit stay for the next message and are not lost.
+test("urgent runners are sent first, and the others later", () => {
   const outbox = new Outbox();
-  outbox.addRunners(["calm-1", "calm-2", "moved"], false);
+  outbox.addRunners(["normal-1", "normal-2", "moved"], false);
   outbox.addRunners(["moved", "urgent"], true);
-  assert.deepEqual(outbox.take(3).runners, ["moved", "urgent", "calm-1"]);
+  assert.deepEqual(outbox.take(3).runners, ["moved", "urgent", "normal-1"]);
   assert.equal(outbox.urgent, false);
-  assert.deepEqual(outbox.take(3).runners, ["calm-2"]);
+  assert.deepEqual(outbox.take(3).runners, ["normal-2"]);
   assert.equal(outbox.empty, true);
 });
--- a/packages/router/src/connection/state_exchange.ts
+++ b/packages/router/src/connection/state_exchange.ts
@@ -81,7 +81,7 @@
   readonly #counts = new MembershipCounts();
   readonly #overlay: Overlay;
   readonly #versions: VersionExchange;
-  readonly #news: UpdateBroadcaster;
+  readonly #broadcaster: UpdateBroadcaster;
   readonly #timer = new BroadcastTimer({
     intervalMs: () => broadcastIntervalMs(this.#moment),
     restMs: REST_MS,
@@ -108,7 +108,7 @@
       roleChanged: (peer, before) => this.#roleChanged(peer, before),
     });
     this.#versions = new VersionExchange(known, options.offered);
-    this.#news = new UpdateBroadcaster({
+    this.#broadcaster = new UpdateBroadcaster({
       loads: known.loads,
       prefixes: known.prefixes,
       crashes: known.crashes,
@@ -117,7 +117,7 @@
       usage: known.usage,
       lease: known.lease,
       book: this.#book,
-      knownFor: (peer) => this.knownFor(peer),
+      contactsFor: (peer) => this.knownFor(peer),
       counts: this.#counts,
       overlay: this.#overlay,
       peers,
@@ -206,7 +206,7 @@
     for (const each of known) this.#book.add(each, performance.now());
     this.#overlay.joined(peer);
     this.#allowSilence();
-    peer.link.send(this.#news.whole(peer));
+    peer.link.send(this.#broadcaster.snapshotFor(peer));
     this.wake();
   }
 
@@ -246,7 +246,7 @@
     if (role !== undefined || !relayed) {
       this.#takeMembers(peer, state.members);
       const told = applyUpdate(this.#known, peer.name, state);
-      if (this.#news.passOn(peer, told)) this.wake();
+      if (this.#broadcaster.relay(peer, told)) this.wake();
     }
     const mayGiveParts = !relayed || role === "parent" || role === "head";
     this.#versions.compare(peer, state, { mayGiveParts });
@@ -281,7 +281,7 @@
     this.#forget(peer, before);
     this.#allowSilence();
     const up = this.#peers().of(peer.name) === peer;
-    if (up) peer.link.send(this.#news.whole(peer));
+    if (up) peer.link.send(this.#broadcaster.snapshotFor(peer));
     this.wake();
   }
 
@@ -291,7 +291,7 @@
     this.#known.time.forget(peer.name);
     this.#counts.forget(peer.name);
     this.#countsChanged ||= this.#overlay.relayed;
-    this.#news.retract(changed, role);
+    this.#broadcaster.retract(changed, role);
   }
 
   /** Milliseconds in which all daemons know of a request that waits here. */
@@ -305,23 +305,23 @@
       relayed: this.#overlay.relayed,
       domainSize: this.#counts.recent(performance.now()).domain,
       newer: this.#versions.news,
-      waits: this.#news.urgent || this.#known.loads.hasWaiting,
+      waits: this.#broadcaster.urgent || this.#known.loads.hasWaiting,
     };
   }
 
   #tick(): void {
     const now = performance.now();
     this.#overlay.settle(now);
-    this.#news.collect();
-    const due = this.#countsChanged || !this.#news.empty ||
+    this.#broadcaster.collect();
+    const due = this.#countsChanged || !this.#broadcaster.empty ||
       now - this.#sentAt >= HEARTBEAT_MS;
     if (due) {
       this.#sentAt = now;
       this.#countsChanged = false;
-      this.#news.tell(now);
+      this.#broadcaster.broadcast(now);
     }
     this.#tellVersions(now);
-    if (!this.#news.empty) this.wake();
+    if (!this.#broadcaster.empty) this.wake();
   }
 
   /**
@@ -339,7 +339,9 @@
       (due && this.#overlay.isSpare(peer)) ||
       (newer && this.#versions.isLackedBy(peer))
     );
-    for (const peer of told) peer.link.send(this.#news.versionsFor(peer));
+    for (const peer of told) {
+      peer.link.send(this.#broadcaster.versionsFor(peer));
+    }
   }
 
   #allowSilence(): void {
--- a/packages/router/src/connection/update_broadcaster.ts
+++ b/packages/router/src/connection/update_broadcaster.ts
@@ -1,5 +1,5 @@
 /**
- * What neighbours are told of loads, and how much at a time.
+ * Sends state updates to neighbours, within a bandwidth budget.
  *
  * @module
  */
@@ -25,17 +25,17 @@
 import type { RunnerLoadEntry, StateUpdate, Versions } from "./peer_message.ts";
 import type { Peer, Peers } from "./peers.ts";
 
-/** Bytes of a runner's load in a message, about, while requests wait for it. */
+/** Approximate bytes of a runner's load in a message while requests wait for it. */
 const LOAD_BYTES = 100;
 /**
- * Seconds over which the bytes that a neighbour is told are averaged. In a burst
- * of minutes, when what is known of runners matters most, it is told at the full
- * pace; held back then, daemons send to runners that others have filled.
+ * Seconds over which the bytes sent to a neighbour are averaged. Bursts of some
+ * minutes, when the state of runners matters most, are sent at the full rate: if
+ * they were throttled, daemons would send to runners that others have filled.
  */
 const BURST_SECONDS = 600;
 
-/** What a message tells beside loads. */
-interface UpdateParts {
+/** Contents of a state update other than loads. */
+interface UpdateContents {
   readonly parts: readonly PrefixUpdate[];
   readonly contacts: ContactUpdates;
   readonly crashes: CrashUpdate;
@@ -44,8 +44,8 @@
   readonly lease: LeaseObservation | undefined;
 }
 
-/** A message without news. */
-const NOTHING: UpdateParts = {
+/** An update without changes. */
+const NO_CHANGES: UpdateContents = {
   parts: [],
   contacts: { contacts: [], gone: [] },
   crashes: { crashed: [], answers: [] },
@@ -54,7 +54,7 @@
   lease: undefined,
 };
 
-/** What is told, and to whom. */
+/** The shared state to send, and the neighbours to send it to. */
 export interface BroadcastSources {
   readonly loads: RunnerLoads;
   readonly prefixes: PrefixIndex;
@@ -67,20 +67,20 @@
   readonly counts: MembershipCounts;
   readonly overlay: Overlay;
   readonly peers: () => Peers;
-  /** Daemons that a peer is told of when it becomes a neighbour. */
-  readonly knownFor: (peer: Peer) => readonly Contact[];
-  /** Versions that ride on each message. */
+  /** Contacts to send to a peer that becomes a neighbour. */
+  readonly contactsFor: (peer: Peer) => readonly Contact[];
+  /** Versions included in each update. */
   readonly versions: () => Versions;
-  /** Bytes a second that one neighbour is told, on average, through relays. */
+  /** Average bytes per second sent to one neighbour where loads go through relays. */
   readonly controlBytesPerS: number;
 }
 
-/** What a neighbour told, to be passed on. */
+/** The changes in an update from a neighbour, to be relayed to others. */
 export interface ReceivedUpdate {
-  /** Ids of runners. */
+  /** Ids of the runners whose loads changed. */
   readonly changed: ReadonlySet<string>;
   readonly parts: readonly PrefixUpdate[];
-  /** What of it was not known here. */
+  /** The reported crashes that were new to this daemon. */
   readonly crashes: CrashUpdate;
   readonly limits: readonly LimitUpdate[];
   readonly usage: readonly UsageCount[];
@@ -89,86 +89,93 @@
 }
 
 /**
- * Collects what changed here and at neighbours and tells it: to the parent or the
- * other heads what this daemon and its children have, to each child what all
- * others have. In a small fleet everybody is told what this daemon has.
+ * Collects changes of this daemon and its neighbours and sends them. The parent,
+ * or the other heads, get the state of this daemon and its children; each child
+ * gets the state of downstream daemons but itself. In a small fleet every peer gets the
+ * state of this daemon.
  */
 export class UpdateBroadcaster {
   readonly #sources: BroadcastSources;
   readonly #sums: LoadSums;
-  /** For the parent or the other heads, or for everybody in a small fleet. */
-  readonly #near = new Outbox();
+  /** For the parent or the other heads; in a small fleet, for all peers. */
+  readonly #upstream = new Outbox();
   /** For children. */
-  readonly #all = new Outbox();
-  readonly #nearAllowance: TokenBucket;
-  readonly #allAllowance: TokenBucket;
-  /** Revision of the leader's lease that was told last. */
-  #leaseTold = 0;
+  readonly #downstream = new Outbox();
+  readonly #upstreamBudget: TokenBucket;
+  readonly #downstreamBudget: TokenBucket;
+  /** Revision of the leader's lease that was collected last. */
+  #collectedLease = 0;
 
   constructor(sources: BroadcastSources) {
     this.#sources = sources;
     this.#sums = new LoadSums(sources.loads);
     const perSecond = sources.controlBytesPerS;
     const rate = { perSecond, burst: perSecond * BURST_SECONDS };
-    this.#nearAllowance = new TokenBucket(rate);
-    this.#allAllowance = new TokenBucket(rate);
+    this.#upstreamBudget = new TokenBucket(rate);
+    this.#downstreamBudget = new TokenBucket(rate);
   }
 
-  /** Whether there is nothing to tell. */
+  /** Whether there are no changes to send. */
   get empty(): boolean {
-    return this.#near.empty && this.#all.empty;
+    return this.#upstream.empty && this.#downstream.empty;
   }
 
-  /** Whether requests wait for a runner whose load is to be told. */
+  /** Whether requests wait for a runner whose load is still to be sent. */
   get urgent(): boolean {
-    return this.#near.urgent || this.#all.urgent;
+    return this.#upstream.urgent || this.#downstream.urgent;
   }
 
-  /** Notes what is new at this daemon. */
+  /** Collects the changes of this daemon since the last call. */
   collect(): void {
     const { loads, prefixes, crashes, limits, book, overlay } = this.#sources;
     const changed = loads.takeChanged();
     const parts = prefixes.takeUpdates();
-    const crashNews = crashes.takeUpdates();
-    const limitNews = limits.takeUpdates();
-    this.#near.addUsage(this.#sources.usage?.takeNews() ?? []);
+    const crashUpdate = crashes.takeUpdates();
+    const limitUpdates = limits.takeUpdates();
+    this.#upstream.addUsage(this.#sources.usage?.takeNews() ?? []);
     this.#collectLease();
     const contacts = book.hasUpdates ? book.takeUpdates() : undefined;
-    const outboxes = overlay.relays ? [this.#near, this.#all] : [this.#near];
+    const outboxes = overlay.relays
+      ? [this.#upstream, this.#downstream]
+      : [this.#upstream];
     for (const outbox of outboxes) {
       outbox.addRunners(changed, loads.hasWaiting);
       outbox.addParts(parts);
-      outbox.addCrashes(crashNews);
-      outbox.addLimits(limitNews);
+      outbox.addCrashes(crashUpdate);
+      outbox.addLimits(limitUpdates);
       if (contacts !== undefined) outbox.addContacts(contacts);
     }
   }
 
-  /** Who holds the lease tells of it; those that may take it hear of it. */
+  /** Collects the leader's lease, which its holder sends to possible successors. */
   #collectLease(): void {
     const { lease } = this.#sources;
-    const news = lease?.observation;
-    if (news === undefined || news.revision === this.#leaseTold) return;
-    this.#leaseTold = news.revision;
-    if (lease!.isOwnWrite) this.#near.addLease(news);
+    const observation = lease?.observation;
+    if (
+      observation === undefined || observation.revision === this.#collectedLease
+    ) {
+      return;
+    }
+    this.#collectedLease = observation.revision;
+    if (lease!.isOwnWrite) this.#upstream.addLease(observation);
   }
 
   /**
-   * Notes what a neighbour told for those that lack it.
+   * Relays a neighbour's changes to the other neighbours.
    *
-   * @returns whether there is anybody to tell.
+   * @returns whether anything is to be sent because of it.
    */
-  passOn({ name }: Peer, told: ReceivedUpdate): boolean {
-    const { changed, parts, crashes, limits, usage, urgent } = told;
+  relay({ name }: Peer, received: ReceivedUpdate): boolean {
+    const { changed, parts, crashes, limits, usage, urgent } = received;
     const { overlay } = this.#sources;
-    // Counts go up the tree only, to those that may lead.
-    if (overlay.role(name) === "child") this.#near.addUsage(usage);
+    // Usage goes up the tree only, to the daemons that may lead.
+    if (overlay.role(name) === "child") this.#upstream.addUsage(usage);
     const count = changed.size + parts.length + crashes.crashed.length +
       crashes.answers.length + limits.length;
     if (!overlay.relays || count === 0) return false;
     const outboxes = overlay.role(name) === "child"
-      ? [this.#all, this.#near]
-      : [this.#all];
+      ? [this.#downstream, this.#upstream]
+      : [this.#downstream];
     for (const outbox of outboxes) {
       outbox.addRunners(changed, urgent);
       outbox.addParts(parts, name);
@@ -178,99 +185,106 @@
     return true;
   }
 
-  /** What a neighbour of that role had told does not count any more. */
+  /**
+   * Marks runners whose loads changed because a neighbour's report was removed.
+   *
+   * @param role the neighbour's former role.
+   */
   retract(changed: Iterable<string>, role: Role | undefined): void {
     const ids = [...changed];
-    if (this.#sources.overlay.relays) this.#all.addRunners(ids, true);
-    if (role === "child") this.#near.addRunners(ids, true);
+    if (this.#sources.overlay.relays) this.#downstream.addRunners(ids, true);
+    if (role === "child") this.#upstream.addRunners(ids, true);
   }
 
-  /** Tells all neighbours what is due to them. */
-  tell(now: number): void {
-    this.#tellNear(now);
-    this.#tellChildren(now);
+  /** Sends the collected changes to all neighbours. */
+  broadcast(now: number): void {
+    this.#sendUpstream(now);
+    this.#sendDownstream(now);
   }
 
-  /** All that a peer is to know when it becomes a neighbour, or a link is up. */
-  whole(peer: Peer): StateUpdate {
-    const counts = this.#toldTo(peer);
-    const silent = this.#sources.overlay.isSpare(peer);
-    if (silent) return { ...this.versionsFor(peer), whole: true };
+  /** A snapshot for a peer that becomes a neighbour, or whose link has come up. */
+  snapshotFor(peer: Peer): StateUpdate {
+    const includes = this.#sourcesFor(peer);
+    const versionsOnly = this.#sources.overlay.isSpare(peer);
+    if (versionsOnly) return { ...this.versionsFor(peer), whole: true };
     const now = performance.now();
     const crashes = this.#sources.crashes.snapshot(now);
     const limits = this.#sources.limits.snapshot(now);
     const contacts = this.#contactsFor(peer);
-    const loads = this.#sums.all(counts);
+    const loads = this.#sums.all(includes);
     const isChild = this.#sources.overlay.role(peer.name) === "child";
     const usage = isChild ? [] : this.#sources.usage?.all() ?? [];
     const lease = this.#sources.lease?.observation;
-    const news = { ...NOTHING, contacts, crashes, limits, usage, lease };
-    return { ...this.#state(news, loads, counts), whole: true };
+    const contents = { ...NO_CHANGES, contacts, crashes, limits, usage, lease };
+    return { ...this.#state(contents, loads, includes), whole: true };
   }
 
   /**
-   * A child missed what was told between its link and its subscription. It would
-   * lack these contacts for good, and choose other relays than the rest.
+   * Contacts for a peer's snapshot. A child missed the updates between the opening
+   * of its link and its subscription; without this it would permanently lack the
+   * contacts in them, and choose other relays than the rest.
    */
   #contactsFor(peer: Peer): ContactUpdates {
     const isChild = this.#sources.overlay.role(peer.name) === "child";
-    const contacts = isChild ? this.#sources.knownFor(peer) : [];
+    const contacts = isChild ? this.#sources.contactsFor(peer) : [];
     return { contacts, gone: [] };
   }
 
-  /** A message that tells a peer versions only. */
+  /** An update with versions only. */
   versionsFor(peer: Peer): StateUpdate {
-    return this.#state(NOTHING, [], this.#toldTo(peer));
+    return this.#state(NO_CHANGES, [], this.#sourcesFor(peer));
   }
 
-  #tellNear(now: number): void {
+  #sendUpstream(now: number): void {
     const { overlay, peers } = this.#sources;
     const { relayed } = overlay;
-    const left = relayed ? this.#nearAllowance.available(now) : Infinity;
-    const post = this.#near.take(Math.max(0, left / LOAD_BYTES));
-    const loads = this.#sums.of(post.runners, this.#isChild);
-    const frame = encodeMessage(this.#state(post, loads, this.#isChild));
-    this.#nearAllowance.take(frame.length);
-    const told = relayed ? overlay.peersWith("parent", "head") : peers().alive;
-    for (const { link } of told) link.sendEncoded(frame);
+    const budget = relayed ? this.#upstreamBudget.available(now) : Infinity;
+    const pending = this.#upstream.take(Math.max(0, budget / LOAD_BYTES));
+    const loads = this.#sums.of(pending.runners, this.#isChild);
+    const frame = encodeMessage(this.#state(pending, loads, this.#isChild));
+    this.#upstreamBudget.take(frame.length);
+    const receivers = relayed
+      ? overlay.peersWith("parent", "head")
+      : peers().alive;
+    for (const { link } of receivers) link.sendEncoded(frame);
   }
 
-  #tellChildren(now: number): void {
-    const left = this.#allAllowance.available(now);
-    const post = this.#all.take(Math.max(0, left / LOAD_BYTES));
-    const everything = this.#sums.of(post.runners, () => true);
-    let most = 0;
+  #sendDownstream(now: number): void {
+    const budget = this.#downstreamBudget.available(now);
+    const pending = this.#downstream.take(Math.max(0, budget / LOAD_BYTES));
+    const totals = this.#sums.of(pending.runners, () => true);
+    let maxBytes = 0;
     for (const { name, link } of this.#sources.overlay.peersWith("child")) {
-      const frame = this.#frameFor(name, post, everything);
-      most = Math.max(most, frame.length);
+      const frame = this.#frameFor(name, pending, totals);
+      maxBytes = Math.max(maxBytes, frame.length);
       link.sendEncoded(frame);
     }
-    this.#allAllowance.take(most);
+    this.#downstreamBudget.take(maxBytes);
   }
 
-  /** What a child is told: all but what came from itself. */
+  /** An encoded update for a child, without what the child reported itself. */
   #frameFor(
     child: string,
-    post: OutgoingUpdate,
-    everything: readonly RunnerLoadEntry[],
+    pending: OutgoingUpdate,
+    totals: readonly RunnerLoadEntry[],
   ): Buffer {
     const others: NeighbourFilter = (name) => name !== child;
-    const loads = this.#sums.without(child, everything);
+    const loads = this.#sums.without(child, totals);
     const isOthers = ({ from }: Sourced) => from !== child;
-    const parts = post.parts.filter(isOthers);
+    const parts = pending.parts.filter(isOthers);
     const crashes = {
-      crashed: post.crashes.crashed.filter(isOthers),
-      answers: post.crashes.answers.filter(isOthers),
+      crashed: pending.crashes.crashed.filter(isOthers),
+      answers: pending.crashes.answers.filter(isOthers),
     };
-    const limits = post.limits.filter(isOthers);
-    const news = { ...post, parts, crashes, limits, usage: [] };
-    return encodeMessage(this.#state(news, loads, others));
+    const limits = pending.limits.filter(isOthers);
+    const contents = { ...pending, parts, crashes, limits, usage: [] };
+    return encodeMessage(this.#state(contents, loads, others));
   }
 
   #state(
-    { parts, contacts, crashes, limits, usage, lease }: UpdateParts,
+    { parts, contacts, crashes, limits, usage, lease }: UpdateContents,
     loads: readonly RunnerLoadEntry[],
-    counts: NeighbourFilter,
+    includes: NeighbourFilter,
   ): StateUpdate {
     const now = performance.now();
     const { time, usage: meter } = this.#sources;
@@ -287,8 +301,8 @@
         perS,
         agoMs: ageOf(at, now),
       })),
-      members: this.#sources.counts.sumBy(counts),
-      // Only windows of usage depend on it.
+      members: this.#sources.counts.sumBy(includes),
+      // Only usage windows need the time.
       timeMs: meter && Math.round(time.now()),
       usage,
       lease: lease && {
@@ -299,8 +313,8 @@
     };
   }
 
-  /** Whose loads and number a peer is told, beside those of this daemon. */
-  #toldTo({ name }: Peer): NeighbourFilter {
+  /** Selects the neighbours whose state an update for a peer includes. */
+  #sourcesFor({ name }: Peer): NeighbourFilter {
     if (this.#sources.overlay.role(name) !== "child") return this.#isChild;
     return (other) => other !== name;
   }
