--- a/packages/router/src/connection/broadcast_interval.ts
+++ b/packages/router/src/connection/broadcast_interval.ts
@@ -50,17 +50,17 @@
   /** Daemons of the own failure domain. */
   readonly domainSize: number;
   /** What is newer here than what peers were told. */
-  readonly newer: {
+  readonly unsent: {
     readonly configuration: boolean;
     readonly runners: boolean;
   };
   /** Whether requests wait for runners whose loads are to be told. */
-  readonly waits: boolean;
+  readonly requestsWaiting: boolean;
 }
 
 /** Milliseconds between two states. */
 export function broadcastIntervalMs(moment: IntervalInputs): number {
-  const { peers, relayed, newer, waits } = moment;
+  const { peers, relayed, unsent: newer, requestsWaiting: waits } = moment;
   if (!relayed) return Math.max(SHORTEST_PERIOD_MS, PERIOD_PER_PEER_MS * peers);
   if (newer.configuration) return SHORTEST_PERIOD_MS;
   if (newer.runners) return RUNNERS_HOP_MS;
--- a/packages/router/src/connection/broadcast_interval_test.ts
+++ b/packages/router/src/connection/broadcast_interval_test.ts
@@ -8,8 +8,8 @@
     peers: 3,
     relayed: true,
     domainSize: 39,
-    newer: { configuration: false, runners: false },
-    waits: false,
+    unsent: { configuration: false, runners: false },
+    requestsWaiting: false,
     ...fields,
   };
 }
@@ -18,7 +18,9 @@
 // once what another one has sent; while requests wait, several want the same room.
 test("while nothing waits, states are half as frequent", () => {
   const calm = broadcastIntervalMs(momentOf());
-  assert.ok(calm >= 2 * broadcastIntervalMs(momentOf({ waits: true })));
+  assert.ok(
+    calm >= 2 * broadcastIntervalMs(momentOf({ requestsWaiting: true })),
+  );
 });
 
 // The operator edits the table while nothing is sent; what waits for the next
@@ -26,8 +28,8 @@
 test("a newer configuration does not wait for the pace of loads", () => {
   const newer = { configuration: true, runners: false };
   assert.ok(
-    broadcastIntervalMs(momentOf({ newer })) <
-      broadcastIntervalMs(momentOf({ waits: true })),
+    broadcastIntervalMs(momentOf({ unsent: newer })) <
+      broadcastIntervalMs(momentOf({ requestsWaiting: true })),
   );
 });
 
--- a/packages/router/src/connection/broadcast_timer.ts
+++ b/packages/router/src/connection/broadcast_timer.ts
@@ -9,7 +9,7 @@
   /** Shortest time between two states now. */
   intervalMs(): number;
   /** Time between two looks while nothing changes. */
-  readonly restMs: number;
+  readonly idleMs: number;
 }
 
 /** Calls back soon after something has changed, and now and then. */
@@ -55,7 +55,7 @@
       this.#tickedAt = performance.now();
       this.#tick();
       // What woke it meanwhile has set the timer already.
-      if (!this.#awake) this.#schedule(this.#timing.restMs);
+      if (!this.#awake) this.#schedule(this.#timing.idleMs);
     }, ms);
   }
 }
--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -77,13 +77,13 @@
       peers: () => this.#peers,
       relaysFrom: options.relaysFrom,
       controlBytesPerS: options.controlBytesPerS,
-      offered: () => this.#gate.offered(),
+      onNewerVersion: () => this.#gate.offered(),
     });
     this.#peers = new Peers(own, {
       network,
       log,
       listener: {
-        knownFor: (peer) => this.#exchange.knownFor(peer),
+        contactsFor: (peer) => this.#exchange.contactsFor(peer),
         joined: (peer, contacts) => this.#exchange.joined(peer, contacts),
         left: (peer) => this.#left(peer),
         received: (peer, message) => this.#exchange.received(peer, message),
@@ -98,7 +98,7 @@
       peers: () => this.#reachable,
       random: options.random,
       configured: () => known.configuration() !== undefined,
-      givenAt: () => this.#exchange.givenAt,
+      lastResponseAt: () => this.#exchange.lastResponseAt,
       adopt: (configuration) => known.adopt(configuration, "store"),
     }, store);
     this.#registration = new Registration(store.daemons, {
@@ -108,8 +108,9 @@
         isContact: () => this.#isContact(),
         isAlone: () => this.#peers.count === 0,
         isKnown: (address) =>
-          this.#exchange.known().some((each) => each.address === address),
-        found: (addresses) => this.#peers.seek([...this.#seeds, ...addresses]),
+          this.#exchange.contacts().some((each) => each.address === address),
+        found: (addresses) =>
+          this.#peers.discover([...this.#seeds, ...addresses]),
       },
     });
     known.directory.onChange(() => this.#openIfKnown());
@@ -138,7 +139,7 @@
   /** Whether this daemon may lead: others tell it what a leader has to know. */
   get mayLead(): boolean {
     const alone = this.#peers.count === 0 && this.fleetSize > 1;
-    return !alone && this.#exchange.isCentral;
+    return !alone && this.#exchange.receivesFleetUpdates;
   }
 
   /** Whether all daemons are heard of that there were lately. */
@@ -163,7 +164,7 @@
 
   /** @param seeds addresses of daemons that may be there. */
   start(seeds: readonly string[]): void {
-    this.seek(seeds);
+    this.discover(seeds);
     this.#exchange.start();
     // Others ask a seed first; it has something for them as soon as can be.
     if (seeds.includes(this.#own.address)) this.#gate.open();
@@ -172,9 +173,9 @@
   }
 
   /** Dials further addresses of daemons that may be there. */
-  seek(seeds: readonly string[]): void {
+  discover(seeds: readonly string[]): void {
     this.#seeds = seeds;
-    this.#peers.seek(seeds);
+    this.#peers.discover(seeds);
   }
 
   /** A configuration came in force. */
@@ -207,7 +208,7 @@
    * among all that are.
    */
   #readsForOthers(): boolean {
-    const known = this.#exchange.known();
+    const known = this.#exchange.contacts();
     const before = known.filter((each) => ranksBefore(each, this.#own));
     return this.#peers.count === 0 || before.length < FIRST_READERS;
   }
@@ -222,7 +223,7 @@
     this.#exchange.left(peer);
     if (this.#peers.count > 0) return;
     // Alone, the watches must find by themselves what peers would have told.
-    this.#followers.hurry();
+    this.#followers.restartWatches();
   }
 
   #openIfKnown(): void {
--- a/packages/router/src/connection/membership_counts.ts
+++ b/packages/router/src/connection/membership_counts.ts
@@ -30,19 +30,19 @@
    *
    * @returns whether it differs from what it told before.
    */
-  toldBy(neighbour: string, members: MemberCounts): boolean {
+  setNeighbourCounts(neighbour: string, members: MemberCounts): boolean {
     const before = this.#told.get(neighbour);
     this.#told.set(neighbour, members);
     return before?.fleet !== members.fleet || before.domain !== members.domain;
   }
 
   /** Forgets a neighbour. */
-  forget(neighbour: string): void {
+  removeNeighbour(neighbour: string): void {
     this.#told.delete(neighbour);
   }
 
   /** This daemon and those that some neighbours speak for. */
-  sumBy(counts: (neighbour: string) => boolean): MemberCounts {
+  sumFrom(counts: (neighbour: string) => boolean): MemberCounts {
     let fleet = 1;
     let domain = 1;
     for (const [neighbour, members] of this.#told) {
@@ -54,8 +54,8 @@
   }
 
   /** The largest counts of the last while. */
-  recent(now: number): MemberCounts {
-    const { fleet, domain } = this.sumBy(() => true);
+  recentMax(now: number): MemberCounts {
+    const { fleet, domain } = this.sumFrom(() => true);
     return {
       fleet: this.#fleet.update(fleet, now),
       domain: this.#domain.update(domain, now),
--- a/packages/router/src/connection/overlay.ts
+++ b/packages/router/src/connection/overlay.ts
@@ -111,7 +111,7 @@
   }
 
   /** Whether this daemon passes on what others tell. */
-  get relays(): boolean {
+  get isRelay(): boolean {
     return [...this.#askedBy.values()].includes("fleet");
   }
 
@@ -130,7 +130,7 @@
 
   /** Peers with one of these roles. */
   peersWith(...roles: readonly Role[]): readonly Peer[] {
-    return this.#host.peers.alive.filter(({ name }) => {
+    return this.#host.peers.connected.filter(({ name }) => {
       const role = this.role(name);
       return role !== undefined && roles.includes(role);
     });
@@ -139,7 +139,7 @@
   /** A link is up. */
   joined(peer: Peer): void {
     this.#absences.met(peer.name);
-    this.changed();
+    this.invalidate();
     this.#chooseWay(performance.now());
   }
 
@@ -152,7 +152,7 @@
     const chosen = this.#parting.has(peer);
     if (!chosen) this.#absences.lost(peer, performance.now());
     if (before !== undefined) this.#host.roleChanged(peer, before);
-    this.changed();
+    this.invalidate();
   }
 
   /** Nobody answers at an address. */
@@ -162,7 +162,7 @@
     if (contact === undefined) return;
     const now = performance.now();
     const times = this.#absences.unanswered(contact, now);
-    this.changed();
+    this.invalidate();
     if (!this.#isGone(contact, times)) return;
     if (book.remove(contact, now)) {
       log.event("daemon_gone", { name: contact.name, address, times });
@@ -170,13 +170,13 @@
   }
 
   /** Daemons that are taken to live, as far as known. */
-  present(now: number): readonly Contact[] {
+  reachable(now: number): readonly Contact[] {
     return this.#host.book.all()
       .filter((each) => this.#absences.isPresent(each, now));
   }
 
   /** A peer does not need its link any more. */
-  unneeded(peer: Peer): void {
+  handleUnneeded(peer: Peer): void {
     const { name, link } = peer;
     const needed = !this.#relayed || this.#planned.has(name) ||
       this.role(name) !== undefined;
@@ -186,12 +186,12 @@
   }
 
   /** Something that links follow from has changed. */
-  changed(): void {
+  invalidate(): void {
     this.#stale = true;
   }
 
   /** A peer asks for loads, or does so no more. */
-  subscribed(peer: Peer, scope: Subscribe["scope"]): void {
+  handleSubscribe(peer: Peer, scope: Subscribe["scope"]): void {
     const before = this.role(peer.name);
     if (scope === "none") {
       this.#askedBy.delete(peer.name);
@@ -202,11 +202,11 @@
     }
     const after = this.role(peer.name);
     if (before !== after) this.#host.roleChanged(peer, before);
-    this.changed();
+    this.invalidate();
   }
 
   /** Sees to it that links and roles fit what is known. */
-  settle(now: number): void {
+  reconcile(now: number): void {
     this.#chooseWay(now);
     if (!this.#stale && !this.#isDue(now)) return;
     if (this.#relayed && now - this.#plannedAt < PLAN_MS) return;
@@ -216,7 +216,9 @@
     const plan = this.#plan(now);
     this.#head = plan.parent === undefined;
     const wanted = wantedBy(plan);
-    this.#host.peers.want(new Set(wanted.map(({ address }) => address)));
+    this.#host.peers.maintainLinks(
+      new Set(wanted.map(({ address }) => address)),
+    );
     this.#planned = new Set(wanted.map(({ name }) => name));
     this.#subscribe(plan);
     this.#partIdle(now);
@@ -248,12 +250,12 @@
   #chooseWay(now: number): void {
     const { book, relaysFrom, members, log } = this.#host;
     const size = Math.max(book.size + 1, members().fleet);
-    if (size >= DIRECT_SHARE * relaysFrom || this.relays) {
+    if (size >= DIRECT_SHARE * relaysFrom || this.isRelay) {
       this.#smallSince = Infinity;
     } else if (this.#smallSince === Infinity) {
       this.#smallSince = now;
     }
-    const relayed = size >= relaysFrom || this.relays ||
+    const relayed = size >= relaysFrom || this.isRelay ||
       (this.#relayed && now - this.#smallSince < DIRECT_AFTER_MS);
     if (relayed === this.#relayed) return;
     this.#relayed = relayed;
@@ -261,7 +263,7 @@
     log.event("relaying_changed", { relayed, size });
     // What was told directly is void. Neighbours in the tree stay: they have told
     // the whole of what they know, and would not tell it again.
-    for (const peer of this.#host.peers.alive) {
+    for (const peer of this.#host.peers.connected) {
       if (this.role(peer.name) !== undefined) continue;
       this.#host.roleChanged(peer, undefined);
     }
@@ -273,14 +275,14 @@
     const met = now - this.#startedAt >= MEET_MS;
     const ranked = inRankOrder(book.all());
     const links = met ? ranked : ranked.slice(0, FIRST_LINKS);
-    peers.want(new Set(links.map(({ address }) => address)));
+    peers.maintainLinks(new Set(links.map(({ address }) => address)));
     this.#stale = links.length < ranked.length;
   }
 
   #plan(now: number): LinkPlan {
     const { domain } = this.#host.members();
     this.#relays = relaysOf(domain);
-    return planLinks(this.#own, this.present(now), domain);
+    return planLinks(this.#own, this.reachable(now), domain);
   }
 
   /** Subscribes where the plan says, as far as links are up. */
@@ -288,7 +290,7 @@
     const { peers } = this.#host;
     const targets = plan.parent === undefined ? plan.heads : [plan.parent];
     const scope = plan.parent === undefined ? "domain" : "fleet";
-    const up = targets.filter(({ name }) => peers.of(name) !== undefined);
+    const up = targets.filter(({ name }) => peers.get(name) !== undefined);
     // The parent so far serves until the link to the next one is up.
     if (plan.parent !== undefined && up.length === 0) return;
     const names = new Set(targets.map(({ name }) => name));
@@ -305,7 +307,7 @@
     const before = this.role(name);
     if (scope === "none") this.#asked.delete(name);
     else this.#asked.set(name, scope);
-    const peer = peers.of(name);
+    const peer = peers.get(name);
     if (peer === undefined) return;
     peer.link.send({ kind: "subscribe", scope });
     const after = this.role(name);
@@ -316,7 +318,7 @@
 
   /** Has links closed that this daemon dialled and neither side needs. */
   #partIdle(now: number): void {
-    for (const peer of this.#host.peers.alive) {
+    for (const peer of this.#host.peers.connected) {
       const { name, dialled, link } = peer;
       const idle = dialled && !this.#planned.has(name) &&
         this.role(name) === undefined;
--- a/packages/router/src/connection/peers.ts
+++ b/packages/router/src/connection/peers.ts
@@ -38,7 +38,7 @@
 /** Told of peers and their messages. */
 export interface PeerListener {
   /** Names the daemons that a new peer is told of. */
-  knownFor(
+  contactsFor(
     peer: Pick<Contact, "failureDomain"> | undefined,
   ): readonly Contact[];
   joined(peer: Peer, known: readonly Contact[]): void;
@@ -91,12 +91,12 @@
   }
 
   /** Peers whose links are up. */
-  get alive(): readonly Peer[] {
+  get connected(): readonly Peer[] {
     return [...this.#peers.values()];
   }
 
   /** The peer of that name, while its link is up. */
-  of(name: string): Peer | undefined {
+  get(name: string): Peer | undefined {
     return this.#peers.get(name);
   }
 
@@ -118,7 +118,7 @@
   }
 
   /** Dials addresses, of whomever they are, until someone answers there. */
-  seek(addresses: readonly string[]): void {
+  discover(addresses: readonly string[]): void {
     for (const address of addresses) {
       if (address === this.#own.address) continue;
       this.#sought.add(address);
@@ -127,7 +127,7 @@
   }
 
   /** Keeps links to these addresses from now on, and dials no others again. */
-  want(addresses: ReadonlySet<string>): void {
+  maintainLinks(addresses: ReadonlySet<string>): void {
     this.#wanted = addresses;
     for (const address of this.#targets.keys()) this.#dropUnneeded(address);
     for (const address of addresses) this.#dialSoon(address);
@@ -237,7 +237,7 @@
   }
 
   #hello(to: Contact | undefined): Hello {
-    const known = this.#listener.knownFor(to);
+    const known = this.#listener.contactsFor(to);
     return { kind: "hello", protocol: PROTOCOL_VERSION, ...this.#own, known };
   }
 
--- a/packages/router/src/connection/state_exchange.ts
+++ b/packages/router/src/connection/state_exchange.ts
@@ -1,5 +1,5 @@
 /**
- * What daemons tell each other: versions, and the load they put on runners.
+ * Exchanges versions and the state of runners with other daemons.
  *
  * @module
  */
@@ -26,56 +26,56 @@
 import { VersionExchange } from "./version_exchange.ts";
 import type { VersionedState } from "./version_exchange.ts";
 
-/** Longest time without a state, so that silence tells a lost peer. */
+/** Longest time between two updates, so that a silent peer can be detected. */
 const HEARTBEAT_MS = 400;
 /**
- * Milliseconds between two looks while nothing changes here: half a heartbeat,
- * so that none is more than half of one late.
+ * Timer interval while nothing changes: half a heartbeat, so that a heartbeat is
+ * late by half of its interval at most.
  */
-const REST_MS = HEARTBEAT_MS / 2;
-/** The same as {@linkcode HEARTBEAT_MS} on links that carry versions only. */
+const IDLE_MS = HEARTBEAT_MS / 2;
+/** Heartbeat interval on links that carry versions only. */
 const SPARE_HEARTBEAT_MS = 4_000;
-/** Silence after which such a link is closed, in ms: two heartbeats and a half. */
-const SPARE_SILENCE_MS = 10_000;
+/** Idle time-out of links that carry versions only: two and a half heartbeats. */
+const SPARE_IDLE_TIMEOUT_MS = 10_000;
 /**
  * Contacts that a daemon keeps: eight of each of six failure domains, enough to
- * choose relays from, and all of a fleet in which everybody tells everybody.
+ * choose relays from, and all of a fleet without relays.
  */
 const MAX_CONTACTS = 48;
 
-/** What is shared, and who takes what peers give. */
+/** All state that daemons exchange. */
 export interface SharedState
   extends VersionedState, SharedRunnerState, SharedLeaderState {}
 
-/** Whom a daemon shares with. */
+/** The peers to exchange state with, and the bounds on it. */
 export interface StateExchangeOptions {
   readonly own: Contact;
   readonly peers: () => Peers;
   readonly log: EventLog;
-  /** Daemons from which on loads go through relays. */
+  /** Fleet size from which loads go through relays. */
   readonly relaysFrom: number;
-  /** Bytes a second that one neighbour is told, on average, through relays. */
+  /** Average bytes per second sent to one neighbour where loads go through relays. */
   readonly controlBytesPerS: number;
-  /** Called when a peer has something newer, which it is asked for. */
-  readonly offered: () => void;
+  /** Called when newer data is requested from a peer. */
+  readonly onNewerVersion: () => void;
 }
 
 /**
- * Tells peers what changed, and takes what they tell.
+ * Sends state updates to peers and applies the updates of peers.
  *
- * Every daemon chooses runners by itself; without this it sees only its own
- * part of their load, and several choose the same runner at the same time.
- * Versions ride on every state, so a change that one daemon knows reaches the
- * others also while the store turns them away.
+ * Every daemon chooses runners by itself. With only its own part of their load,
+ * several daemons would choose the same runner at the same time. Each update
+ * includes the sender's versions, so that a change reaches daemons that the
+ * store rejects through the others.
  *
- * In a small fleet each daemon tells all others what it has at each runner. In
- * a large one it tells its neighbours in a tree the sum of what it has and what
- * its other neighbours told it, so that what it sends and hears follows the
- * number of runners and not that of daemons.
+ * In a small fleet each daemon sends its own load at each runner to all others.
+ * In a large one it sends its neighbours in a tree the sum of its own load and
+ * the loads received from its other neighbours, so that traffic grows with the
+ * number of runners and not with that of daemons.
  */
 export class StateExchange implements PeerListener {
   readonly #own: Contact;
-  readonly #known: SharedState;
+  readonly #state: SharedState;
   readonly #peers: () => Peers;
   readonly #book: ContactBook;
   readonly #counts = new MembershipCounts();
@@ -83,17 +83,17 @@
   readonly #versions: VersionExchange;
   readonly #broadcaster: UpdateBroadcaster;
   readonly #timer = new BroadcastTimer({
-    intervalMs: () => broadcastIntervalMs(this.#moment),
-    restMs: REST_MS,
+    intervalMs: () => broadcastIntervalMs(this.#intervalInputs),
+    idleMs: IDLE_MS,
   }, () => this.#tick());
   #sentAt = -Infinity;
   #sentSpareAt = -Infinity;
   #countsChanged = false;
 
-  constructor(known: SharedState, options: StateExchangeOptions) {
+  constructor(shared: SharedState, options: StateExchangeOptions) {
     const { own, peers, log, relaysFrom, controlBytesPerS } = options;
     this.#own = own;
-    this.#known = known;
+    this.#state = shared;
     this.#peers = peers;
     this.#book = new ContactBook(own, Math.max(MAX_CONTACTS, 2 * relaysFrom));
     this.#overlay = new Overlay({
@@ -104,20 +104,20 @@
       get peers() {
         return peers();
       },
-      members: () => this.#counts.recent(performance.now()),
+      members: () => this.#counts.recentMax(performance.now()),
       roleChanged: (peer, before) => this.#roleChanged(peer, before),
     });
-    this.#versions = new VersionExchange(known, options.offered);
+    this.#versions = new VersionExchange(shared, options.onNewerVersion);
     this.#broadcaster = new UpdateBroadcaster({
-      loads: known.loads,
-      prefixes: known.prefixes,
-      crashes: known.crashes,
-      limits: known.limits,
-      time: known.time,
-      usage: known.usage,
-      lease: known.lease,
+      loads: shared.loads,
+      prefixes: shared.prefixes,
+      crashes: shared.crashes,
+      limits: shared.limits,
+      time: shared.time,
+      usage: shared.usage,
+      lease: shared.lease,
       book: this.#book,
-      contactsFor: (peer) => this.knownFor(peer),
+      contactsFor: (peer) => this.contactsFor(peer),
       counts: this.#counts,
       overlay: this.#overlay,
       peers,
@@ -127,11 +127,11 @@
   }
 
   start(): void {
-    this.#known.loads.onChange(() => this.wake());
-    this.#known.prefixes.onUpdate(() => this.wake());
-    this.#known.crashes.onUpdate(() => this.wake());
-    this.#known.limits.onUpdate(() => this.wake());
-    this.#known.directory.onChange(() => this.wake());
+    this.#state.loads.onChange(() => this.wake());
+    this.#state.prefixes.onUpdate(() => this.wake());
+    this.#state.crashes.onUpdate(() => this.wake());
+    this.#state.limits.onUpdate(() => this.wake());
+    this.#state.directory.onChange(() => this.wake());
     this.#timer.start();
   }
 
@@ -139,80 +139,82 @@
     this.#timer.stop();
   }
 
-  /** Daemons of the fleet: the most that were heard of lately. */
+  /** Number of daemons in the fleet: the largest recent count. */
   get fleetSize(): number {
-    const { fleet } = this.#counts.recent(performance.now());
+    const { fleet } = this.#counts.recentMax(performance.now());
     return Math.max(fleet, this.#book.size + 1);
   }
 
-  /** Whether all daemons are heard of that there were lately. */
+  /** Whether neighbours' updates include all daemons of the recent fleet. */
   get seesWholeFleet(): boolean {
-    const { fleet } = this.#counts.sumBy(() => true);
-    return fleet >= this.#counts.recent(performance.now()).fleet;
+    const { fleet } = this.#counts.sumFrom(() => true);
+    return fleet >= this.#counts.recentMax(performance.now()).fleet;
   }
 
-  /** Steady milliseconds at which a peer gave something last. */
-  get givenAt(): number {
-    return this.#versions.givenAt;
+  /** Time of the last fetch response from a peer, in monotonic ms. */
+  get lastResponseAt(): number {
+    return this.#versions.lastResponseAt;
   }
 
-  /** Daemons that are taken to live, as far as known, without this one. */
+  /** Other daemons that are presumed alive. */
   get reachable(): readonly Contact[] {
-    if (!this.#overlay.relayed) return this.#peers().alive;
-    return this.#overlay.present(performance.now());
+    if (!this.#overlay.relayed) return this.#peers().connected;
+    return this.#overlay.reachable(performance.now());
   }
 
   /**
-   * Daemons among which what is scarce is divided: all of a small fleet, and of a
-   * large one the first of each failure domain, which all others know.
+   * The daemons among which scarce resources are divided: all of a small fleet;
+   * in a large one the first of each failure domain, whose contacts all have.
    */
   get sharers(): FleetView {
     const { name: own } = this.#own;
     const { fleetSize } = this;
     const all = [this.#own, ...this.reachable];
-    const known = this.#overlay.relayed ? knownToAll(all) : all;
-    return { own, fleetSize, names: known.map(({ name }) => name) };
+    const shared = this.#overlay.relayed ? knownToAll(all) : all;
+    return { own, fleetSize, names: shared.map(({ name }) => name) };
   }
 
   /**
-   * Whether this daemon hears of all others what a leader has to know: every one
-   * of a small fleet, the heads of a large one.
+   * Whether this daemon receives the updates of all others, as a leader must: in a
+   * small fleet those that watch the store, in a large one the heads.
    */
-  get isCentral(): boolean {
+  get receivesFleetUpdates(): boolean {
     if (this.#overlay.relayed) return this.#overlay.isHead;
     return watches(this.#own, [this.#own, ...this.reachable]);
   }
 
-  /** Daemons that are known by address, without this one. */
-  known(): readonly Contact[] {
+  /** Contacts of all other daemons. */
+  contacts(): readonly Contact[] {
     return this.#book.all();
   }
 
-  /** Daemons that a peer is told of when a link is up: all of a small fleet. */
-  knownFor(
+  /** Contacts to send to a peer whose link is up: in a small fleet, all. */
+  contactsFor(
     peer: Pick<Contact, "failureDomain"> | undefined,
   ): readonly Contact[] {
-    const known = this.#book.all();
-    return this.#overlay.relayed ? toldTo(peer?.failureDomain, known) : known;
+    const contacts = this.#book.all();
+    return this.#overlay.relayed
+      ? toldTo(peer?.failureDomain, contacts)
+      : contacts;
   }
 
-  /** Tells soon what has changed. */
+  /** Schedules the sending of changes. */
   wake(): void {
     this.#timer.wake();
   }
 
-  joined(peer: Peer, known: readonly Contact[]): void {
+  joined(peer: Peer, contacts: readonly Contact[]): void {
     this.#book.addReachable(contactOf(peer));
-    for (const each of known) this.#book.add(each, performance.now());
+    for (const each of contacts) this.#book.add(each, performance.now());
     this.#overlay.joined(peer);
-    this.#allowSilence();
+    this.#setIdleTimeouts();
     peer.link.send(this.#broadcaster.snapshotFor(peer));
     this.wake();
   }
 
   left(peer: Peer): void {
     this.#overlay.left(peer);
-    this.#forget(peer);
+    this.#removeReports(peer);
     this.wake();
   }
 
@@ -226,92 +228,92 @@
       case "hello":
         return;
       case "subscribe":
-        this.#overlay.subscribed(peer, message.scope);
+        this.#overlay.handleSubscribe(peer, message.scope);
         return this.wake();
       case "unneeded":
-        return this.#overlay.unneeded(peer);
+        return this.#overlay.handleUnneeded(peer);
       case "state":
-        return this.#takeState(peer, message);
+        return this.#applyUpdate(peer, message);
       case "want":
-        return this.#versions.give(peer, message);
+        return this.#versions.respond(peer, message);
       case "give":
-        return this.#versions.take(peer, message);
+        return this.#versions.applyResponse(peer, message);
     }
   }
 
-  #takeState(peer: Peer, state: StateUpdate): void {
-    this.#takeContacts(state);
+  #applyUpdate(peer: Peer, update: StateUpdate): void {
+    this.#applyContacts(update);
     const role = this.#overlay.role(peer.name);
     const { relayed } = this.#overlay;
     if (role !== undefined || !relayed) {
-      this.#takeMembers(peer, state.members);
-      const told = applyUpdate(this.#known, peer.name, state);
-      if (this.#broadcaster.relay(peer, told)) this.wake();
+      this.#applyMembers(peer, update.members);
+      const received = applyUpdate(this.#state, peer.name, update);
+      if (this.#broadcaster.relay(peer, received)) this.wake();
     }
-    const mayGiveParts = !relayed || role === "parent" || role === "head";
-    this.#versions.compare(peer, state, { mayGiveParts });
+    const hasParts = !relayed || role === "parent" || role === "head";
+    this.#versions.requestNewer(peer, update, { hasParts });
   }
 
-  #takeContacts({ contacts, gone }: ContactUpdates): void {
+  #applyContacts({ contacts, gone }: ContactUpdates): void {
     const now = performance.now();
     let changed = false;
     for (const each of contacts) changed = this.#book.add(each, now) || changed;
     for (const each of gone) {
-      // What others cannot reach may well be reached from here.
-      const linked = this.#peers().of(each.name);
+      // A daemon that others cannot reach may still be linked to this one.
+      const linked = this.#peers().get(each.name);
       if (linked?.incarnation === each.incarnation) continue;
       changed = this.#book.remove(each, now) || changed;
     }
     if (!changed) return;
-    this.#overlay.changed();
+    this.#overlay.invalidate();
     this.wake();
   }
 
-  #takeMembers(peer: Peer, { fleet, domain }: MemberCounts): void {
-    const near = peer.failureDomain === this.#own.failureDomain;
-    const told = { fleet, domain: near ? domain : 0 };
-    if (!this.#counts.toldBy(peer.name, told)) return;
-    this.#overlay.changed();
+  #applyMembers(peer: Peer, { fleet, domain }: MemberCounts): void {
+    const sameDomain = peer.failureDomain === this.#own.failureDomain;
+    const counts = { fleet, domain: sameDomain ? domain : 0 };
+    if (!this.#counts.setNeighbourCounts(peer.name, counts)) return;
+    this.#overlay.invalidate();
     if (!this.#overlay.relayed) return;
     this.#countsChanged = true;
     this.wake();
   }
 
   #roleChanged(peer: Peer, before: Role | undefined): void {
-    this.#forget(peer, before);
-    this.#allowSilence();
-    const up = this.#peers().of(peer.name) === peer;
+    this.#removeReports(peer, before);
+    this.#setIdleTimeouts();
+    const up = this.#peers().get(peer.name) === peer;
     if (up) peer.link.send(this.#broadcaster.snapshotFor(peer));
     this.wake();
   }
 
-  /** Forgets what a neighbour told, and has others forget it. */
-  #forget(peer: Peer, role?: Role): void {
-    const changed = this.#known.loads.removeNeighbour(peer.name);
-    this.#known.time.forget(peer.name);
-    this.#counts.forget(peer.name);
+  /** Removes a neighbour's reports, and has other daemons remove them. */
+  #removeReports(peer: Peer, role?: Role): void {
+    const changed = this.#state.loads.removeNeighbour(peer.name);
+    this.#state.time.forget(peer.name);
+    this.#counts.removeNeighbour(peer.name);
     this.#countsChanged ||= this.#overlay.relayed;
     this.#broadcaster.retract(changed, role);
   }
 
-  /** Milliseconds in which all daemons know of a request that waits here. */
+  /** Milliseconds until all daemons have received a change of this one. */
   get propagationMs(): number {
-    return propagationMs(this.#moment);
+    return propagationMs(this.#intervalInputs);
   }
 
-  get #moment(): IntervalInputs {
+  get #intervalInputs(): IntervalInputs {
     return {
       peers: this.#peers().count,
       relayed: this.#overlay.relayed,
-      domainSize: this.#counts.recent(performance.now()).domain,
-      newer: this.#versions.news,
-      waits: this.#broadcaster.urgent || this.#known.loads.hasWaiting,
+      domainSize: this.#counts.recentMax(performance.now()).domain,
+      unsent: this.#versions.unsent,
+      requestsWaiting: this.#broadcaster.urgent || this.#state.loads.hasWaiting,
     };
   }
 
   #tick(): void {
     const now = performance.now();
-    this.#overlay.settle(now);
+    this.#overlay.reconcile(now);
     this.#broadcaster.collect();
     const due = this.#countsChanged || !this.#broadcaster.empty ||
       now - this.#sentAt >= HEARTBEAT_MS;
@@ -320,36 +322,36 @@
       this.#countsChanged = false;
       this.#broadcaster.broadcast(now);
     }
-    this.#tellVersions(now);
+    this.#sendVersions(now);
     if (!this.#broadcaster.empty) this.wake();
   }
 
   /**
-   * Tells peers which versions there are: those that may lack them, and now and
-   * then those that are told nothing else.
+   * Sends versions to peers that may lack them, and as a heartbeat on links that
+   * carry versions only.
    */
-  #tellVersions(now: number): void {
-    const { configuration, runners } = this.#versions.news;
+  #sendVersions(now: number): void {
+    const { configuration, runners } = this.#versions.unsent;
     const newer = configuration || runners;
     const due = now - this.#sentSpareAt >= SPARE_HEARTBEAT_MS;
     if (!newer && !due) return;
-    this.#versions.markTold();
+    this.#versions.markSent();
     if (due) this.#sentSpareAt = now;
-    const told = this.#peers().alive.filter((peer) =>
+    const receivers = this.#peers().connected.filter((peer) =>
       (due && this.#overlay.isSpare(peer)) ||
-      (newer && this.#versions.isLackedBy(peer))
+      (newer && this.#versions.mayLack(peer))
     );
-    for (const peer of told) {
+    for (const peer of receivers) {
       peer.link.send(this.#broadcaster.versionsFor(peer));
     }
   }
 
-  #allowSilence(): void {
-    for (const peer of this.#peers().alive) {
-      const silence = this.#overlay.isSpare(peer)
-        ? SPARE_SILENCE_MS
+  #setIdleTimeouts(): void {
+    for (const peer of this.#peers().connected) {
+      const timeoutMs = this.#overlay.isSpare(peer)
+        ? SPARE_IDLE_TIMEOUT_MS
         : SILENCE_MS;
-      peer.link.allowSilence(silence);
+      peer.link.allowSilence(timeoutMs);
     }
   }
 }
--- a/packages/router/src/connection/state_exchange_test.ts
+++ b/packages/router/src/connection/state_exchange_test.ts
@@ -50,7 +50,7 @@
       log: SILENT_LOG,
       relaysFrom: 25,
       controlBytesPerS: 29_000,
-      offered() {},
+      onNewerVersion() {},
     });
     this.#exchange.start();
   }
@@ -77,7 +77,12 @@
       broadcast(unpackMessage(item._unsafeUnwrap()));
     };
     const peer = { link: { sendEncoded, allowSilence() {} } };
-    const fleet = { count: 2, alive: [peer], broadcast, want() {} };
+    const fleet = {
+      count: 2,
+      connected: [peer],
+      broadcast,
+      maintainLinks() {},
+    };
     return fleet as unknown as Peers;
   }
 }
--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -44,7 +44,7 @@
   /** Whether there is a configuration to go on with. */
   configured(): boolean;
   /** Steady milliseconds at which a peer gave something last. */
-  givenAt(): number;
+  lastResponseAt(): number;
   /** Takes a configuration from the store. */
   adopt(configuration: Configuration): void;
 }
@@ -79,7 +79,7 @@
   }
 
   /** Ends the present waits, so that the next ones start on new connections. */
-  hurry(): void {
+  restartWatches(): void {
     this.#configurations.hurry();
     this.#runners.hurry();
   }
@@ -103,7 +103,7 @@
 
   /** Whether neither the store nor a peer has told anything for long. */
   #isUninformed({ confirmedAt }: Follower<unknown>): boolean {
-    const heardAt = Math.max(confirmedAt, this.#host.givenAt());
+    const heardAt = Math.max(confirmedAt, this.#host.lastResponseAt());
     return performance.now() - heardAt >= LOOK_AGAIN_MS;
   }
 
--- a/packages/router/src/connection/update_broadcaster.ts
+++ b/packages/router/src/connection/update_broadcaster.ts
@@ -135,7 +135,7 @@
     this.#upstream.addUsage(this.#sources.usage?.takeNews() ?? []);
     this.#collectLease();
     const contacts = book.hasUpdates ? book.takeUpdates() : undefined;
-    const outboxes = overlay.relays
+    const outboxes = overlay.isRelay
       ? [this.#upstream, this.#downstream]
       : [this.#upstream];
     for (const outbox of outboxes) {
@@ -172,7 +172,7 @@
     if (overlay.role(name) === "child") this.#upstream.addUsage(usage);
     const count = changed.size + parts.length + crashes.crashed.length +
       crashes.answers.length + limits.length;
-    if (!overlay.relays || count === 0) return false;
+    if (!overlay.isRelay || count === 0) return false;
     const outboxes = overlay.role(name) === "child"
       ? [this.#downstream, this.#upstream]
       : [this.#downstream];
@@ -192,7 +192,7 @@
    */
   retract(changed: Iterable<string>, role: Role | undefined): void {
     const ids = [...changed];
-    if (this.#sources.overlay.relays) this.#downstream.addRunners(ids, true);
+    if (this.#sources.overlay.isRelay) this.#downstream.addRunners(ids, true);
     if (role === "child") this.#upstream.addRunners(ids, true);
   }
 
@@ -245,7 +245,7 @@
     this.#upstreamBudget.take(frame.length);
     const receivers = relayed
       ? overlay.peersWith("parent", "head")
-      : peers().alive;
+      : peers().connected;
     for (const { link } of receivers) link.sendEncoded(frame);
   }
 
@@ -301,7 +301,7 @@
         perS,
         agoMs: ageOf(at, now),
       })),
-      members: this.#sources.counts.sumBy(includes),
+      members: this.#sources.counts.sumFrom(includes),
       // Only usage windows need the time.
       timeMs: meter && Math.round(time.now()),
       usage,
--- a/packages/router/src/connection/version_exchange.ts
+++ b/packages/router/src/connection/version_exchange.ts
@@ -52,12 +52,12 @@
   }
 
   /** Steady milliseconds at which a peer gave something last. */
-  get givenAt(): number {
+  get lastResponseAt(): number {
     return this.#givenAt;
   }
 
   /** What is newer than what peers were told last. */
-  get news(): { readonly configuration: boolean; readonly runners: boolean } {
+  get unsent(): { readonly configuration: boolean; readonly runners: boolean } {
     const { configuration, runners } = this.own;
     return {
       configuration: configuration > this.#told.configuration,
@@ -66,7 +66,7 @@
   }
 
   /** Peers are told what this daemon has. */
-  markTold(): void {
+  markSent(): void {
     this.#told = this.own;
   }
 
@@ -74,7 +74,7 @@
    * Whether a peer may lack what this daemon has. Who told a newer version, or
    * the same, need not be told it back.
    */
-  isLackedBy(peer: Peer): boolean {
+  mayLack(peer: Peer): boolean {
     const { configuration, runners } = this.own;
     const known = this.#versionsOf.get(peer);
     return known === undefined || known.configuration < configuration ||
@@ -84,11 +84,11 @@
   /**
    * Asks a peer for what it has newer.
    *
-   * @param options `mayGiveParts`: whether what runners hold is to be had there;
+   * @param options `hasParts`: whether what runners hold is to be had there;
    * a daemon that has just started asks one other for it.
    */
-  compare(peer: Peer, told: Versions, options: {
-    readonly mayGiveParts: boolean;
+  requestNewer(peer: Peer, told: Versions, options: {
+    readonly hasParts: boolean;
   }): void {
     const { configuration: version, runners: revision } = this.own;
     const { configuration: toldVersion, runners: toldRevision } = told;
@@ -99,7 +99,7 @@
     const configuration = toldVersion > version;
     const runnersSince = toldRevision > revision ? revision : undefined;
     const parts = !this.#askedForParts && toldVersion >= 0 &&
-      options.mayGiveParts;
+      options.hasParts;
     if (!configuration && runnersSince === undefined && !parts) return;
     const now = performance.now();
     if (!parts && now - this.#wantedAt < WANT_AGAIN_MS) return;
@@ -110,7 +110,10 @@
   }
 
   /** Gives a peer what it asks for. */
-  give(peer: Peer, { configuration, runnersSince, parts }: FetchRequest): void {
+  respond(
+    peer: Peer,
+    { configuration, runnersSince, parts }: FetchRequest,
+  ): void {
     const { directory, prefixes } = this.#known;
     peer.link.send({
       kind: "give",
@@ -123,7 +126,7 @@
   }
 
   /** Takes what a peer gives. */
-  take(
+  applyResponse(
     peer: Peer,
     { configuration, runners, parts = [] }: FetchResponse,
   ): void {
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -301,7 +301,7 @@
     });
     this.#settings = settings;
     this.#budgets.clear();
-    this.#neighbourhood.seek(settings.seeds);
+    this.#neighbourhood.discover(settings.seeds);
   }
 
   /** Ends at once, without hand-over. */
