--- a/packages/router/src/connection/peer_link.ts
+++ b/packages/router/src/connection/peer_link.ts
@@ -40,7 +40,7 @@
   /** Sends a message that is already encoded. */
   sendEncoded(frame: Buffer): void;
   /** Sets the silence after which the link is closed, in ms. */
-  allowSilence(millis: number): void;
+  setIdleTimeout(millis: number): void;
   close(): void;
 }
 
@@ -78,7 +78,7 @@
     this.#socket.write(frame);
   }
 
-  allowSilence(millis: number): void {
+  setIdleTimeout(millis: number): void {
     if (this.#silenceMs === millis) return;
     this.#silenceMs = millis;
     this.#socket.setTimeout(millis);
--- a/packages/router/src/connection/state_exchange.ts
+++ b/packages/router/src/connection/state_exchange.ts
@@ -351,7 +351,7 @@
       const timeoutMs = this.#overlay.isSpare(peer)
         ? SPARE_IDLE_TIMEOUT_MS
         : SILENCE_MS;
-      peer.link.allowSilence(timeoutMs);
+      peer.link.setIdleTimeout(timeoutMs);
     }
   }
 }
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -114,7 +114,7 @@
     setTimeout(() => this.#far!.#receive(frame), sentMs + DELAY_MS);
   }
 
-  allowSilence(millis: number): void {
+  setIdleTimeout(millis: number): void {
     this.#silenceMs = millis;
   }
 
