--- a/packages/router/src/connection/peer_link.ts
+++ b/packages/router/src/connection/peer_link.ts
@@ -18,7 +18,7 @@
  */
 const MAX_WAITING_BYTES = 1024 * 1024;
 /** Milliseconds of silence after which a link is closed, unless set. */
-export const SILENCE_MS = 1_500;
+export const IDLE_TIMEOUT_MS = 1_500;
 
 /** Encodes a message once, to be sent on many links. */
 export function encodeMessage(message: PeerMessage): Buffer {
@@ -49,7 +49,7 @@
   readonly #socket: Socket;
   readonly #onMessage: (message: PeerMessage) => void;
   readonly #onFault: (reason: string) => void;
-  #silenceMs = SILENCE_MS;
+  #silenceMs = IDLE_TIMEOUT_MS;
   #chunks: Buffer[] = [];
   #size = 0;
 
@@ -60,7 +60,7 @@
     socket.setNoDelay(true);
     // Counts as activity only what moves on the connection; both sides send
     // heartbeats well within it.
-    socket.setTimeout(SILENCE_MS);
+    socket.setTimeout(IDLE_TIMEOUT_MS);
     socket.on("timeout", () => socket.destroy());
     socket.on("data", (chunk: Buffer) => this.#receive(chunk));
     // The close that follows tells all that matters.
--- a/packages/router/src/connection/peer_link_test.ts
+++ b/packages/router/src/connection/peer_link_test.ts
@@ -9,7 +9,7 @@
 import { encodeFrame } from "@umbermast/coordination/frame_bytes";
 import { testUpdate } from "../../tests/fixtures.ts";
 import type { CrashAges } from "./crash_ages.ts";
-import { encodeMessage, PeerLink, SILENCE_MS } from "./peer_link.ts";
+import { encodeMessage, IDLE_TIMEOUT_MS, PeerLink } from "./peer_link.ts";
 import { NO_LOAD } from "../process/load_totals.ts";
 import { PROTOCOL_VERSION } from "./peer_message.ts";
 import type { PeerMessage } from "./peer_message.ts";
@@ -214,7 +214,7 @@
   const telling = setInterval(() => link.send(WANT), 100);
   t.after(() => clearInterval(telling));
   const late = new Promise<string>((resolve) => {
-    const timer = setTimeout(() => resolve("still up"), 3 * SILENCE_MS);
+    const timer = setTimeout(() => resolve("still up"), 3 * IDLE_TIMEOUT_MS);
     t.after(() => clearTimeout(timer));
   });
   assert.equal(
--- a/packages/router/src/connection/state_exchange.ts
+++ b/packages/router/src/connection/state_exchange.ts
@@ -14,7 +14,7 @@
 import { UpdateBroadcaster } from "./update_broadcaster.ts";
 import { Overlay } from "./overlay.ts";
 import type { Role } from "./overlay.ts";
-import { SILENCE_MS } from "./peer_link.ts";
+import { IDLE_TIMEOUT_MS } from "./peer_link.ts";
 import type { MemberCounts, PeerMessage, StateUpdate } from "./peer_message.ts";
 import type { Peer, PeerListener, Peers } from "./peers.ts";
 import { BroadcastTimer } from "./broadcast_timer.ts";
@@ -350,7 +350,7 @@
     for (const peer of this.#peers().connected) {
       const timeoutMs = this.#overlay.isSpare(peer)
         ? SPARE_IDLE_TIMEOUT_MS
-        : SILENCE_MS;
+        : IDLE_TIMEOUT_MS;
       peer.link.setIdleTimeout(timeoutMs);
     }
   }
--- a/packages/router/src/connection/state_exchange_test.ts
+++ b/packages/router/src/connection/state_exchange_test.ts
@@ -76,7 +76,7 @@
       const item = decodeItem(frame.subarray(LENGTH_BYTES));
       broadcast(unpackMessage(item._unsafeUnwrap()));
     };
-    const peer = { link: { sendEncoded, allowSilence() {} } };
+    const peer = { link: { sendEncoded, setIdleTimeout() {} } };
     const fleet = {
       count: 2,
       connected: [peer],
