--- a/packages/router/src/request/fingerprint.ts
+++ b/packages/router/src/request/fingerprint.ts
@@ -10,7 +10,7 @@
 const BYTES = 9;
 
 /** What a caller asks for, whichever try it is. */
-export interface Asked {
+export interface FingerprintInput {
   readonly host: string;
   readonly method: string;
   /** Path with query. */
@@ -30,7 +30,7 @@
  * // "q2wQJ6dZ1vXh"
  * ```
  */
-export function fingerprintOf(asked: Asked): string {
+export function fingerprintOf(asked: FingerprintInput): string {
   const { host, method, target, workspace, body } = asked;
   const head = JSON.stringify([host, method, target, workspace ?? null]);
   return createHash("sha256").update(head).update(body).digest()
--- a/packages/router/src/request/fingerprint_test.ts
+++ b/packages/router/src/request/fingerprint_test.ts
@@ -2,9 +2,9 @@
 import { Buffer } from "node:buffer";
 import { test } from "node:test";
 import { fingerprintOf } from "./fingerprint.ts";
-import type { Asked } from "./fingerprint.ts";
+import type { FingerprintInput } from "./fingerprint.ts";
 
-function asked(fields: Partial<Asked> = {}): Asked {
+function asked(fields: Partial<FingerprintInput> = {}): FingerprintInput {
   return {
     host: "a.example",
     method: "POST",
@@ -19,7 +19,7 @@
   assert.equal(fingerprintOf(asked()), fingerprintOf(asked()));
 });
 
-const OTHERS: readonly Partial<Asked>[] = [
+const OTHERS: readonly Partial<FingerprintInput>[] = [
   { host: "b.example" },
   { method: "PUT" },
   { target: "/chat/?page=2" },
