--- a/packages/router/src/request/local_outcomes.ts
+++ b/packages/router/src/request/local_outcomes.ts
@@ -6,7 +6,7 @@
 import type { Quarantine } from "../process/crash_record.ts";
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
-import { notRun, overloaded, quarantined } from "./refusals.ts";
+import { overloaded, quarantined, unavailableRefusal } from "./refusals.ts";
 import type { Outcome } from "./outcome.ts";
 import type { Progress } from "./progress.ts";
 
@@ -25,7 +25,7 @@
   /** It was sent to nobody who took it, for the reason given. */
   refusal(code: string): Outcome {
     if (this.#progress.mayHaveRun) return this.failure(code);
-    const refusal = notRun(code, this.#daemon.random());
+    const refusal = unavailableRefusal(code, this.#daemon.random());
     return { kind: "refused", refusal };
   }
 
--- a/packages/router/src/request/refusals.ts
+++ b/packages/router/src/request/refusals.ts
@@ -17,7 +17,7 @@
  *
  * @param point in [0, 1), from a random number generator.
  */
-export function notRun(code: string, point: number): Refusal {
+export function unavailableRefusal(code: string, point: number): Refusal {
   const retryAfterMs = RETRY_AFTER_MS * (1 + point);
   return { status: UNAVAILABLE, code, retryAfterMs };
 }
