--- a/packages/router/src/request/local_outcomes.ts
+++ b/packages/router/src/request/local_outcomes.ts
@@ -6,7 +6,11 @@
 import type { Quarantine } from "../process/crash_record.ts";
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
-import { overloaded, quarantined, unavailableRefusal } from "./refusals.ts";
+import {
+  overloaded,
+  quarantineRefusal,
+  unavailableRefusal,
+} from "./refusals.ts";
 import type { Outcome } from "./outcome.ts";
 import type { Progress } from "./progress.ts";
 
@@ -39,7 +43,7 @@
   /** Runners end that run it. */
   quarantine({ leftMs }: Quarantine): Outcome {
     if (this.#progress.mayHaveRun) return this.failure("quarantined");
-    return { kind: "refused", refusal: quarantined(leftMs) };
+    return { kind: "refused", refusal: quarantineRefusal(leftMs) };
   }
 
   /** It may have run, and there is no whole answer. */
--- a/packages/router/src/request/refusals.ts
+++ b/packages/router/src/request/refusals.ts
@@ -28,7 +28,7 @@
  *
  * @param leftMs time for which it is not sent.
  */
-export function quarantined(leftMs: number): Refusal {
+export function quarantineRefusal(leftMs: number): Refusal {
   return { status: UNAVAILABLE, code: "quarantined", retryAfterMs: leftMs };
 }
 
