--- a/packages/router/tests/crashing_fleet.ts
+++ b/packages/router/tests/crashing_fleet.ts
@@ -19,7 +19,7 @@
 /** Time from a crash until another runner replaces the crashed one, in ms. */
 const REPLACEMENT_MS = 1_000;
 /** Prefix of the body of a request that crashes its runner. */
-export const CRASHING_BODY = "crash";
+export const CRASHING = "crash";
 
 /** The routers and runners of a test. */
 export class CrashingFleet {
@@ -94,7 +94,7 @@
   }): Promise<void> {
     const body = request.text.slice(request.text.indexOf("\r\n\r\n") + 4);
     this.arrivals.push(body);
-    if (!body.startsWith(CRASHING_BODY)) {
+    if (!body.startsWith(CRASHING)) {
       await pause(REQUEST_MS);
       request.socket.write(runnerResponse(request.id, body));
       return;
--- a/packages/router/tests/crashing_request_test.ts
+++ b/packages/router/tests/crashing_request_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { setTimeout as pause } from "node:timers/promises";
-import { CRASHING_BODY, CrashingFleet } from "./crashing_fleet.ts";
+import { CRASHING, CrashingFleet } from "./crashing_fleet.ts";
 import { sendRequest, waitUntil } from "./fixtures.ts";
 
 /** Milliseconds in which daemons that are in touch know what one of them does. */
@@ -17,7 +17,7 @@
 async function endRunners({ linked }: CrashingFleet): Promise<void> {
   const { length } = linked.routers;
   for (let refused = 0; refused < length;) {
-    const { status } = await linked.send(CRASHING_BODY);
+    const { status } = await linked.send(CRASHING);
     refused = status === 503 ? refused + 1 : 0;
   }
 }
@@ -25,13 +25,11 @@
 // Guards against a request that is known to end its runners being sent to more.
 test("a request that ended three runners is sent to no more than three others", async (t) => {
   const fleet = await CrashingFleet.start(t, { routers: 7, runners: 12 });
-  while (fleet.crashedRunners < ENDS) await fleet.linked.send(CRASHING_BODY);
+  while (fleet.crashedRunners < ENDS) await fleet.linked.send(CRASHING);
   await pause(CONTACT_MS);
-  const before = fleet.countArrivals(CRASHING_BODY);
-  for (let tries = 0; tries < TRIES; tries++) {
-    await fleet.linked.send(CRASHING_BODY);
-  }
-  const arrived = fleet.countArrivals(CRASHING_BODY) - before;
+  const before = fleet.countArrivals(CRASHING);
+  for (let tries = 0; tries < TRIES; tries++) await fleet.linked.send(CRASHING);
+  const arrived = fleet.countArrivals(CRASHING) - before;
   t.diagnostic(`${fleet.crashedRunners} ends, sent ${arrived} times after`);
   assert.ok(arrived <= ALLOWED, `sent ${arrived} times more`);
 });
@@ -41,7 +39,7 @@
   const fleet = await CrashingFleet.start(t, SHAPE);
   while (fleet.crashedRunners < ENDS) {
     await Promise.all(
-      [CRASHING_BODY, "poll", "poll"].map((body) => fleet.linked.send(body)),
+      [CRASHING, "poll", "poll"].map((body) => fleet.linked.send(body)),
     );
   }
   await fleet.waitUntilRestored();
@@ -59,7 +57,7 @@
   const fleet = await CrashingFleet.start(t, SHAPE);
   await endRunners(fleet);
   const before = fleet.arrivals.length;
-  const { status, body, headers } = await fleet.linked.send(CRASHING_BODY);
+  const { status, body, headers } = await fleet.linked.send(CRASHING);
   assert.equal(status, 503);
   assert.deepEqual(JSON.parse(body), { error: "quarantined" });
   assert.ok(Number(headers["retry-after"]) > 0);
@@ -71,10 +69,10 @@
   const fleet = await CrashingFleet.start(t, SHAPE);
   fleet.requestsToQueue = 2;
   const waiting = [
-    fleet.linked.send(CRASHING_BODY),
-    fleet.linked.send(CRASHING_BODY),
+    fleet.linked.send(CRASHING),
+    fleet.linked.send(CRASHING),
   ];
-  await waitUntil(() => fleet.countArrivals(CRASHING_BODY) === 2);
+  await waitUntil(() => fleet.countArrivals(CRASHING) === 2);
   await endRunners(fleet);
   const answers = await Promise.all(waiting);
   assert.deepEqual(answers.map(({ status }) => status), [502, 502]);
@@ -89,7 +87,7 @@
     targetMs: 2_000,
   } as const;
   const fleet = await CrashingFleet.start(t, { ...SHAPE, route });
-  const { status } = await fleet.linked.send(CRASHING_BODY);
+  const { status } = await fleet.linked.send(CRASHING);
   assert.equal(status, 502);
   assert.ok(
     fleet.crashedRunners <= ENDS + ALLOWED,
@@ -102,12 +100,11 @@
   const fleet = await CrashingFleet.start(t, SHAPE);
   await endRunners(fleet);
   const router = await fleet.linked.add();
-  const send = () =>
-    sendRequest(router, { method: "POST", body: CRASHING_BODY });
-  const before = fleet.countArrivals(CRASHING_BODY);
+  const send = () => sendRequest(router, { method: "POST", body: CRASHING });
+  const before = fleet.countArrivals(CRASHING);
   await waitUntil(() =>
     router.crashes.snapshot(router.now()).crashed.length > 0
   );
   assert.equal((await send()).status, 503);
-  assert.equal(fleet.countArrivals(CRASHING_BODY), before);
+  assert.equal(fleet.countArrivals(CRASHING), before);
 });
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Many daemons in one process, on a network and a store in memory.
+ * Simulates a fleet: many daemons in one process, with a fake network and store.
  *
  * @module
  */
@@ -44,20 +44,22 @@
 import { FakeClock } from "./fake_clock.ts";
 import { MemoryLeaderStore, testConfiguration } from "./fixtures.ts";
 
-/** One way between daemons, in ms. */
-const DELAY_MS = 1;
-/** What opening a link to a host without power takes, in ms. */
+/** Network latency between daemons, one way, in ms. */
+const LATENCY_MS = 1;
+/** Time until opening a link to a host without power fails, in ms. */
 const DIAL_TIMEOUT_MS = 250;
-const ANSWER_MS = 4;
-/** Bytes in a ms of one Mbit/s. */
+/** Response time of the store and of the platform's API, in ms. */
+const RESPONSE_MS = 4;
+/** Bytes that a link of 1 Mbit/s carries in a millisecond. */
 const BYTES_PER_MBIT_MS = 125;
-/** All daemons start within this many ms. */
+/** Time within which all daemons of a fleet start, in ms. */
 const START_SPREAD_MS = 300;
-/** Runners, unless the shape of a fleet says otherwise. */
+/** Default number of runners in a fleet. */
 const RUNNERS = 20;
-const ROOM = { unreadTokens: 100, memoryTokens: 200, tight: false };
+/** A request as placed at a runner. */
+const PLACED = { unreadTokens: 100, memoryTokens: 200, tight: false };
 
-/** What a daemon has done since the counts were reset. */
+/** Messages, calls and bytes of a daemon since the counts were reset. */
 export interface ActivityCounts {
   messages: number;
   bytes: number;
@@ -66,34 +68,34 @@
   calls: number;
 }
 
-function noCounts(): ActivityCounts {
+function zeroCounts(): ActivityCounts {
   return { messages: 0, bytes: 0, received: 0, dials: 0, calls: 0 };
 }
 
-/** One end of a link in memory. */
+/** One end of an in-memory link. */
 export class FakeLink implements Link {
   readonly #from: Member;
   readonly #to: Member;
-  #far: FakeLink | undefined;
+  #remote: FakeLink | undefined;
   #events: LinkEvents | undefined;
   #closed = false;
   #silenceMs = 1_500;
-  #heardAt = performance.now();
+  #receivedAt = performance.now();
 
   constructor(from: Member, to: Member) {
     this.#from = from;
     this.#to = to;
-    this.#watch();
+    this.#checkSilence();
   }
 
   static pair(one: Member, other: Member): readonly [FakeLink, FakeLink] {
-    const near = new FakeLink(one, other);
-    const far = new FakeLink(other, one);
-    near.#far = far;
-    far.#far = near;
-    one.links.add(near);
-    other.links.add(far);
-    return [near, far];
+    const local = new FakeLink(one, other);
+    const remote = new FakeLink(other, one);
+    local.#remote = remote;
+    remote.#remote = local;
+    one.links.add(local);
+    other.links.add(remote);
+    return [local, remote];
   }
 
   readonly opening: LinkOpening = (events) => {
@@ -111,7 +113,7 @@
     this.#from.counts.bytes += frame.length;
     if (!this.#from.canReach(this.#to)) return;
     const sentMs = this.#from.timeToSend(frame.length);
-    setTimeout(() => this.#far!.#receive(frame), sentMs + DELAY_MS);
+    setTimeout(() => this.#remote!.#receive(frame), sentMs + LATENCY_MS);
   }
 
   setIdleTimeout(millis: number): void {
@@ -122,7 +124,7 @@
     if (this.#closed) return;
     this.#end();
     if (!this.#from.canReach(this.#to)) return;
-    setTimeout(() => this.#far!.#end(), DELAY_MS);
+    setTimeout(() => this.#remote!.#end(), LATENCY_MS);
   }
 
   #end(): void {
@@ -134,23 +136,23 @@
 
   #receive(frame: Buffer): void {
     if (this.#closed || !this.#from.alive) return;
-    this.#heardAt = performance.now();
+    this.#receivedAt = performance.now();
     this.#from.counts.received += frame.length;
     const item = decodeItem(frame.subarray(LENGTH_BYTES));
     this.#events?.onMessage(unpackMessage(item._unsafeUnwrap()));
   }
 
-  #watch(): void {
+  #checkSilence(): void {
     setTimeout(() => {
       if (this.#closed) return;
-      const silent = performance.now() - this.#heardAt >= this.#silenceMs;
+      const silent = performance.now() - this.#receivedAt >= this.#silenceMs;
       if (silent && this.#from.alive) return this.close();
-      this.#watch();
+      this.#checkSilence();
     }, 250);
   }
 }
 
-/** The network of one daemon. */
+/** The in-memory network, as one daemon uses it. */
 class FakeNetwork implements PeerNetwork {
   readonly port = 0;
   readonly #member: Member;
@@ -180,28 +182,28 @@
     setTimeout(() => {
       if (!from.alive) return;
       if (to.accept === undefined) return outcome.failed();
-      const [near, far] = FakeLink.pair(from, to);
-      to.accept(far.opening);
-      outcome.opened(near.opening);
-    }, 2 * DELAY_MS);
+      const [local, remote] = FakeLink.pair(from, to);
+      to.accept(remote.opening);
+      outcome.opened(local.opening);
+    }, 2 * LATENCY_MS);
   }
 
   close(): void {}
 }
 
-/** One kind of objects; a list of one revision that tests replace. */
+/** A feed of values that all daemons share and that tests replace. */
 class FakeFeed<T> implements Feed<T> {
-  readonly #call: () => void;
+  readonly #countCall: () => void;
   readonly #shared: SharedValues<T>;
 
-  constructor(shared: SharedValues<T>, call: () => void) {
+  constructor(shared: SharedValues<T>, countCall: () => void) {
     this.#shared = shared;
-    this.#call = call;
+    this.#countCall = countCall;
   }
 
   async list(): Promise<Listing<T>> {
-    this.#call();
-    await sleep(ANSWER_MS);
+    this.#countCall();
+    await sleep(RESPONSE_MS);
     return { revision: this.#shared.revision, values: this.#shared.values };
   }
 
@@ -210,15 +212,15 @@
     waitMs: number,
     signal: AbortSignal,
   ): Promise<Changes<T>> {
-    this.#call();
+    this.#countCall();
     const end = performance.now() + waitMs;
     await Promise.race([
       this.#shared.changedAfter(since),
       sleep(end - performance.now()),
       aborted(signal),
     ]);
-    await sleep(ANSWER_MS);
-    if (signal.aborted) throw new FeedError("unavailable", "Not waited for");
+    await sleep(RESPONSE_MS);
+    if (signal.aborted) throw new FeedError("unavailable", "Request aborted");
     const { revision, values } = this.#shared;
     const entered = revision > since ? values : [];
     return { revision, entered, left: [] };
@@ -228,7 +230,7 @@
 class SharedValues<T> {
   revision = 1;
   values: readonly T[];
-  #waiting: (() => void)[] = [];
+  #watchers: (() => void)[] = [];
 
   constructor(values: readonly T[]) {
     this.values = values;
@@ -237,12 +239,12 @@
   replace(values: readonly T[]): void {
     this.values = values;
     this.revision += 1;
-    for (const wake of this.#waiting.splice(0)) wake();
+    for (const wake of this.#watchers.splice(0)) wake();
   }
 
   changedAfter(revision: number): Promise<void> {
     if (this.revision > revision) return Promise.resolve();
-    return new Promise((resolve) => this.#waiting.push(resolve));
+    return new Promise((resolve) => this.#watchers.push(resolve));
   }
 }
 
@@ -256,9 +258,9 @@
   );
 }
 
-/** Milliseconds in which requests of workspaces are counted together. */
+/** Length of a usage window, in ms. */
 export const WINDOW_MS = 5_000;
-/** Milliseconds after the end of a window by which its report is due. */
+/** Time after the end of a usage window by which its report is due, in ms. */
 export const REPORT_DELAY_MS = 10_000;
 const LEASE_MS = 3_000;
 
@@ -267,7 +269,7 @@
   steady: () => performance.now(),
 };
 
-/** A call to the platform, as it arrived. */
+/** A usage report that the platform's API received. */
 export interface ReceivedReport {
   readonly at: number;
   readonly fence: Fence;
@@ -275,7 +277,7 @@
   readonly counts: UsageReport["counts"];
 }
 
-/** The platform's API, which takes all that comes. */
+/** The platform's API; accepts and records all usage reports. */
 class RecordingApi implements PlatformApi {
   readonly arrivals: ReceivedReport[] = [];
 
@@ -284,7 +286,7 @@
     { fence }: PlatformCall,
   ): Promise<CallEnd> {
     this.arrivals.push({ at: performance.now(), fence, window, counts });
-    await sleep(ANSWER_MS);
+    await sleep(RESPONSE_MS);
     return { kind: "accepted" };
   }
 
@@ -293,13 +295,13 @@
   }
 }
 
-/** What all daemons of a fleet share to find their leader. */
+/** The leader's store and the platform's API, shared by all daemons of a fleet. */
 interface Leadership {
   readonly store: MemoryLeaderStore;
   readonly api: RecordingApi;
 }
 
-/** One daemon. */
+/** A daemon of a simulated fleet. */
 export class Member {
   readonly contact: Contact;
   readonly loads = new RunnerLoads();
@@ -313,18 +315,18 @@
   readonly directory = new RunnerDirectory();
   readonly links = new Set<FakeLink>();
   readonly events: { readonly name: string; readonly fields: Fields }[] = [];
-  counts = noCounts();
+  counts = zeroCounts();
   configuration: Configuration | undefined;
   alive = false;
-  /** Whether the leader's store does not answer this host. */
+  /** Whether calls of this host to the leader's store fail. */
   storeUnreachable = false;
-  /** Names of daemons that nothing from here reaches. */
+  /** Names of daemons to which this one cannot send. */
   readonly blocked = new Set<string>();
   accept: ((opening: LinkOpening) => void) | undefined;
   readonly fleetSync: FleetSync;
-  /** Mbit/s of what it sends on all its links together. */
+  /** Bandwidth for sending, shared by all links, in Mbit/s. */
   readonly #sendMbps: number;
-  #sendsUntil = 0;
+  #sendingUntil = 0;
 
   constructor(contact: Contact, fleet: Fleet, options: {
     readonly store: SharedStore;
@@ -348,7 +350,7 @@
       now: () => this.time.now(),
     });
     this.lease = new LeaderLease({
-      store: this.#counting(leadership.store),
+      store: this.#wrapStore(leadership.store),
       own: contact,
       leaseMs: LEASE_MS,
       clock: { now: FAKE_CLOCKS.shown, monotonic: FAKE_CLOCKS.steady },
@@ -396,15 +398,15 @@
     });
   }
 
-  /** Milliseconds until so many more bytes have left this host. */
+  /** Queues bytes for sending; returns the time until they are sent, in ms. */
   timeToSend(bytes: number): number {
     const now = performance.now();
     const spanMs = bytes / (this.#sendMbps * BYTES_PER_MBIT_MS);
-    this.#sendsUntil = Math.max(now, this.#sendsUntil) + spanMs;
-    return this.#sendsUntil - now;
+    this.#sendingUntil = Math.max(now, this.#sendingUntil) + spanMs;
+    return this.#sendingUntil - now;
   }
 
-  /** Whether bytes from here arrive there. */
+  /** Whether messages of this daemon arrive at another. */
   canReach(other: Member): boolean {
     return this.alive && other.alive &&
       !this.blocked.has(other.contact.name);
@@ -421,7 +423,11 @@
     void this.leader.run();
   }
 
-  /** Ends; the links are reset, unless the host has lost its power. */
+  /**
+   * Ends the daemon. Its links are closed, unless the host loses power.
+   *
+   * @param options `power`: whether the host loses power.
+   */
   end(options: { readonly power?: boolean } = {}): void {
     const links = [...this.links];
     if (!options.power) { for (const link of links) link.close(); }
@@ -432,34 +438,35 @@
     this.leader.stop();
   }
 
-  /** The leader's store, seen from this host. */
-  #counting(store: MemoryLeaderStore): LeaderStore {
-    const called = async () => {
+  /** Wraps the leader's store to count calls, and to fail them if it is unreachable. */
+  #wrapStore(store: MemoryLeaderStore): LeaderStore {
+    const beforeCall = async () => {
       this.counts.calls += 1;
-      await sleep(ANSWER_MS);
+      await sleep(RESPONSE_MS);
       if (!this.alive || this.storeUnreachable) {
-        throw new FeedError("unavailable", "no answer");
+        throw new FeedError("unavailable", "no response");
       }
     };
     return {
       read: async () => {
-        await called();
+        await beforeCall();
         return store.read();
       },
       write: async (record, revision) => {
-        await called();
+        await beforeCall();
         return store.write(record, revision);
       },
     };
   }
 
+  /** Places a request at a runner. */
   place(runner: string): PlacedRequest {
-    const placed = { ...ROOM };
+    const placed = { ...PLACED };
     this.loads.of(runner).place(placed, performance.now());
     return placed;
   }
 
-  /** Requests of all daemons at a runner, as this one believes. */
+  /** Requests of all daemons at a runner, according to this daemon. */
   inFlightAt(runner: string): number {
     return this.loads.of(runner).total.inFlight;
   }
@@ -471,22 +478,22 @@
   }
 }
 
-/** How a fleet is made up. */
+/** Size and network of a fleet. */
 export interface FleetShape {
   readonly daemons: number;
   readonly domains: number;
   readonly runners?: number;
-  /** Mbit/s of each host's link; as wide as can be if not given. */
+  /** Bandwidth of each host, in Mbit/s; unlimited by default. */
   readonly sendMbps?: number;
 }
 
-/** A fleet whose daemons all have the same seeds. */
+/** A fleet whose daemons all have the same seed addresses. */
 export class Fleet {
   readonly members: Member[] = [];
   readonly #clock: FakeClock;
   readonly #configurations = new SharedValues<Configuration>([]);
   readonly #runners: SharedValues<Runner>;
-  readonly #entered = new Map<string, string>();
+  readonly #registered = new Map<string, string>();
   readonly leadership: Leadership = {
     store: new MemoryLeaderStore(),
     api: new RecordingApi(),
@@ -497,11 +504,11 @@
   constructor(clock: FakeClock, shape: FleetShape) {
     this.#clock = clock;
     this.#shape = shape;
-    this.#runners = new SharedValues(runners(shape.runners ?? RUNNERS));
+    this.#runners = new SharedValues(createRunners(shape.runners ?? RUNNERS));
     for (let index = 0; index < shape.daemons; index++) this.#add(index);
   }
 
-  /** The daemon at an address. */
+  /** Finds the running daemon at an address. */
   findByAddress(address: string): Member | undefined {
     return this.members.find(({ alive, contact }) =>
       alive && contact.address === address
@@ -512,7 +519,7 @@
     return this.members.filter(({ alive }) => alive);
   }
 
-  /** The daemons of a failure domain, the widest links first. */
+  /** The running daemons of a failure domain, by descending bandwidth. */
   inDomain(index: number): readonly Member[] {
     return this.alive
       .filter(({ contact }) => contact.failureDomain === `d-${index}`)
@@ -522,31 +529,31 @@
       );
   }
 
-  /** The daemons of a failure domain, and all others. */
+  /** The daemons inside a failure domain, and those outside it. */
   sides(domain: string): readonly [readonly Member[], readonly Member[]] {
     const isInside = ({ contact }: Member) => contact.failureDomain === domain;
     return [
       this.members.filter(isInside),
-      this.members.filter((each) => !isInside(each)),
+      this.members.filter((member) => !isInside(member)),
     ];
   }
 
-  /** Cuts a failure domain off from all others. */
+  /** Partitions the network between a failure domain and all others. */
   partition(domain: string): void {
     const [inside, outside] = this.sides(domain);
     for (const [from, to] of [[inside, outside], [outside, inside]] as const) {
-      for (const one of from) {
-        for (const { contact } of to) one.blocked.add(contact.name);
+      for (const sender of from) {
+        for (const { contact } of to) sender.blocked.add(contact.name);
       }
     }
   }
 
-  /** Ends all cuts. */
+  /** Ends all network partitions. */
   heal(): void {
-    for (const { blocked: deafTo } of this.members) deafTo.clear();
+    for (const { blocked } of this.members) blocked.clear();
   }
 
-  /** Starts all daemons within 0.3 s of each other, in any order. */
+  /** Starts all daemons within 0.3 s, in random order. */
   async startAll(): Promise<void> {
     const seeds = this.members.slice(0, 3).map(({ contact }) =>
       contact.address
@@ -558,39 +565,41 @@
     await this.#clock.advance(START_SPREAD_MS + 1);
   }
 
-  /** A daemon that ended starts again; it knows nothing. */
+  /** Restarts a daemon that has ended, without any state. */
   restart(member: Member): Member {
     const index = this.members.indexOf(member);
-    const again = this.#make(index);
-    this.members[index] = again;
-    again.start(this.members.slice(0, 3).map(({ contact }) => contact.address));
-    return again;
+    const restarted = this.#createMember(index);
+    this.members[index] = restarted;
+    restarted.start(
+      this.members.slice(0, 3).map(({ contact }) => contact.address),
+    );
+    return restarted;
   }
 
-  /** All lose power at the same moment, and start again as they did at first. */
+  /** Cuts the power of all hosts at once, then starts all daemons again. */
   async restartAll(): Promise<void> {
     for (const member of this.alive) member.end({ power: true });
     for (let index = 0; index < this.members.length; index++) {
-      this.members[index] = this.#make(index);
+      this.members[index] = this.#createMember(index);
     }
     await this.#clock.advance(1_000);
     await this.startAll();
   }
 
   resetCounts(): void {
-    for (const member of this.members) member.counts = noCounts();
+    for (const member of this.members) member.counts = zeroCounts();
   }
 
-  /** The store has a newer configuration. */
+  /** Stores a configuration with the given version. */
   configure(version: number): void {
     this.#configurations.replace([testConfiguration([], { version })]);
   }
 
   #add(index: number): void {
-    this.members.push(this.#make(index));
+    this.members.push(this.#createMember(index));
   }
 
-  #make(index: number): Member {
+  #createMember(index: number): Member {
     this.#starts += 1;
     const domain = index % this.#shape.domains;
     const contact = {
@@ -600,27 +609,27 @@
       failureDomain: `d-${domain}`,
       linkMbps: 14 + (index * 37) % 127,
     };
-    const call = () => {
+    const countCall = () => {
       member.counts.calls += 1;
     };
     const store = {
-      configurations: new FakeFeed(this.#configurations, call),
-      runners: new FakeFeed(this.#runners, call),
+      configurations: new FakeFeed(this.#configurations, countCall),
+      runners: new FakeFeed(this.#runners, countCall),
       daemons: {
         enter: async (name: string, address: string) => {
-          call();
-          await sleep(ANSWER_MS);
-          this.#entered.set(name, address);
+          countCall();
+          await sleep(RESPONSE_MS);
+          this.#registered.set(name, address);
         },
         leave: async (name: string) => {
-          call();
-          await sleep(ANSWER_MS);
-          this.#entered.delete(name);
+          countCall();
+          await sleep(RESPONSE_MS);
+          this.#registered.delete(name);
         },
         addresses: async () => {
-          call();
-          await sleep(ANSWER_MS);
-          return [...this.#entered.values()];
+          countCall();
+          await sleep(RESPONSE_MS);
+          return [...this.#registered.values()];
         },
       },
     };
@@ -632,8 +641,8 @@
   }
 }
 
-/** Runners of the fleet; their names are `r-0` and on. */
-function runners(count: number): readonly Runner[] {
+/** Creates runners with the names `r-0`, `r-1` and so on. */
+function createRunners(count: number): readonly Runner[] {
   return Array.from({ length: count }, (_, index) => ({
     id: `r-${index}`,
     name: `r-${index}`,
@@ -648,17 +657,17 @@
   }));
 }
 
-/** Fleets of today, of the large deployments and of the planned size. */
+/** The sizes of current fleets, of large deployments and of planned fleets. */
 export const SIZES: readonly FleetShape[] = [
   { daemons: 8, domains: 3 },
   { daemons: 72, domains: 3 },
   { daemons: 380, domains: 6 },
 ];
 
-/** Milliseconds after a start in which all links are as they stay. */
+/** Time after a start until the set of links is stable, in ms. */
 const SETTLED_MS = 8_000;
 
-/** A fleet that has been up for a while, with its clock. */
+/** Starts a fleet and waits until its links are stable. */
 export async function startSettledFleet(
   t: TestContext,
   shape: FleetShape,
--- a/packages/router/tests/fleet_start_test.ts
+++ b/packages/router/tests/fleet_start_test.ts
@@ -4,28 +4,28 @@
 import { Fleet } from "./fleet.ts";
 import type { FleetShape } from "./fleet.ts";
 
-/** Mbit/s of the narrowest link of a host. */
-const NARROW_MBPS = 7;
-/** Milliseconds from the last start in which all know what to serve with. */
+/** Bandwidth of the slowest link of a host, in Mbit/s. */
+const SLOWEST_MBPS = 7;
+/** Time from the last start until all daemons are ready, in ms. */
 const READY_MS = 1_000;
-/** Bytes that such a link carries in this time. */
-const READY_BYTES = NARROW_MBPS * 125 * READY_MS;
+/** Bytes that the slowest link carries in this time. */
+const READY_BYTES = SLOWEST_MBPS * 125 * READY_MS;
 const SETTLED_MS = 5_000;
 
 const FLEETS: readonly FleetShape[] = [
-  { daemons: 15, domains: 5, runners: 101, sendMbps: NARROW_MBPS },
-  { daemons: 102, domains: 5, runners: 998, sendMbps: NARROW_MBPS },
-  { daemons: 380, domains: 6, runners: 2_400, sendMbps: NARROW_MBPS },
+  { daemons: 15, domains: 5, runners: 101, sendMbps: SLOWEST_MBPS },
+  { daemons: 102, domains: 5, runners: 998, sendMbps: SLOWEST_MBPS },
+  { daemons: 380, domains: 6, runners: 2_400, sendMbps: SLOWEST_MBPS },
 ];
 
-// All daemons lose power at the same moment, and their callers return at once.
-// Each daemon that starts again dials the same few seeds and asks them for the
-// runners. The list grows with the fleet, and so does the number of those that
-// ask: a seed's link was full for seconds, and the answers to its callers and the
-// prompts to its runners waited behind lists.
+// Guards against seeds whose links are saturated when all daemons restart after a
+// loss of power, while all callers return. Each daemon fetches the list of runners
+// from the same few seeds. Both the list and the number of daemons grow with the
+// fleet: a seed's link was full for seconds, and responses to callers and prompts to
+// runners were queued behind lists.
 for (const shape of FLEETS) {
   const { daemons, runners } = shape;
-  test(`${daemons} daemons before ${runners} runners are back within a second`, async (t) => {
+  test(`${daemons} daemons with ${runners} runners are ready again within a second`, async (t) => {
     const clock = new FakeClock(t);
     const fleet = new Fleet(clock, shape);
     await fleet.startAll();
--- a/packages/router/tests/limit_updates_test.ts
+++ b/packages/router/tests/limit_updates_test.ts
@@ -3,18 +3,18 @@
 import { SIZES, startSettledFleet } from "./fleet.ts";
 import type { FleetShape, Member } from "./fleet.ts";
 
-/** Well within the 3 to 5 s in which daemons are to be in touch. */
-const SPREAD_MS = 1_000;
-/** From the loss of a daemon until all see that it is gone. */
+/** Bound for an update to reach all daemons, in ms; 3 to 5 s are required. */
+const PROPAGATION_MS = 1_000;
+/** Time from the loss of a daemon until all others have removed it, in ms. */
 const TAKEOVER_MS = 10_000;
 const RUNNER = "r-1";
 const PER_S = 1.4;
-/** Daemons that have parts of it. */
-const HOLDERS = 5;
+/** Number of daemons that have a share of the limit. */
+const SHARE_HOLDERS = 5;
 const LARGE: FleetShape = { daemons: 72, domains: 3 };
 
-/** An answer of the runner at a daemon, with a limit or without. */
-function hear({ limits }: Member, perS: number | undefined): void {
+/** Simulates a response of the runner at a daemon, with or without a limit. */
+function receiveResponse({ limits }: Member, perS: number | undefined): void {
   const now = performance.now();
   const stated = perS === undefined
     ? undefined
@@ -22,13 +22,16 @@
   limits.recordStated(RUNNER, stated, { sentAt: now, now });
 }
 
-function holders(members: readonly Member[]): readonly Member[] {
+function shareHolders(members: readonly Member[]): readonly Member[] {
   return members.filter(({ limits }) =>
     limits.hasShare(RUNNER, performance.now())
   );
 }
 
-function assertAllKnow(members: readonly Member[], perS: number | undefined) {
+function assertLimitAtAll(
+  members: readonly Member[],
+  perS: number | undefined,
+) {
   for (const { limits, contact } of members) {
     assert.equal(limits.of(RUNNER), perS, contact.name);
   }
@@ -37,46 +40,47 @@
 for (const shape of SIZES) {
   const { daemons } = shape;
 
-  test(`all of ${daemons} daemons keep a limit that one of them heard of`, async (t) => {
+  test(`all of ${daemons} daemons apply a limit that one of them received`, async (t) => {
     const { clock, fleet } = await startSettledFleet(t, shape);
-    hear(fleet.members.at(-1)!, PER_S);
-    await clock.advance(SPREAD_MS);
-    assertAllKnow(fleet.members, PER_S);
-    // The same few have parts, at whichever daemon it is worked out.
-    assert.equal(holders(fleet.members).length, HOLDERS);
-    await clock.advance(SPREAD_MS);
-    hear(holders(fleet.members)[0]!, undefined);
-    await clock.advance(SPREAD_MS);
-    assertAllKnow(fleet.members, undefined);
+    receiveResponse(fleet.members.at(-1)!, PER_S);
+    await clock.advance(PROPAGATION_MS);
+    assertLimitAtAll(fleet.members, PER_S);
+    // All daemons compute the same few share shareHolders.
+    assert.equal(shareHolders(fleet.members).length, SHARE_HOLDERS);
+    await clock.advance(PROPAGATION_MS);
+    receiveResponse(shareHolders(fleet.members)[0]!, undefined);
+    await clock.advance(PROPAGATION_MS);
+    assertLimitAtAll(fleet.members, undefined);
   });
 
-  test(`of ${daemons} daemons others take over the parts of one that ends`, async (t) => {
+  test(`the others of ${daemons} daemons take over the shares of one that is lost`, async (t) => {
     const { clock, fleet } = await startSettledFleet(t, shape);
-    hear(fleet.members[0]!, PER_S);
-    await clock.advance(SPREAD_MS);
-    const [lost] = holders(fleet.members);
+    receiveResponse(fleet.members[0]!, PER_S);
+    await clock.advance(PROPAGATION_MS);
+    const [lost] = shareHolders(fleet.members);
     lost!.end({ power: true });
     await clock.advance(TAKEOVER_MS);
-    assert.equal(holders(fleet.alive).length, HOLDERS);
-    const again = fleet.restart(lost!);
-    await clock.advance(2 * SPREAD_MS);
-    assertAllKnow([again], PER_S);
+    assert.equal(shareHolders(fleet.alive).length, SHARE_HOLDERS);
+    const restarted = fleet.restart(lost!);
+    await clock.advance(2 * PROPAGATION_MS);
+    assertLimitAtAll([restarted], PER_S);
   });
 }
 
-// Guards against a limit that ends for those alone who were cut off when it did.
-test("a failure domain that was cut off hears that a limit has ended", async (t) => {
+// Guards against a limit that stays in force in a failure domain that was cut off
+// when the limit ended.
+test("a failure domain learns after a partition that a limit has ended", async (t) => {
   const { clock, fleet } = await startSettledFleet(t, LARGE);
-  hear(fleet.members[0]!, PER_S);
-  await clock.advance(SPREAD_MS);
+  receiveResponse(fleet.members[0]!, PER_S);
+  await clock.advance(PROPAGATION_MS);
   const [inside, outside] = fleet.sides("d-0");
   fleet.partition("d-0");
   await clock.advance(TAKEOVER_MS);
-  hear(outside[0]!, undefined);
-  await clock.advance(SPREAD_MS);
-  assertAllKnow(outside, undefined);
-  assertAllKnow(inside, PER_S);
+  receiveResponse(outside[0]!, undefined);
+  await clock.advance(PROPAGATION_MS);
+  assertLimitAtAll(outside, undefined);
+  assertLimitAtAll(inside, PER_S);
   fleet.heal();
   await clock.advance(2 * TAKEOVER_MS);
-  assertAllKnow(fleet.members, undefined);
+  assertLimitAtAll(fleet.members, undefined);
 });
--- a/packages/router/tests/survey_assignment_test.ts
+++ b/packages/router/tests/survey_assignment_test.ts
@@ -6,24 +6,24 @@
 
 const RUNNERS = 200;
 
-/** How many daemons take each runner for theirs to ask. */
-function askersOf(members: readonly Member[]): readonly number[] {
-  const askers = Array.from({ length: RUNNERS }, () => 0);
+/** Counts for each runner the daemons that would survey it. */
+function surveyorsOf(members: readonly Member[]): readonly number[] {
+  const surveyors = Array.from({ length: RUNNERS }, () => 0);
   for (const { fleetSync: neighbourhood } of members) {
     const { own, names } = neighbourhood.sharers;
-    const daemons = new Rendezvous(names);
-    askers.forEach((_, index) => {
-      const first = daemons.first(`r-${index}`, () => true);
-      if (first === own) askers[index]! += 1;
+    const rendezvous = new Rendezvous(names);
+    surveyors.forEach((_, index) => {
+      const first = rendezvous.first(`r-${index}`, () => true);
+      if (first === own) surveyors[index]! += 1;
     });
   }
-  return askers;
+  return surveyors;
 }
 
-// Guards against runners that each of many daemons asks what they hold.
+// Guards against a runner that many daemons query for the contents of its KV cache.
 for (const shape of [...SIZES, { daemons: 40, domains: 1 }]) {
-  test(`of ${shape.daemons} daemons one asks a runner what it holds`, async (t) => {
+  test(`exactly one of ${shape.daemons} daemons surveys each runner`, async (t) => {
     const { fleet } = await startSettledFleet(t, shape);
-    assert.deepEqual(new Set(askersOf(fleet.members)), new Set([1]));
+    assert.deepEqual(new Set(surveyorsOf(fleet.members)), new Set([1]));
   });
 }
