--- a/packages/router/src/request/local_outcomes.ts
+++ b/packages/router/src/request/local_outcomes.ts
@@ -7,7 +7,7 @@
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
 import {
-  overloaded,
+  overloadRefusal,
   quarantineRefusal,
   unavailableRefusal,
 } from "./refusals.ts";
@@ -36,7 +36,7 @@
   /** No runner had room for it. */
   overload(): Outcome {
     const { leftMs } = this.#progress;
-    const refusal = overloaded(leftMs, this.#daemon.random());
+    const refusal = overloadRefusal(leftMs, this.#daemon.random());
     return { kind: "refused", refusal };
   }
 
--- a/packages/router/src/request/refusals.ts
+++ b/packages/router/src/request/refusals.ts
@@ -39,7 +39,7 @@
  * @param leftMs time that the caller has left.
  * @param point in [0, 1), from a random number generator.
  */
-export function overloaded(leftMs: number, point: number): Refusal {
+export function overloadRefusal(leftMs: number, point: number): Refusal {
   const retryAfterMs = leftMs * RETURN_SHARE * (1 - point / 2);
   return { status: UNAVAILABLE, code: "overloaded", retryAfterMs };
 }
