--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -14,7 +14,7 @@
 import type { Daemon } from "./daemon.ts";
 import { logRunnerChosen } from "./exchange_log.ts";
 import type { Outcome } from "./outcome.ts";
-import type { OwnOutcomes } from "./local_outcomes.ts";
+import type { LocalOutcomes } from "./local_outcomes.ts";
 import type { RunnerChoice } from "./placement.ts";
 import type { Progress } from "./progress.ts";
 import { Silence } from "./inactivity_timer.ts";
@@ -40,13 +40,13 @@
   readonly #daemon: Daemon;
   readonly #caller: Caller;
   readonly #progress: Progress;
-  readonly #own: OwnOutcomes;
+  readonly #own: LocalOutcomes;
   readonly #relay: ResponseRelay;
   #attempt: Attempt | undefined;
 
   constructor(daemon: Daemon, caller: Caller, parts: {
     readonly progress: Progress;
-    readonly own: OwnOutcomes;
+    readonly own: LocalOutcomes;
   }) {
     this.#daemon = daemon;
     this.#caller = caller;
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -12,7 +12,7 @@
 import { fingerprintOf } from "./fingerprint.ts";
 import { outcomeName } from "./outcome.ts";
 import type { Outcome } from "./outcome.ts";
-import { OwnOutcomes } from "./local_outcomes.ts";
+import { LocalOutcomes } from "./local_outcomes.ts";
 import { Progress } from "./progress.ts";
 import { RunnerSearch } from "./runner_search.ts";
 import { AttemptExecutor } from "./attempt_executor.ts";
@@ -30,7 +30,7 @@
   readonly #daemon: Daemon;
   readonly #caller: Caller;
   readonly #progress: Progress;
-  readonly #own: OwnOutcomes;
+  readonly #own: LocalOutcomes;
   readonly #tries: AttemptExecutor;
   /** Whether the caller's body is still on its way. */
   #reading = false;
@@ -39,7 +39,7 @@
     this.#daemon = daemon;
     this.#caller = caller;
     this.#progress = new Progress(daemon, caller);
-    this.#own = new OwnOutcomes(daemon, caller, this.#progress);
+    this.#own = new LocalOutcomes(daemon, caller, this.#progress);
     this.#tries = new AttemptExecutor(daemon, caller, {
       progress: this.#progress,
       own: this.#own,
--- a/packages/router/src/request/local_outcomes.ts
+++ b/packages/router/src/request/local_outcomes.ts
@@ -15,7 +15,7 @@
 import type { Progress } from "./progress.ts";
 
 /** Says of one request what is true of it: not run, failed, or out of time. */
-export class OwnOutcomes {
+export class LocalOutcomes {
   readonly #daemon: Daemon;
   readonly #caller: Caller;
   readonly #progress: Progress;
