--- a/packages/router/src/request/completion_check_test.ts
+++ b/packages/router/src/request/completion_check_test.ts
@@ -16,9 +16,9 @@
 
 function answerOf(tokens: number, msPerToken: number | undefined) {
   return {
-    leftMs: 8_000,
-    unreadTokens: 3_000,
-    answerTokens: tokens,
+    remainingMs: 8_000,
+    prefillTokens: 3_000,
+    outputTokens: tokens,
     ranksBelow: 0,
     msPerToken,
   };
