--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -83,7 +83,7 @@
       tight: choice.tight,
     };
     const sentAt = this.#daemon.now();
-    this.#progress.tried.add(runner.id);
+    this.#progress.triedRunners.add(runner.id);
     logRunnerChosen(this.#daemon, subject, { choice, fingerprint, leftMs });
     load.place(placed, sentAt);
     this.#daemon.prefixes.recordSent(runner.id, call.prompt, sentAt);
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -126,7 +126,7 @@
       const over = progress.expired || progress.leftMs < LEAST_TIME_MS;
       if (over) return fallback?.() ?? this.#own.timeout();
       const choice = await search.find({
-        tried: progress.tried,
+        tried: progress.triedRunners,
         noRunnerReached: progress.attempts === 0,
       });
       const quarantine = this.#quarantine();
@@ -154,7 +154,7 @@
   }
 
   #mayTryAgain({ route, service }: RoutedRequest): boolean {
-    const { over, attempts, mayHaveRun, tried } = this.#progress;
+    const { over, attempts, mayHaveRun, triedRunners: tried } = this.#progress;
     if (over || attempts >= route.maxAttempts) return false;
     if (mayHaveRun && route.repetition === "never") return false;
     // What never left for a runner is no repeat.
--- a/packages/router/src/request/progress.ts
+++ b/packages/router/src/request/progress.ts
@@ -12,7 +12,7 @@
   readonly #daemon: Daemon;
   readonly #caller: Caller;
   /** Ids of runners that were tried. */
-  readonly tried = new Set<string>();
+  readonly triedRunners = new Set<string>();
   /** Tries that may have reached their runners. */
   attempts = 0;
   /** Whether any byte may have reached a runner that did not refuse it. */
