--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -53,7 +53,7 @@
     this.#progress = parts.progress;
     this.#own = parts.own;
     this.#relay = new ResponseRelay(daemon, caller, {
-      endedByUs: () => parts.progress.over,
+      endedByUs: () => parts.progress.abandoned,
     });
   }
 
@@ -152,7 +152,7 @@
     }
     switch (sent.kind) {
       case "unsent":
-        if (!this.#progress.over) load.recordFailure(now);
+        if (!this.#progress.abandoned) load.recordFailure(now);
         return again(
           sent.reason,
           () => this.#own.refusal("runner_unreachable"),
@@ -198,7 +198,7 @@
     if (!this.#caller.disconnected) {
       this.#daemon.connections.dropIdle(attempt.runner);
     }
-    if (!this.#progress.over) {
+    if (!this.#progress.abandoned) {
       load.recordFailure(this.#daemon.now());
       this.#daemon.reportBrokenConnection(attempt.runner, run);
     }
@@ -207,7 +207,7 @@
 
   #ended(subject: RoutedRequest, passed: RelayResult): AttemptResult {
     if (passed.kind === "broken") return this.#repeat(passed.reason);
-    const { fingerprint, over } = this.#progress;
+    const { fingerprint, abandoned: over } = this.#progress;
     this.#daemon.crashes.recordResponse(fingerprint, this.#daemon.now());
     const { status } = passed;
     const outcome: Outcome = { kind: "answered", status };
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -119,7 +119,7 @@
     const search = new RunnerSearch(this.#daemon, subject, {
       receivedAt: progress.startedAt,
       expiresAt: progress.expiresAt,
-      isAbandoned: () => progress.over || this.#quarantine() !== undefined,
+      isAbandoned: () => progress.abandoned || this.#quarantine() !== undefined,
     });
     for (;;) {
       if (this.#caller.disconnected) return { kind: "left" };
@@ -154,7 +154,8 @@
   }
 
   #mayTryAgain({ route, service }: RoutedRequest): boolean {
-    const { over, attempts, mayHaveRun, triedRunners: tried } = this.#progress;
+    const { abandoned: over, attempts, mayHaveRun, triedRunners: tried } =
+      this.#progress;
     if (over || attempts >= route.maxAttempts) return false;
     if (mayHaveRun && route.repetition === "never") return false;
     // What never left for a runner is no repeat.
--- a/packages/router/src/request/progress.ts
+++ b/packages/router/src/request/progress.ts
@@ -33,7 +33,7 @@
   }
 
   /** Whether nobody waits for a runner's answer any more. */
-  get over(): boolean {
+  get abandoned(): boolean {
     return this.expired || this.withdrawn || this.#caller.disconnected;
   }
 
