--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -75,7 +75,7 @@
   ): Promise<AttemptResult> {
     const { head: call } = subject;
     const { runner } = choice;
-    const { fingerprint, leftMs } = this.#progress;
+    const { fingerprint, remainingMs: leftMs } = this.#progress;
     const load = this.#daemon.loads.of(runner.id);
     const placed: PlacedRequest = {
       unreadTokens: choice.prefillTokens,
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -123,7 +123,7 @@
     });
     for (;;) {
       if (this.#caller.disconnected) return { kind: "left" };
-      const over = progress.expired || progress.leftMs < LEAST_TIME_MS;
+      const over = progress.expired || progress.remainingMs < LEAST_TIME_MS;
       if (over) return fallback?.() ?? this.#own.timeout();
       const choice = await search.find({
         tried: progress.triedRunners,
--- a/packages/router/src/request/local_outcomes.ts
+++ b/packages/router/src/request/local_outcomes.ts
@@ -35,7 +35,7 @@
 
   /** No runner had room for it. */
   overload(): Outcome {
-    const { leftMs } = this.#progress;
+    const { remainingMs: leftMs } = this.#progress;
     const refusal = overloadRefusal(leftMs, this.#daemon.random());
     return { kind: "refused", refusal };
   }
--- a/packages/router/src/request/progress.ts
+++ b/packages/router/src/request/progress.ts
@@ -38,7 +38,7 @@
   }
 
   /** Milliseconds until the final answer is due. */
-  get leftMs(): number {
+  get remainingMs(): number {
     return this.expiresAt - this.#daemon.now();
   }
 }
