--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -113,7 +113,7 @@
     };
     return new Follower(feed, {
       listed: ({ values }) => take(values),
-      changed: ({ entered }) => take(entered),
+      changed: ({ updated: entered }) => take(entered),
     }, {
       contact: this.#contactListener("store_configuration"),
       timing: this.#timing(
@@ -129,7 +129,7 @@
       listed: ({ revision, values }) => {
         directory.replace({ revision, runners: values });
       },
-      changed: ({ revision, entered, left }) => {
+      changed: ({ revision, updated: entered, left }) => {
         directory.applyChange(revision, entered, left);
       },
     }, {
--- a/packages/router/src/process/feed.ts
+++ b/packages/router/src/process/feed.ts
@@ -15,7 +15,7 @@
 /** What changed up to a revision. */
 export interface Changes<T> {
   readonly revision: number;
-  readonly entered: readonly T[];
+  readonly updated: readonly T[];
   /** Names of objects that are gone. */
   readonly left: readonly string[];
 }
--- a/packages/router/src/process/feed_test.ts
+++ b/packages/router/src/process/feed_test.ts
@@ -45,7 +45,7 @@
     feed = new PlayedFeed(answers, resolve);
     const follower = new Follower(feed, {
       listed: ({ values }) => seen.push(`listed ${values}`),
-      changed: ({ entered }) => seen.push(`changed ${entered}`),
+      changed: ({ updated: entered }) => seen.push(`changed ${entered}`),
     }, {
       contact: {
         lost: (reason) => seen.push(`lost ${reason}`),
@@ -93,8 +93,8 @@
 test("changes move the revision on; an empty wait does not", async () => {
   const { calls } = await follow([
     { revision: 3, values: [] },
-    { revision: 3, entered: [], left: [] },
-    { revision: 5, entered: ["b"], left: [] },
+    { revision: 3, updated: [], left: [] },
+    { revision: 5, updated: ["b"], left: [] },
   ]);
   assert.deepEqual(calls, ["stale list", "watch 3", "watch 3", "watch 5"]);
 });
@@ -150,13 +150,13 @@
   t.after(() => mock.timers.reset());
   const feed = new PlayedFeed([
     { revision: 3, values: [] },
-    { revision: 4, entered: ["a"], left: [] },
-    { revision: 9, entered: ["b", "c"], left: [] },
+    { revision: 4, updated: ["a"], left: [] },
+    { revision: 9, updated: ["b", "c"], left: [] },
   ], () => {});
   const seen: string[] = [];
   const follower = new Follower(feed, {
     listed() {},
-    changed: ({ entered }) => seen.push(...entered),
+    changed: ({ updated: entered }) => seen.push(...entered),
   }, {
     contact: { lost() {}, regained() {} },
     timing: {
