--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -17,7 +17,7 @@
 import type { LocalOutcomes } from "./local_outcomes.ts";
 import type { RunnerChoice } from "./placement.ts";
 import type { Progress } from "./progress.ts";
-import { Silence } from "./inactivity_timer.ts";
+import { InactivityTimer } from "./inactivity_timer.ts";
 import type { RoutedRequest } from "./routed_request.ts";
 
 /** Targets without a first event after which a stream is tried elsewhere. */
@@ -130,10 +130,12 @@
    * A runner that says nothing for long is given up where another one may go
    * on: callers leave a silent stream after two seconds or more.
    */
-  #watchSilence({ route }: RoutedRequest, attempt: Attempt): Silence {
+  #watchSilence({ route }: RoutedRequest, attempt: Attempt): InactivityTimer {
     const last = route.maxAttempts <= this.#progress.attempts + 1;
-    if (route.repetition === "never" || last) return new Silence(() => {});
-    const silence = new Silence(() => attempt.cancel("silent"));
+    if (route.repetition === "never" || last) {
+      return new InactivityTimer(() => {});
+    }
+    const silence = new InactivityTimer(() => attempt.cancel("silent"));
     const spans = route.streaming ? STREAM_SILENCE : WHOLE_SILENCE;
     silence.expect(spans * route.targetMs);
     return silence;
--- a/packages/router/src/request/inactivity_timer.ts
+++ b/packages/router/src/request/inactivity_timer.ts
@@ -5,7 +5,7 @@
  */
 
 /** Calls back when nothing was heard for as long as was last expected. */
-export class Silence {
+export class InactivityTimer {
   readonly #onSilent: () => void;
   #timer: NodeJS.Timeout | undefined;
   #deadline = 0;
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -8,7 +8,7 @@
 import type { Attempt, SendResult } from "./attempt.ts";
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
-import type { Silence } from "./inactivity_timer.ts";
+import type { InactivityTimer } from "./inactivity_timer.ts";
 import { StreamRelay } from "./stream_relay.ts";
 import type { RoutedRequest } from "./routed_request.ts";
 import { readWhole } from "./read_body.ts";
@@ -28,7 +28,7 @@
   readonly load: RunnerLoad;
   readonly placed: PlacedRequest;
   readonly attempt: Attempt;
-  readonly silence: Silence;
+  readonly silence: InactivityTimer;
   /** Steady ms. */
   readonly sentAt: number;
   readonly run: BrokenRun;
