--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -129,7 +129,7 @@
       listed: ({ revision, values }) => {
         directory.replace({ revision, runners: values });
       },
-      changed: ({ revision, updated: entered, left }) => {
+      changed: ({ revision, updated: entered, removed: left }) => {
         directory.applyChange(revision, entered, left);
       },
     }, {
--- a/packages/router/src/process/feed.ts
+++ b/packages/router/src/process/feed.ts
@@ -17,7 +17,7 @@
   readonly revision: number;
   readonly updated: readonly T[];
   /** Names of objects that are gone. */
-  readonly left: readonly string[];
+  readonly removed: readonly string[];
 }
 
 /** A call to the store that gave nothing to go on with. */
--- a/packages/router/src/process/feed_test.ts
+++ b/packages/router/src/process/feed_test.ts
@@ -93,8 +93,8 @@
 test("changes move the revision on; an empty wait does not", async () => {
   const { calls } = await follow([
     { revision: 3, values: [] },
-    { revision: 3, updated: [], left: [] },
-    { revision: 5, updated: ["b"], left: [] },
+    { revision: 3, updated: [], removed: [] },
+    { revision: 5, updated: ["b"], removed: [] },
   ]);
   assert.deepEqual(calls, ["stale list", "watch 3", "watch 3", "watch 5"]);
 });
@@ -150,8 +150,8 @@
   t.after(() => mock.timers.reset());
   const feed = new PlayedFeed([
     { revision: 3, values: [] },
-    { revision: 4, updated: ["a"], left: [] },
-    { revision: 9, updated: ["b", "c"], left: [] },
+    { revision: 4, updated: ["a"], removed: [] },
+    { revision: 9, updated: ["b", "c"], removed: [] },
   ], () => {});
   const seen: string[] = [];
   const follower = new Follower(feed, {
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -196,7 +196,7 @@
     const { revision, values } = this.#listing;
     const names = new Set(values.map(nameOf));
     const left = [...this.#seenNames].filter((name) => !names.has(name));
-    return { revision, updated: values, left };
+    return { revision, updated: values, removed: left };
   }
 
   #recordNames(values: readonly T[]): void {
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -223,7 +223,7 @@
     if (signal.aborted) throw new FeedError("unavailable", "Request aborted");
     const { revision, values } = this.#shared;
     const entered = revision > since ? values : [];
-    return { revision, updated: entered, left: [] };
+    return { revision, updated: entered, removed: [] };
   }
 }
 
