--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -137,7 +137,7 @@
     }
     const silence = new InactivityTimer(() => attempt.cancel("silent"));
     const spans = route.streaming ? STREAM_SILENCE : WHOLE_SILENCE;
-    silence.expect(spans * route.targetMs);
+    silence.restart(spans * route.targetMs);
     return silence;
   }
 
--- a/packages/router/src/request/inactivity_timer.ts
+++ b/packages/router/src/request/inactivity_timer.ts
@@ -15,7 +15,7 @@
   }
 
   /** Expects something within a time, from now on. */
-  expect(ms: number): void {
+  restart(ms: number): void {
     this.#deadline = performance.now() + ms;
     this.#timer ??= setTimeout(() => this.#check(), ms);
   }
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -136,7 +136,9 @@
         begun = true;
         this.#begin(subject, sent, parts);
       }
-      parts.silence.expect(GAP_SILENCE * (route.gapTargetMs ?? route.targetMs));
+      parts.silence.restart(
+        GAP_SILENCE * (route.gapTargetMs ?? route.targetMs),
+      );
     });
     if (end.kind !== "complete") {
       return this.#brokeOff(parts, "stream broke off", end.reason);
