--- a/packages/router/src/request/stream_body.ts
+++ b/packages/router/src/request/stream_body.ts
@@ -39,7 +39,7 @@
   /**
    * Writes an event.
    *
-   * @returns false when the caller reads slowly; see {@linkcode drained}.
+   * @returns false when the caller reads slowly; see {@linkcode onceDrained}.
    */
   write(event: Buffer): boolean {
     const { socket } = this.#response;
@@ -54,7 +54,7 @@
   }
 
   /** Calls back once the caller has read what was written. */
-  drained(listener: () => void): void {
+  onceDrained(listener: () => void): void {
     const { socket } = this.#response;
     (socket ?? this.#response).once("drain", listener);
   }
--- a/packages/router/src/request/stream_relay.ts
+++ b/packages/router/src/request/stream_relay.ts
@@ -84,6 +84,6 @@
 
   #pause(incoming: IncomingMessage): void {
     incoming.pause();
-    this.#body.drained(() => incoming.resume());
+    this.#body.onceDrained(() => incoming.resume());
   }
 }
