--- a/packages/router/src/process/cache_survey.ts
+++ b/packages/router/src/process/cache_survey.ts
@@ -1,5 +1,5 @@
 /**
- * Asks engines what they hold, when daemons know nothing.
+ * Survey of the engines' prompt caches when a daemon starts.
  *
  * @module
  */
@@ -11,85 +11,86 @@
 import { runnerId } from "./runner.ts";
 import type { Runner } from "./runner.ts";
 
-/** What a runner holds. */
+/** Prompt cache of a runner. */
 export interface CachedParts {
-  /** When the life of the runner that answered began, if it tells. */
+  /** Start of the incarnation that responded, in Unix ms, if reported. */
   readonly startedAtMs: number | undefined;
   readonly parts: readonly PromptPart[];
 }
 
-/** Asks runners about themselves. Both calls reject when there is no answer. */
+/** Queries runners. Both calls reject if the runner does not respond. */
 export interface EngineCache {
-  /** The parts of prompts in a runner's memory. */
+  /** Returns the prompt parts in a runner's cache. */
   cachedParts(runner: Runner): Promise<CachedParts>;
-  /** When the present life of a runner began, in Unix ms, if it tells. */
+  /** Returns the start of a runner's incarnation in Unix ms, if it reports it. */
   startTime(runner: Runner): Promise<number | undefined>;
 }
 
 /**
- * Milliseconds from the start to the survey: by then peers are linked, so each
- * runner is asked by one daemon only.
+ * Milliseconds from the start to the survey: by then peers are connected, so that
+ * each runner is queried by one daemon only.
  */
-const SETTLE_MS = 400;
+const SURVEY_DELAY_MS = 400;
 
-/** Runners that are asked at the same time. */
-const AT_ONCE = 16;
+/** Runners queried concurrently. */
+const MAX_CONCURRENT = 16;
 
-/** What a survey reads. */
+/** The fleet to be surveyed. */
 export interface SurveyedFleet {
-  /** Runners that hold prompts. */
+  /** Runners with a prompt cache. */
   engines(): readonly Runner[];
-  /** Daemons that divide them. */
+  /** Daemons among which the runners are divided. */
   view(): FleetView;
 }
 
 /**
- * One survey at the start of a daemon. When all daemons were killed at once,
- * runners still hold most prompts, but nobody knows which: read again, they
- * cost a second of each engine's time within the first seconds of traffic.
- * Daemons divide the runners and tell each other what they learn.
+ * Queries the caches of runners once, at the start of a daemon. After all daemons
+ * were killed at once, runners still have most prompts cached, but no daemon knows
+ * which: prefilling them again would cost a second of each engine's time within
+ * the first seconds of traffic. Daemons divide the runners among themselves and
+ * exchange the results.
  */
 export class CacheSurvey {
-  readonly #memory: EngineCache;
+  readonly #cache: EngineCache;
   readonly #prefixes: PrefixIndex;
   readonly #log: EventLog;
-  readonly #mayAsk: (runner: Runner) => boolean;
+  readonly #mayQuery: (runner: Runner) => boolean;
 
   constructor(
-    memory: EngineCache,
+    cache: EngineCache,
     options: {
       readonly prefixes: PrefixIndex;
       readonly log: EventLog;
-      /** Whether the runner takes a question now; counts it if so. */
-      readonly mayAsk: (runner: Runner) => boolean;
+      /** Whether the runner's rate limit allows a query now; counts it if so. */
+      readonly mayQuery: (runner: Runner) => boolean;
     },
   ) {
-    this.#memory = memory;
+    this.#cache = cache;
     this.#prefixes = options.prefixes;
     this.#log = options.log;
-    this.#mayAsk = options.mayAsk;
+    this.#mayQuery = options.mayQuery;
   }
 
-  /** Asks this daemon's part of the runners. */
+  /** Queries this daemon's share of the runners. */
   async run(fleet: SurveyedFleet): Promise<void> {
-    await pause(SETTLE_MS);
+    await pause(SURVEY_DELAY_MS);
     const { own, names } = fleet.view();
     const daemons = new Rendezvous(names);
     const engines = fleet.engines().filter(({ id }) =>
       daemons.first(id, () => true) === own
     );
-    const askOne = async () => {
+    const queryNext = async () => {
       for (let next = engines.pop(); next !== undefined; next = engines.pop()) {
-        if (this.#mayAsk(next)) await this.#ask(next);
+        if (this.#mayQuery(next)) await this.#query(next);
       }
     };
-    await Promise.all(Array.from({ length: AT_ONCE }, askOne));
+    await Promise.all(Array.from({ length: MAX_CONCURRENT }, queryNext));
   }
 
-  async #ask(runner: Runner): Promise<void> {
+  async #query(runner: Runner): Promise<void> {
     try {
-      const { startedAtMs, parts } = await this.#memory.cachedParts(runner);
-      // The runner may have started again since it was listed.
+      const { startedAtMs, parts } = await this.#cache.cachedParts(runner);
+      // The runner may have restarted since it was listed.
       const id = runnerId(runner.name, startedAtMs ?? runner.startedAtMs);
       this.#prefixes.recordHeld(id, parts, performance.now());
       this.#log.event("cache_surveyed", {
--- a/packages/router/src/process/decay.ts
+++ b/packages/router/src/process/decay.ts
@@ -1,32 +1,32 @@
 /**
- * Forgetting of what was observed long ago.
+ * Exponential decay of observations.
  *
  * @module
  */
 
 /**
- * Tells how much of what was counted before still counts.
+ * Computes the decay factor to apply to earlier observations.
  *
  * @example
  * ```ts
  * const decay = new Decay(3_000);
- * count = count * decay.left(now) + 1;
+ * count = count * decay.remaining(now) + 1;
  * ```
  */
 export class Decay {
   readonly #halfLifeMs: number;
-  #at = 0;
+  #lastAt = 0;
 
-  /** @param halfLifeMs milliseconds after which a count is worth half. */
+  /** @param halfLifeMs milliseconds after which a count has half its weight. */
   constructor(halfLifeMs: number) {
     this.#halfLifeMs = halfLifeMs;
   }
 
-  /** Part that is left since the last call, from 0 to 1. */
+  /** Decay factor since the last call, from 0 to 1. */
   remaining(now: number): number {
-    if (now <= this.#at) return 1;
-    const part = 0.5 ** ((now - this.#at) / this.#halfLifeMs);
-    this.#at = now;
-    return part;
+    if (now <= this.#lastAt) return 1;
+    const factor = 0.5 ** ((now - this.#lastAt) / this.#halfLifeMs);
+    this.#lastAt = now;
+    return factor;
   }
 }
--- a/packages/router/src/process/failure_rate.ts
+++ b/packages/router/src/process/failure_rate.ts
@@ -1,5 +1,5 @@
 /**
- * How often a runner has answered with a failure of its own lately.
+ * Recent rate of responses that report a failure of the runner.
  *
  * @module
  */
@@ -7,38 +7,38 @@
 import { Decay } from "./decay.ts";
 
 /**
- * Milliseconds after which an answer counts half. A runner that begins to fail, or
- * to work again, is known for it within some seconds.
+ * Half-life of responses in ms, so that the rate follows a runner that begins to
+ * fail or recovers within some seconds.
  */
 const HALF_LIFE_MS = 3_000;
 /**
- * Good answers that are taken for granted, so that one failure says little: plain
- * services fail a seventh of their requests while nothing is wrong.
+ * Assumed prior successes, so that a single failure has little weight: plain
+ * services fail a seventh of their requests in normal operation.
  */
 const PRIOR_ANSWERS = 4;
 
-/** Counts answers that are worth less the older they are. */
+/** Failure rate with exponential decay. */
 export class FailureRate {
   #answered = 0;
   #failed = 0;
-  readonly #age = new Decay(HALF_LIFE_MS);
+  readonly #decay = new Decay(HALF_LIFE_MS);
 
-  /** Notes answers, and how many of them were failures. */
+  /** Records responses, and how many of them were failures. */
   record(answered: number, failed: number, now: number): void {
-    this.#decay(now);
+    this.#applyDecay(now);
     this.#answered += answered;
     this.#failed += failed;
   }
 
-  /** Part of the answers that were failures, from 0 to 1. */
+  /** Fraction of responses that were failures, from 0 to 1. */
   rate(now: number): number {
-    this.#decay(now);
+    this.#applyDecay(now);
     return this.#failed / (this.#answered + PRIOR_ANSWERS);
   }
 
-  #decay(now: number): void {
-    const left = this.#age.remaining(now);
-    this.#answered *= left;
-    this.#failed *= left;
+  #applyDecay(now: number): void {
+    const factor = this.#decay.remaining(now);
+    this.#answered *= factor;
+    this.#failed *= factor;
   }
 }
--- a/packages/router/src/process/load_totals.ts
+++ b/packages/router/src/process/load_totals.ts
@@ -21,7 +21,7 @@
   readonly workTokens: number;
   /** Most tokens that all requests in flight may hold in the KV cache. */
   readonly memoryTokens: number;
-  /** Streams with a tight inter-token latency target. */
+  /** Streams with a tight event-gap target. */
   readonly tight: number;
 }
 
--- a/packages/router/src/process/per_service.ts
+++ b/packages/router/src/process/per_service.ts
@@ -1,11 +1,11 @@
 /**
- * Parts that a daemon has for each service.
+ * Objects that a daemon has per service.
  *
  * @module
  */
 
 /**
- * One part for each service, made when it is first asked for.
+ * Holds one object for each service, created on first access.
  *
  * @example
  * ```ts
@@ -13,30 +13,30 @@
  * paces.of("drafting-llm").msPerToken(runner, now);
  * ```
  */
-export class PerService<Part> {
-  readonly #make: () => Part;
-  readonly #parts = new Map<string, Part>();
+export class PerService<Item> {
+  readonly #create: () => Item;
+  readonly #items = new Map<string, Item>();
 
-  constructor(make: () => Part) {
-    this.#make = make;
+  constructor(create: () => Item) {
+    this.#create = create;
   }
 
-  /** The part of a service, by its name. */
-  of(service: string): Part {
-    const known = this.#parts.get(service);
+  /** Returns the object of a service, by the service's name. */
+  of(service: string): Item {
+    const known = this.#items.get(service);
     if (known !== undefined) return known;
-    const part = this.#make();
-    this.#parts.set(service, part);
-    return part;
+    const item = this.#create();
+    this.#items.set(service, item);
+    return item;
   }
 
-  /** All parts that were asked for. */
-  all(): readonly Part[] {
-    return [...this.#parts.values()];
+  /** Returns all objects created so far. */
+  all(): readonly Item[] {
+    return [...this.#items.values()];
   }
 
-  /** Has all parts made anew. */
+  /** Discards all objects, so that they are created anew. */
   clear(): void {
-    this.#parts.clear();
+    this.#items.clear();
   }
 }
--- a/packages/router/src/process/prefill_time.ts
+++ b/packages/router/src/process/prefill_time.ts
@@ -1,13 +1,13 @@
 /**
- * How long engines take to read prompts.
+ * Estimation of prefill times.
  *
  * @module
  */
 
-/** Tokens of prompts that an engine reads in a ms, with its other work. */
-const READ_TOKENS_PER_MS = 50;
+/** Prompt tokens that an engine prefills per ms, beside its other work. */
+const PREFILL_TOKENS_PER_MS = 50;
 
-/** Milliseconds in which an engine reads tokens of prompts. */
+/** Estimated prefill time of prompt tokens, in ms. */
 export function prefillMs(tokens: number): number {
-  return tokens / READ_TOKENS_PER_MS;
+  return tokens / PREFILL_TOKENS_PER_MS;
 }
--- a/packages/router/src/process/prefix_index.ts
+++ b/packages/router/src/process/prefix_index.ts
@@ -1,190 +1,198 @@
 /**
- * Which parts of prompts each runner holds, as far as requests tell.
+ * Index of the prompt parts that each runner has cached, inferred from requests.
  *
  * @module
  */
 
-/** One part of a prompt; a prompt is a list of them. */
+/** One part of a prompt; a prompt is a list of parts. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** Parts that a runner is about to read, or has read. */
+/** Parts that a runner is about to prefill, or has prefilled. */
 export interface PrefixUpdate {
   readonly runner: string;
   readonly parts: readonly PromptPart[];
-  /** Whether they have been read; before that no other runner can fetch them. */
+  /** Whether they are prefilled; only then can other runners fetch them. */
   readonly read: boolean;
 }
 
-interface Held {
+interface CachedPart {
   readonly tokens: number;
   readonly at: number;
   readonly read: boolean;
-  /** When it was last told, here or by another daemon, as read or not. */
-  readonly toldAt: number;
-  readonly toldRead: boolean;
+  /** When it was last published, by any daemon, and whether as prefilled. */
+  readonly publishedAt: number;
+  readonly publishedRead: boolean;
 }
 
-/** Milliseconds after which a part is taken to have yielded its place. */
-const PART_LIFE_MS = 30_000;
+/** Milliseconds after which a part is assumed to be evicted. */
+const PART_TTL_MS = 30_000;
 /**
- * Milliseconds in which a part that was sent is either read or will not be:
- * the request failed, or the runner is far behind.
+ * Milliseconds after which a part that was sent, but not prefilled, expires: the
+ * request has failed, or the runner is far behind.
  */
-const SENT_LIFE_MS = 5_000;
+const SENT_TTL_MS = 5_000;
 /**
- * Milliseconds after which a part that is used again is told again. What all know
- * is no news: of each request only what its runner did not hold is told, and what
- * is in use stays known for well within its life.
+ * Milliseconds after which a part in use is published again. Parts that all daemons
+ * know are not sent: each request publishes only what its runner did not have
+ * cached, and parts in use are renewed well within their lifetime.
  */
-const TELL_AGAIN_MS = PART_LIFE_MS / 3;
-/** Parts recorded for one runner: at 100 bytes each, some 10 MB for 98 runners. */
+const REPUBLISH_MS = PART_TTL_MS / 3;
+/** Parts per runner: at 100 bytes each, about 10 MB for 98 runners. */
 const MAX_PARTS = 1_000;
 
-/** The parts that this daemon believes to be in the memory of runners. */
+/** Tracks the parts that this daemon believes to be in the caches of runners. */
 export class PrefixIndex {
-  readonly #parts = new Map<string, Map<string, Held>>();
+  readonly #parts = new Map<string, Map<string, CachedPart>>();
   readonly #listeners: (() => void)[] = [];
-  #news: PrefixUpdate[] = [];
+  #pending: PrefixUpdate[] = [];
 
-  /** Calls `listener` whenever something is noted here that others lack. */
+  /** Calls `listener` when this daemon has an update for other daemons. */
   onUpdate(listener: () => void): void {
     this.#listeners.push(listener);
   }
 
-  /** Notes that a request was sent to a runner, which will read its prompt. */
+  /** Records that a request was sent to a runner, which will prefill its prompt. */
   recordSent(runner: string, prompt: readonly PromptPart[], now: number): void {
-    this.#tell({ runner, parts: shared(prompt), read: false }, now);
+    this.#publish({ runner, parts: sharedParts(prompt), read: false }, now);
   }
 
-  /** Notes that a runner has read a request's prompt. */
+  /** Records that a runner has prefilled a request's prompt. */
   recordRead(runner: string, prompt: readonly PromptPart[], now: number): void {
-    this.#tell({ runner, parts: shared(prompt), read: true }, now);
+    this.#publish({ runner, parts: sharedParts(prompt), read: true }, now);
   }
 
-  /** Notes what a runner said that it holds. */
+  /** Records the parts that a runner reports as cached. */
   recordHeld(runner: string, parts: readonly PromptPart[], now: number): void {
-    this.#tell({ runner, parts, read: true }, now);
+    this.#publish({ runner, parts, read: true }, now);
   }
 
-  /** All that runners have read, for a daemon that knows nothing. */
+  /** Returns all prefilled parts, for a daemon that has just started. */
   snapshot(): readonly PrefixUpdate[] {
-    return [...this.#parts].map(([runner, held]) => ({
+    return [...this.#parts].map(([runner, cached]) => ({
       runner,
-      parts: [...held]
+      parts: [...cached]
         .filter(([, { read }]) => read)
         .map(([id, { tokens }]) => ({ id, tokens })),
       read: true,
     }));
   }
 
-  /** Takes what another daemon has noted. */
-  applyUpdate(news: PrefixUpdate, now: number): void {
-    this.#note(news, now, () => true);
+  /** Applies an update from another daemon. */
+  applyUpdate(update: PrefixUpdate, now: number): void {
+    this.#record(update, now, () => true);
   }
 
-  /** What was noted here since the last call. */
+  /** Returns the updates that originated here since the last call. */
   takeUpdates(): readonly PrefixUpdate[] {
-    const news = this.#news;
-    this.#news = [];
-    return news;
+    const updates = this.#pending;
+    this.#pending = [];
+    return updates;
   }
 
-  /** Tokens of a prompt that a runner need not read again. */
+  /** Leading tokens of a prompt that a runner need not prefill again. */
   cachedTokens(
     runner: string,
     prompt: readonly PromptPart[],
     now: number,
   ): number {
-    return this.#tokens(
+    return this.#leadingTokens(
       runner,
       prompt,
-      (held) => now - held.at < (held.read ? PART_LIFE_MS : SENT_LIFE_MS),
+      (cached) => now - cached.at < (cached.read ? PART_TTL_MS : SENT_TTL_MS),
     );
   }
 
-  /** Tokens of a prompt that can be fetched from a runner. */
+  /** Leading tokens of a prompt that can be fetched from a runner. */
   fetchableTokens(
     runner: string,
     prompt: readonly PromptPart[],
     now: number,
   ): number {
-    return this.#tokens(
+    return this.#leadingTokens(
       runner,
       prompt,
-      (held) => held.read && now - held.at < PART_LIFE_MS,
+      (cached) => cached.read && now - cached.at < PART_TTL_MS,
     );
   }
 
-  /** Forgets runners that are not listed. */
+  /** Deletes runners that are not listed. */
   retain(ids: ReadonlySet<string>): void {
     for (const id of this.#parts.keys()) {
       if (!ids.has(id)) this.#parts.delete(id);
     }
   }
 
-  #tell(news: PrefixUpdate, now: number): void {
-    const held = this.#parts.get(news.runner);
-    const parts = news.parts.filter(({ id }) =>
-      isNews(held?.get(id), news.read, now)
+  #publish(update: PrefixUpdate, now: number): void {
+    const cached = this.#parts.get(update.runner);
+    const parts = update.parts.filter(({ id }) =>
+      needsPublishing(cached?.get(id), update.read, now)
     );
-    const told = new Set(parts.map(({ id }) => id));
-    this.#note(news, now, (id) => told.has(id));
+    const toPublish = new Set(parts.map(({ id }) => id));
+    this.#record(update, now, (id) => toPublish.has(id));
     if (parts.length === 0) return;
-    this.#news.push({ ...news, parts });
+    this.#pending.push({ ...update, parts });
     for (const listener of this.#listeners) listener();
   }
 
-  /** @param tells whether a part is known to others from now on. */
-  #note(
-    news: PrefixUpdate,
+  /** @param isPublished whether a part is known to other daemons from now on. */
+  #record(
+    update: PrefixUpdate,
     now: number,
-    tells: (id: string) => boolean,
+    isPublished: (id: string) => boolean,
   ): void {
-    const held = this.#parts.get(news.runner) ?? new Map<string, Held>();
-    this.#parts.set(news.runner, held);
-    for (const { id, tokens } of news.parts) {
-      const before = held.get(id);
-      const read = news.read || (before?.read ?? false);
-      const told = tells(id) || before === undefined
-        ? { toldAt: now, toldRead: read }
-        : { toldAt: before.toldAt, toldRead: before.toldRead };
-      held.delete(id);
-      held.set(id, { tokens, at: now, read, ...told });
+    const cached = this.#parts.get(update.runner) ??
+      new Map<string, CachedPart>();
+    this.#parts.set(update.runner, cached);
+    for (const { id, tokens } of update.parts) {
+      const before = cached.get(id);
+      const read = update.read || (before?.read ?? false);
+      const publication = isPublished(id) || before === undefined
+        ? { publishedAt: now, publishedRead: read }
+        : {
+          publishedAt: before.publishedAt,
+          publishedRead: before.publishedRead,
+        };
+      cached.delete(id);
+      cached.set(id, { tokens, at: now, read, ...publication });
     }
-    for (const id of held.keys()) {
-      if (held.size <= MAX_PARTS) break;
-      held.delete(id);
+    for (const id of cached.keys()) {
+      if (cached.size <= MAX_PARTS) break;
+      cached.delete(id);
     }
   }
 
-  #tokens(
+  #leadingTokens(
     runner: string,
     prompt: readonly PromptPart[],
-    counts: (held: Held) => boolean,
+    counts: (cached: CachedPart) => boolean,
   ): number {
     const parts = this.#parts.get(runner);
     if (parts === undefined) return 0;
     let tokens = 0;
     for (const part of prompt) {
-      const held = parts.get(part.id);
-      if (held === undefined || !counts(held)) break;
+      const cached = parts.get(part.id);
+      if (cached === undefined || !counts(cached)) break;
       tokens += part.tokens;
     }
     return tokens;
   }
 }
 
-/** Whether other daemons do not know what is to be noted of a part. */
-function isNews(held: Held | undefined, read: boolean, now: number): boolean {
-  if (held === undefined || (read && !held.toldRead)) return true;
-  const again = held.toldRead ? TELL_AGAIN_MS : SENT_LIFE_MS / 2;
-  return now - held.toldAt >= again;
+/** Whether a part, or its prefill, has to be published to other daemons. */
+function needsPublishing(
+  cached: CachedPart | undefined,
+  read: boolean,
+  now: number,
+): boolean {
+  if (cached === undefined || (read && !cached.publishedRead)) return true;
+  const republishMs = cached.publishedRead ? REPUBLISH_MS : SENT_TTL_MS / 2;
+  return now - cached.publishedAt >= republishMs;
 }
 
-/** All parts but the last, which is the request's own and of use to nobody. */
-function shared(prompt: readonly PromptPart[]): readonly PromptPart[] {
+/** All parts but the last, which is unique to the request and never reused. */
+function sharedParts(prompt: readonly PromptPart[]): readonly PromptPart[] {
   return prompt.slice(0, -1);
 }
--- a/packages/router/src/process/prefix_index_test.ts
+++ b/packages/router/src/process/prefix_index_test.ts
@@ -7,9 +7,9 @@
   { id: "own", tokens: 3_000 },
 ];
 
-// A request was sent to a runner that has not read it yet. Another runner that
-// fetched from it would get nothing and read the prompt a second time.
-test("a prompt can be fetched only once it has been read", () => {
+// A request was sent to a runner that has not prefilled it yet. Another runner that
+// fetched from it would get nothing and prefill the prompt a second time.
+test("a prompt can be fetched only once it is prefilled", () => {
   const record = new PrefixIndex();
   record.recordSent("r-1", PROMPT, 0);
   assert.equal(record.cachedTokens("r-1", PROMPT, 10), 13_000);
@@ -18,14 +18,14 @@
   assert.equal(record.fetchableTokens("r-1", PROMPT, 30), 13_000);
 });
 
-test("a part counts only if all parts before it are there", () => {
+test("a part counts only if all parts before it are cached", () => {
   const record = new PrefixIndex();
   record.recordRead("r-1", [{ id: "b", tokens: 5 }, { id: "x", tokens: 1 }], 0);
   const prompt = [{ id: "a", tokens: 7 }, { id: "b", tokens: 5 }];
   assert.equal(record.cachedTokens("r-1", prompt, 1), 0);
 });
 
-test("another daemon's news count as one's own, and are not told again", () => {
+test("updates of another daemon count like own ones and are not sent again", () => {
   const near = new PrefixIndex();
   const far = new PrefixIndex();
   near.recordRead("r-1", PROMPT, 0);
@@ -35,7 +35,7 @@
   assert.deepEqual(near.takeUpdates(), []);
 });
 
-test("what was not read for long counts no more", () => {
+test("parts expire", () => {
   const record = new PrefixIndex();
   record.recordSent("r-1", PROMPT, 0);
   assert.equal(record.cachedTokens("r-1", PROMPT, 6_000), 0);
--- a/packages/router/src/process/restart_detector.ts
+++ b/packages/router/src/process/restart_detector.ts
@@ -1,5 +1,5 @@
 /**
- * Noticing that a runner has started again, without the platform's word.
+ * Detection of runner restarts independent of the platform's list.
  *
  * @module
  */
@@ -9,58 +9,60 @@
 import type { Runner } from "./runner.ts";
 import type { RunnerDirectory } from "./runner_directory.ts";
 
-/** Milliseconds between two questions to a runner that does not answer. */
-const AGAIN_MS = 1_000;
+/** Milliseconds between queries to a runner that does not respond. */
+const QUERY_INTERVAL_MS = 1_000;
 /**
- * Questions to one runner. One that is silent for longer has lost its entry by
- * then, or says with its next one when it began.
+ * Queries to one runner. After a longer silence its entry has been removed, or its
+ * next entry contains the new start time.
  */
-const MOST_QUESTIONS = 8;
+const MAX_QUERIES = 8;
 
 /**
- * Asks a runner when it began, after a connection to it has broken. Its entry may
- * tell the same only seconds later: while the store is down, or this daemon is
- * cut off from it, a runner that crashed and came back under its name would keep
- * drawing prompts that it no longer holds, for up to half a minute.
+ * Queries a runner's start time after a connection to it has broken. Its new entry
+ * may arrive only seconds later. While the store is down or unreachable from this
+ * daemon, a runner that crashed and restarted under the same name would keep
+ * attracting prompts that it no longer has cached, for up to half a minute.
  */
 export class RestartDetector {
-  readonly #memory: EngineCache;
+  readonly #cache: EngineCache;
   readonly #directory: RunnerDirectory;
   readonly #log: EventLog;
-  readonly #mayAsk: (runner: Runner) => boolean;
-  /** Ids of runners that are being asked. */
-  readonly #asked = new Set<string>();
+  readonly #mayQuery: (runner: Runner) => boolean;
+  /** Ids of runners with a check in progress. */
+  readonly #checked = new Set<string>();
 
   constructor(
-    memory: EngineCache,
+    cache: EngineCache,
     options: {
       readonly directory: RunnerDirectory;
       readonly log: EventLog;
-      /** Whether the runner takes a question now; counts it if so. */
-      readonly mayAsk: (runner: Runner) => boolean;
+      /** Whether the runner's rate limit allows a query now; counts it if so. */
+      readonly mayQuery: (runner: Runner) => boolean;
     },
   ) {
-    this.#memory = memory;
-    this.#mayAsk = options.mayAsk;
+    this.#cache = cache;
+    this.#mayQuery = options.mayQuery;
     this.#directory = options.directory;
     this.#log = options.log;
   }
 
   /**
-   * A connection to the runner has broken while it had a request. Does nothing
-   * for runners that do not tell when they began.
+   * Checks whether a runner has restarted, after a connection to it has broken
+   * during a request. Does nothing for runners that report no start time.
    */
   async check(runner: Runner): Promise<void> {
-    if (runner.startedAtMs === undefined || this.#asked.has(runner.id)) return;
-    this.#asked.add(runner.id);
+    if (runner.startedAtMs === undefined || this.#checked.has(runner.id)) {
+      return;
+    }
+    this.#checked.add(runner.id);
     try {
-      for (let asked = 0; asked < MOST_QUESTIONS; asked++) {
+      for (let queries = 0; queries < MAX_QUERIES; queries++) {
         if (!this.#isListed(runner)) return;
-        if (this.#mayAsk(runner) && await this.#ask(runner)) return;
-        await pause(AGAIN_MS, { background: true });
+        if (this.#mayQuery(runner) && await this.#query(runner)) return;
+        await pause(QUERY_INTERVAL_MS, { background: true });
       }
     } finally {
-      this.#asked.delete(runner.id);
+      this.#checked.delete(runner.id);
     }
   }
 
@@ -68,10 +70,10 @@
     return this.#directory.list.runners.some(({ id }) => id === runner.id);
   }
 
-  /** @returns whether the runner has answered. */
-  async #ask(runner: Runner): Promise<boolean> {
+  /** @returns whether the runner has responded. */
+  async #query(runner: Runner): Promise<boolean> {
     try {
-      const startedAtMs = await this.#memory.startTime(runner);
+      const startedAtMs = await this.#cache.startTime(runner);
       if (startedAtMs === undefined) return true;
       this.#log.event("runner_start_checked", {
         runner: runner.id,
--- a/packages/router/src/process/restart_detector_test.ts
+++ b/packages/router/src/process/restart_detector_test.ts
@@ -6,7 +6,7 @@
 import { RunnerDirectory } from "./runner_directory.ts";
 import type { Runner } from "./runner.ts";
 
-function life(startedAtMs: number | undefined): Runner {
+function runnerStartedAt(startedAtMs: number | undefined): Runner {
   return {
     id: runnerId("a", startedAtMs),
     name: "a",
@@ -21,72 +21,76 @@
   };
 }
 
-/** A watch over one runner, whose answers a test gives in turn. */
-function watchOver(
+/** A detector for one runner that responds with the given results in turn. */
+function detectorFor(
   runner: Runner,
   answers: readonly (number | Error | undefined)[],
-  mayAsk: () => boolean = () => true,
+  mayQuery: () => boolean = () => true,
 ) {
   const directory = new RunnerDirectory();
   directory.replace({ revision: 1, runners: [runner] });
-  let asked = 0;
-  const watch = new RestartDetector({
+  let queryCount = 0;
+  const detector = new RestartDetector({
     cachedParts: () => Promise.resolve({ startedAtMs: undefined, parts: [] }),
     startTime() {
-      const answer = answers[asked++];
+      const answer = answers[queryCount++];
       return answer instanceof Error
         ? Promise.reject(answer)
         : Promise.resolve(answer);
     },
-  }, { directory, mayAsk, log: SILENT_LOG });
-  return { directory, watch, asked: () => asked };
+  }, { directory, mayQuery, log: SILENT_LOG });
+  return { directory, detector, queryCount: () => queryCount };
 }
 
-// The store is down, a runner crashes and comes back under its name two seconds
-// later. Callers' prompts would go where they were once read, and be read anew
-// beside those whose home it is, until its entry can be written again.
-test("a runner whose connection broke is asked when it began", async (t) => {
+// The store is down; a runner crashes and restarts under the same name two seconds
+// later. Until its entry can be written again, prompts would be routed to the
+// cache that it has lost, and be prefilled there again beside its other requests.
+test("a runner whose connection broke is queried for its start", async (t) => {
   t.mock.timers.enable({ apis: ["setTimeout"] });
-  const runner = life(100);
-  const { directory, watch, asked } = watchOver(runner, [
+  const runner = runnerStartedAt(100);
+  const { directory, detector, queryCount } = detectorFor(runner, [
     new Error("refused"),
     new Error("refused"),
     200,
   ]);
-  const asking = watch.check(runner);
-  void watch.check(runner);
+  const check = detector.check(runner);
+  void detector.check(runner);
   for (let second = 0; second < 3; second++) {
     await new Promise((resolve) => setImmediate(resolve));
     t.mock.timers.tick(1_000);
   }
-  await asking;
-  assert.equal(asked(), 3);
+  await check;
+  assert.equal(queryCount(), 3);
   assert.equal(directory.ready("s")[0]?.startedAtMs, 200);
 });
 
-test("a runner that does not tell when it began is not asked", async () => {
-  const runner = life(undefined);
-  const { watch, asked } = watchOver(runner, [200]);
-  await watch.check(runner);
-  assert.equal(asked(), 0);
+test("a runner that reports no start time is not queried", async () => {
+  const runner = runnerStartedAt(undefined);
+  const { detector, queryCount } = detectorFor(runner, [200]);
+  await detector.check(runner);
+  assert.equal(queryCount(), 0);
 });
 
-test("a runner that goes on is still the same", async () => {
-  const runner = life(100);
-  const { directory, watch } = watchOver(runner, [100]);
-  await watch.check(runner);
+test("a runner that has not restarted keeps its id", async () => {
+  const runner = runnerStartedAt(100);
+  const { directory, detector } = detectorFor(runner, [100]);
+  await detector.check(runner);
   assert.equal(directory.ready("s")[0]?.id, runner.id);
 });
 
-// Guards against questions beyond what a runner says that it takes.
-test("a runner that has had its limit is not asked", async (t) => {
+// Queries count against the rate limit that a runner states.
+test("a runner at its rate limit is not queried", async (t) => {
   t.mock.timers.enable({ apis: ["setTimeout"] });
-  let mayAsk = false;
-  const { watch, asked } = watchOver(life(100), [100], () => mayAsk);
-  const watched = watch.check(life(100));
-  assert.equal(asked(), 0);
-  mayAsk = true;
+  let mayQuery = false;
+  const { detector, queryCount } = detectorFor(
+    runnerStartedAt(100),
+    [100],
+    () => mayQuery,
+  );
+  const check = detector.check(runnerStartedAt(100));
+  assert.equal(queryCount(), 0);
+  mayQuery = true;
   t.mock.timers.tick(1_000);
-  await watched;
-  assert.equal(asked(), 1);
+  await check;
+  assert.equal(queryCount(), 1);
 });
--- a/packages/router/src/process/retry_budget.ts
+++ b/packages/router/src/process/retry_budget.ts
@@ -1,82 +1,82 @@
 /**
- * How many repeats the daemon may send to each service.
+ * Retry budget of a service.
  *
  * @module
  */
 
-/** Bounds that all daemons keep together. */
+/** Bounds on retries for all daemons together. */
 export interface RetryBounds {
-  /** Repeats allowed for each request. */
+  /** Retries allowed per request. */
   readonly ratio: number;
-  /** Repeats allowed beside them in a window, all daemons together. */
+  /** Additional retries allowed per window, for all daemons together. */
   readonly extra: number;
   /** Length of the window in ms. */
   readonly windowMs: number;
 }
 
-/** Spans in which arrivals are counted, for each window. */
-const SPANS = 10;
+/** Number of counting intervals per window. */
+const INTERVALS = 10;
 /**
- * Part of the ratio that is used. Windows of an observer start at other moments
- * than ours, and requests that we counted may have come from a burst before.
+ * Fraction of the ratio that is used. An observer's windows start at other times
+ * than ours, so that requests counted here may belong to a burst before them.
  */
-const RATIO_SHARE = 0.6;
-/** Part of the extra repeats that is used; the rest covers unknown daemons. */
-const EXTRA_SHARE = 0.5;
+const RATIO_FRACTION = 0.6;
+/** Fraction of the extra retries that is used; the rest covers unknown daemons. */
+const EXTRA_FRACTION = 0.5;
 
-interface Span {
+interface Interval {
   readonly start: number;
   requests: number;
-  repeats: number;
+  retries: number;
 }
 
 /**
- * Counts requests and repeats of one service over a sliding window. Each daemon
- * keeps the ratio for its own requests, so that the sum over daemons keeps it
- * too, also while they cannot talk; the extra repeats are divided among them.
+ * Counts requests and retries of one service over a sliding window. Each daemon
+ * keeps the ratio for its own requests, so that the sum over daemons keeps it as
+ * well, even during a partition; the extra retries are divided among them.
  */
 export class RetryBudget {
   readonly #bounds: RetryBounds;
   readonly #daemons: () => number;
-  #spans: Span[] = [];
+  #intervals: Interval[] = [];
 
-  /** @param daemons how many daemons share the bounds. */
+  /** @param daemons returns the number of daemons that share the bounds. */
   constructor(bounds: RetryBounds, daemons: () => number) {
     this.#bounds = bounds;
     this.#daemons = daemons;
   }
 
-  /** Counts a request of a caller. */
+  /** Counts a caller's request. */
   recordRequest(now: number): void {
-    this.#span(now).requests += 1;
+    this.#currentInterval(now).requests += 1;
   }
 
-  /** Takes one repeat; false when none is left. */
+  /** Takes one retry; returns false when the budget is exhausted. */
   take(now: number): boolean {
-    const span = this.#span(now);
+    const interval = this.#currentInterval(now);
     let requests = 0;
-    let repeats = 0;
-    for (const each of this.#spans) {
-      requests += each.requests;
-      repeats += each.repeats;
+    let retries = 0;
+    for (const counted of this.#intervals) {
+      requests += counted.requests;
+      retries += counted.retries;
     }
     const { ratio, extra } = this.#bounds;
-    const own = EXTRA_SHARE * extra / Math.max(1, this.#daemons());
-    if (repeats + 1 > RATIO_SHARE * ratio * requests + own) return false;
-    span.repeats += 1;
+    const own = EXTRA_FRACTION * extra / Math.max(1, this.#daemons());
+    if (retries + 1 > RATIO_FRACTION * ratio * requests + own) return false;
+    interval.retries += 1;
     return true;
   }
 
-  #span(now: number): Span {
-    const length = this.#bounds.windowMs / SPANS;
+  #currentInterval(now: number): Interval {
+    const length = this.#bounds.windowMs / INTERVALS;
     const start = now - now % length;
-    this.#spans = this.#spans.filter((each) =>
-      each.start > now - this.#bounds.windowMs
+    this.#intervals = this.#intervals.filter((counted) =>
+      counted.start > now - this.#bounds.windowMs
     );
-    const last = this.#spans.at(-1);
+    const last = this.#intervals.at(-1);
     if (last?.start === start) return last;
-    const span = { start, requests: 0, repeats: 0 };
-    this.#spans.push(span);
-    return span;
+    const interval = { start, requests: 0, retries: 0 };
+    this.#intervals.push(interval);
+    return interval;
   }
 }
--- a/packages/router/src/process/retry_budget_test.ts
+++ b/packages/router/src/process/retry_budget_test.ts
@@ -10,24 +10,24 @@
   return taken;
 }
 
-// Half of a service's runners fail every request. Each daemon repeats as long
-// as it may; all together must stay below the ratio and the extra, though they
-// cannot ask each other.
-test("daemons that repeat all they may keep the common bound", () => {
+// Half of a service's runners fail every request, and each daemon exhausts its
+// retry budget. All daemons together must stay within the ratio plus the extra
+// retries, without any communication.
+test("daemons that exhaust their budgets keep to the common bound", () => {
   const daemons = 8;
   const requests = 100;
-  let repeats = 0;
+  let retries = 0;
   for (let each = 0; each < daemons; each += 1) {
     const budget = new RetryBudget(BOUNDS, () => daemons);
     for (let i = 0; i < requests; i += 1) budget.recordRequest(1_000);
-    repeats += takeAll(budget, 1_000);
+    retries += takeAll(budget, 1_000);
   }
   const bound = BOUNDS.ratio * daemons * requests + BOUNDS.extra;
-  assert.ok(repeats > 0);
-  assert.ok(repeats <= bound, `${repeats} repeats, ${bound} allowed`);
+  assert.ok(retries > 0);
+  assert.ok(retries <= bound, `${retries} retries, ${bound} allowed`);
 });
 
-test("what was spent comes back when the window has passed", () => {
+test("the budget is restored when the window has passed", () => {
   const budget = new RetryBudget(BOUNDS, () => 8);
   const first = takeAll(budget, 0);
   assert.equal(takeAll(budget, 5_000), 0);
--- a/packages/router/src/process/runner.ts
+++ b/packages/router/src/process/runner.ts
@@ -1,38 +1,38 @@
 /**
- * A runner, as the platform lists it.
+ * Runners as listed by the platform.
  *
  * @module
  */
 
-/** One life of a runner: a restart has another id, if not another name. */
+/** One incarnation of a runner; a restart changes the id, but may keep the name. */
 export interface Runner {
-  /** Names this life alone; see {@linkcode runnerId}. */
+  /** Unique id of this incarnation; see {@linkcode runnerId}. */
   readonly id: string;
-  /** Name in the platform's list, which a restart may keep. */
+  /** Name in the platform's list; may stay the same across restarts. */
   readonly name: string;
-  /** When this life began, in Unix ms of its own clock, if it tells. */
+  /** Start of this incarnation in Unix ms of the runner's clock, if reported. */
   readonly startedAtMs: number | undefined;
   readonly service: string;
   /** IP address. */
   readonly address: string;
   readonly port: number;
   readonly failureDomain: string;
-  /** Requests that it runs at once. */
+  /** Number of requests that it runs concurrently. */
   readonly slots: number;
-  /** Whether it is about to leave and takes nothing new. */
+  /** Whether it is shutting down and accepts no new requests. */
   readonly draining: boolean;
-  /** Whether the platform may take it back, all of a failure domain at once. */
+  /** Whether the platform may reclaim it, with all others in its failure domain. */
   readonly preemptible?: boolean | undefined;
-  /** Milliseconds for which it is still slow after its start. */
+  /** Duration of its warm-up after the start, in ms, during which it is slow. */
   readonly warmUpMs: number;
 }
 
 const RADIX = 36;
 
 /**
- * Names one life of a runner, by its name and start. All that is known of a
- * runner is kept by this id: what a life held, failed or had in flight is never
- * taken for that of the next one, also when a peer tells of it late.
+ * Builds the id of a runner's incarnation from its name and start time. All state
+ * on runners is keyed by this id, so that the cache, failures and load of one
+ * incarnation are never attributed to the next, even if a peer reports them late.
  *
  * @example
  * ```ts
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -23,7 +23,7 @@
   readonly unreadTokens: number;
   /** Tokens of the prompt plus the longest possible response. */
   readonly memoryTokens: number;
-  /** Whether it is a stream with a tight inter-token latency target. */
+  /** Whether it is a stream with a tight event-gap target. */
   readonly tight: boolean;
 }
 
--- a/packages/router/src/process/scaling.ts
+++ b/packages/router/src/process/scaling.ts
@@ -34,7 +34,10 @@
     return { place: "scaling", text };
   }
   if (!(startMs >= 0)) {
-    return { place: "scaling.startMs", text: `Needs a duration in ms, got "${startMs}"` };
+    return {
+      place: "scaling.startMs",
+      text: `Needs a duration in ms, got "${startMs}"`,
+    };
   }
   const all = [
     ["preemptiblePrice", preemptiblePrice ?? 0] as const,
@@ -45,5 +48,8 @@
   const wrong = all.find(([, price]) => !(price >= 0));
   if (wrong === undefined) return undefined;
   const [name, price] = wrong;
-  return { place: `scaling.${name}`, text: `Needs a price of 0 or more, got "${price}"` };
+  return {
+    place: `scaling.${name}`,
+    text: `Needs a price of 0 or more, got "${price}"`,
+  };
 }
--- a/packages/router/src/process/sliding_max.ts
+++ b/packages/router/src/process/sliding_max.ts
@@ -1,34 +1,34 @@
 /**
- * The largest of what was seen lately.
+ * Maximum of recent values.
  *
  * @module
  */
 
 /**
- * Remembers the largest value of the last while. The size of the fleet is heard
- * from neighbours and falls for some seconds when one of them is lost; what is
- * divided by it would be given away several times over.
+ * Approximate maximum over a sliding window. The size of the fleet is reported by
+ * neighbours and drops for some seconds when one of them is lost; limits divided
+ * by the lower number would be allocated several times over.
  */
 export class SlidingMax {
   readonly #spanMs: number;
-  #since = -Infinity;
-  #now = 0;
-  #before = 0;
+  #windowStart = -Infinity;
+  #currentMax = 0;
+  #previousMax = 0;
 
-  /** @param spanMs a value is remembered for this long, and twice it at most. */
+  /** @param spanMs values count for at least this long, and at most twice. */
   constructor(spanMs: number) {
     this.#spanMs = spanMs;
   }
 
-  /** Takes a value, and tells the largest one. */
+  /** Adds a value and returns the maximum. */
   update(value: number, now: number): number {
-    const age = now - this.#since;
+    const age = now - this.#windowStart;
     if (age >= this.#spanMs) {
-      this.#before = age < 2 * this.#spanMs ? this.#now : 0;
-      this.#now = 0;
-      this.#since = now;
+      this.#previousMax = age < 2 * this.#spanMs ? this.#currentMax : 0;
+      this.#currentMax = 0;
+      this.#windowStart = now;
     }
-    this.#now = Math.max(this.#now, value);
-    return Math.max(this.#now, this.#before);
+    this.#currentMax = Math.max(this.#currentMax, value);
+    return Math.max(this.#currentMax, this.#previousMax);
   }
 }
--- a/packages/router/src/process/start_gate.ts
+++ b/packages/router/src/process/start_gate.ts
@@ -1,19 +1,19 @@
 /**
- * When a daemon that has just started reads the store.
+ * Delay of a starting daemon's first read of the store.
  *
  * @module
  */
 
-/** Milliseconds for the first neighbour to answer. */
-const MEET_MS = 30;
-/** Milliseconds, from the start or its offer on, for one to give what is needed. */
-const GIVE_MS = 150;
+/** Milliseconds to wait for the first neighbour. */
+const NEIGHBOUR_TIMEOUT_MS = 30;
+/** Milliseconds for a neighbour to deliver, from the start or from its offer. */
+const DELIVERY_TIMEOUT_MS = 150;
 
 /**
- * Holds back the first reading of the store while a neighbour may give the same.
- * When all daemons start at once, two calls of each are a storm at the store in
- * the very second in which every caller returns. Who meets nobody, or is among
- * those that read the store for the others, does not wait for them.
+ * Delays the first read of the store while a neighbour may deliver the same data.
+ * When all daemons start at once, two calls of each would overload the store in
+ * the same second in which all callers reconnect. A daemon without neighbours, or
+ * one that reads the store on behalf of others, waits only a moment.
  */
 export class StartGate {
   readonly #opened: Promise<void>;
@@ -29,7 +29,7 @@
   }
 
   /**
-   * Waits from now on; resolves when the store is to be read, or need not be.
+   * Starts the delay; resolves when the store is to be read, or need not be.
    *
    * @param relies whether this daemon has neighbours that read the store for it.
    */
@@ -37,20 +37,23 @@
     if (this.#isOpen) return this.#opened;
     this.#timer ??= setTimeout(() => {
       if (!relies()) return this.open();
-      this.#timer = setTimeout(() => this.open(), GIVE_MS - MEET_MS);
-    }, MEET_MS);
+      this.#timer = setTimeout(
+        () => this.open(),
+        DELIVERY_TIMEOUT_MS - NEIGHBOUR_TIMEOUT_MS,
+      );
+    }, NEIGHBOUR_TIMEOUT_MS);
     return this.#opened;
   }
 
-  /** A neighbour has what is needed, and was asked for it. */
+  /** Extends the delay: a neighbour has the data, and it was requested. */
   offered(): void {
     if (this.#offered || this.#isOpen || this.#timer === undefined) return;
     this.#offered = true;
     clearTimeout(this.#timer);
-    this.#timer = setTimeout(() => this.open(), GIVE_MS);
+    this.#timer = setTimeout(() => this.open(), DELIVERY_TIMEOUT_MS);
   }
 
-  /** There is nothing to wait for any longer. */
+  /** Ends the delay. */
   open(): void {
     this.#isOpen = true;
     clearTimeout(this.#timer);
--- a/packages/router/src/process/start_gate_test.ts
+++ b/packages/router/src/process/start_gate_test.ts
@@ -28,21 +28,21 @@
   })();
 }
 
-test("a daemon that meets nobody reads the store after a moment", async (t) => {
+test("a daemon without neighbours reads the store after 40 ms at most", async (t) => {
   const at = await openedAt(t, new StartGate(), { relies: false });
   assert.ok(at <= 40, `${at} ms`);
 });
 
-// Neighbours promise what they cannot give: their own store is down, or the link
-// breaks. No daemon may stay without a configuration for it.
-test("an offer that is not kept delays the store by little", async (t) => {
+// Neighbours may offer data that they cannot deliver, because their store is down
+// or the link breaks. This must not leave a daemon without a configuration.
+test("an unfulfilled offer delays the read of the store only briefly", async (t) => {
   const gate = new StartGate();
   const events = { 10: () => gate.offered(), 100: () => gate.offered() };
   const at = await openedAt(t, gate, { relies: true, events });
   assert.ok(at <= 170, `${at} ms`);
 });
 
-test("a daemon that was given everything waits no longer", async (t) => {
+test("a daemon that has received all data stops waiting", async (t) => {
   const gate = new StartGate();
   const at = await openedAt(t, gate, {
     relies: true,
--- a/packages/router/src/process/token_bucket_test.ts
+++ b/packages/router/src/process/token_bucket_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { TokenBucket } from "./token_bucket.ts";
 
-test("what is sent keeps to the rate, bursts apart", () => {
+test("tokens refill at the rate, up to the burst", () => {
   const allowance = new TokenBucket({ perSecond: 1_000, burst: 2_000 });
   assert.equal(allowance.available(0), 2_000);
   allowance.take(2_500);
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -165,16 +165,16 @@
       controlBytesPerS: settings.controlBytesPerS,
       random: () => this.random(),
     });
-    const mayAsk = ({ id }: Runner) => this.#mayAsk(id);
+    const mayQuery = ({ id }: Runner) => this.#mayAsk(id);
     this.#survey = new CacheSurvey(platform.memory, {
       prefixes: this.prefixes,
       log,
-      mayAsk,
+      mayQuery,
     });
     this.#restarts = new RestartDetector(platform.memory, {
       directory: this.#directory,
       log,
-      mayAsk,
+      mayQuery,
     });
     this.#crashWatch = new CrashDetector({
       log,
