--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -18,7 +18,7 @@
 import { AttemptExecutor } from "./attempt_executor.ts";
 import { routeRequest } from "./routed_request.ts";
 import type { RoutedRequest } from "./routed_request.ts";
-import { readWhole } from "./read_body.ts";
+import { readBody } from "./read_body.ts";
 
 /** Milliseconds left under which no other runner is tried. */
 const LEAST_TIME_MS = 30;
@@ -83,7 +83,7 @@
   async #serve(subject: RoutedRequest): Promise<Outcome> {
     const limits = this.#daemon.routingTable()!.limits;
     this.#reading = true;
-    const whole = await readWhole(this.#caller.request, limits.maxBodyBytes);
+    const whole = await readBody(this.#caller.request, limits.maxBodyBytes);
     this.#reading = false;
     if (whole.kind === "broken") return { kind: "left" };
     if (whole.kind === "too-large") {
--- a/packages/router/src/request/read_body.ts
+++ b/packages/router/src/request/read_body.ts
@@ -13,7 +13,7 @@
   | { readonly kind: "broken"; readonly reason: string };
 
 /** Reads a message to its end; one that breaks off is never taken as whole. */
-export function readWhole(
+export function readBody(
   incoming: IncomingMessage,
   maxBytes: number,
 ): Promise<WholeBody> {
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -11,7 +11,7 @@
 import type { InactivityTimer } from "./inactivity_timer.ts";
 import { StreamRelay } from "./stream_relay.ts";
 import type { RoutedRequest } from "./routed_request.ts";
-import { readWhole } from "./read_body.ts";
+import { readBody } from "./read_body.ts";
 
 /** Largest answer that is held to be checked before it is passed on, in bytes. */
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
@@ -104,7 +104,7 @@
   ): Promise<RelayResult> {
     const { status, incoming } = sent;
     if (sent.head.sealed) this.#daemon.requestStarted(subject);
-    const whole = await readWhole(incoming, MAX_ANSWER_BYTES);
+    const whole = await readBody(incoming, MAX_ANSWER_BYTES);
     if (whole.kind !== "whole") {
       return this.#brokeOff(parts, "answer broke off", whole.kind);
     }
