--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -156,7 +156,7 @@
       active: () =>
         peers().length === 0 || watches(own, [own, ...peers()]) ||
         (!known() && this.#isUninformed(follower())),
-      rest: () => this.#looks.next(),
+      untilActive: () => this.#looks.next(),
     };
   }
 
--- a/packages/router/src/process/feed.ts
+++ b/packages/router/src/process/feed.ts
@@ -64,7 +64,7 @@
   /** Whether to read the store now. */
   active(): boolean;
   /** Waits until {@linkcode active} is to be asked again. */
-  rest(): Promise<void>;
+  untilActive(): Promise<void>;
 }
 
 /** First pause after a failure, in ms; doubled up to the longest. */
@@ -126,7 +126,7 @@
   async run(): Promise<void> {
     while (!this.#stopped) {
       if (this.#timing.active()) await this.#tryStep();
-      else await this.#timing.rest();
+      else await this.#timing.untilActive();
     }
   }
 
--- a/packages/router/src/process/feed_test.ts
+++ b/packages/router/src/process/feed_test.ts
@@ -54,7 +54,7 @@
       timing: {
         waitMs: () => 1,
         active: () => true,
-        rest: () => Promise.resolve(),
+        untilActive: () => Promise.resolve(),
       },
     });
     void follower.run();
@@ -132,7 +132,7 @@
     timing: {
       waitMs: () => 1,
       active: () => true,
-      rest: () => Promise.resolve(),
+      untilActive: () => Promise.resolve(),
     },
   });
   void follower.run();
@@ -162,7 +162,7 @@
     timing: {
       waitMs: () => 1,
       active: () => true,
-      rest: () => Promise.resolve(),
+      untilActive: () => Promise.resolve(),
     },
   });
   void follower.run();
