--- a/packages/router/src/request/read_body.ts
+++ b/packages/router/src/request/read_body.ts
@@ -7,7 +7,7 @@
 import type { IncomingMessage } from "node:http";
 
 /** A whole body, or why there is none. */
-export type WholeBody =
+export type BodyResult =
   | { readonly kind: "whole"; readonly body: Buffer }
   | { readonly kind: "too-large" }
   | { readonly kind: "broken"; readonly reason: string };
@@ -16,7 +16,7 @@
 export function readBody(
   incoming: IncomingMessage,
   maxBytes: number,
-): Promise<WholeBody> {
+): Promise<BodyResult> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let size = 0;
