--- a/packages/router/src/connection/overlay.ts
+++ b/packages/router/src/connection/overlay.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { Absences, LOST_MS } from "../process/absences.ts";
+import { LOST_MS, UnreachableDaemons } from "../process/absences.ts";
 import { inRankOrder, ranksBefore } from "../process/contact.ts";
 import type { Contact } from "../process/contact.ts";
 import type { ContactBook } from "../process/contact_book.ts";
@@ -80,7 +80,7 @@
   readonly #asked = new Map<string, Subscribe["scope"]>();
   /** Who has subscribed here, and for what. */
   readonly #askedBy = new Map<string, Subscribe["scope"]>();
-  readonly #absences = new Absences();
+  readonly #absences = new UnreachableDaemons();
   readonly #idleSince = new Map<string, number>();
   /** Peers to keep links to, whether they have a role or not. */
   #planned: ReadonlySet<string> = new Set();
--- a/packages/router/src/process/absences.ts
+++ b/packages/router/src/process/absences.ts
@@ -25,7 +25,7 @@
  * Remembers whom not to plan with. An absence ends by itself, as a daemon that was
  * frozen or cut off has no other way to be found again, or with the next life.
  */
-export class Absences {
+export class UnreachableDaemons {
   readonly #absent = new Map<string, Absence>();
 
   /** Whether there are any. */
