--- a/packages/router/src/request/caller.ts
+++ b/packages/router/src/request/caller.ts
@@ -77,7 +77,7 @@
   }
 
   /** Passes on a runner's whole answer. */
-  answer(status: number, headers: RawHeaders, body: Buffer): void {
+  respond(status: number, headers: RawHeaders, body: Buffer): void {
     if (this.headersSent || this.disconnected) return;
     const framed = isFramed(headers);
     this.#head(status, endToEndHeaders(headers, OWN_ANSWER_HEADERS), {
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -112,7 +112,7 @@
     const failed = status >= FIRST_SERVER_ERROR;
     parts.load.recordResponse(failed, this.#daemon.now());
     const answer = () =>
-      this.#caller.answer(status, incoming.rawHeaders, whole.body);
+      this.#caller.respond(status, incoming.rawHeaders, whole.body);
     if (failed) return { kind: "failed", status, answer };
     answer();
     return { kind: "answered", status };
