--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -108,7 +108,7 @@
         load,
         placed,
         attempt,
-        silence,
+        inactivity: silence,
         sentAt,
         run: { fingerprint, startedAt: beganAt },
       });
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -28,7 +28,7 @@
   readonly load: RunnerLoad;
   readonly placed: PlacedRequest;
   readonly attempt: Attempt;
-  readonly silence: InactivityTimer;
+  readonly inactivity: InactivityTimer;
   /** Steady ms. */
   readonly sentAt: number;
   readonly run: BrokenRun;
@@ -136,7 +136,7 @@
         begun = true;
         this.#begin(subject, sent, parts);
       }
-      parts.silence.restart(
+      parts.inactivity.restart(
         GAP_SILENCE * (route.gapTargetMs ?? route.targetMs),
       );
     });
