--- a/packages/router/src/connection/overlay.ts
+++ b/packages/router/src/connection/overlay.ts
@@ -150,7 +150,7 @@
     this.#askedBy.delete(peer.name);
     this.#idleSince.delete(peer.name);
     const chosen = this.#parting.has(peer);
-    if (!chosen) this.#absences.lost(peer, performance.now());
+    if (!chosen) this.#absences.linkLost(peer, performance.now());
     if (before !== undefined) this.#host.roleChanged(peer, before);
     this.invalidate();
   }
--- a/packages/router/src/process/absences.ts
+++ b/packages/router/src/process/absences.ts
@@ -34,7 +34,7 @@
   }
 
   /** Its link broke. */
-  lost({ name, incarnation }: Contact, now: number): void {
+  linkLost({ name, incarnation }: Contact, now: number): void {
     this.#forgetOld(now);
     this.#absent.set(name, { incarnation, until: now + LOST_MS, times: 0 });
   }
