--- a/packages/router/src/connection/overlay.ts
+++ b/packages/router/src/connection/overlay.ts
@@ -161,7 +161,7 @@
     const contact = book.all().find((each) => each.address === address);
     if (contact === undefined) return;
     const now = performance.now();
-    const times = this.#absences.unanswered(contact, now);
+    const times = this.#absences.dialFailed(contact, now);
     this.invalidate();
     if (!this.#isGone(contact, times)) return;
     if (book.remove(contact, now)) {
--- a/packages/router/src/process/absences.ts
+++ b/packages/router/src/process/absences.ts
@@ -44,7 +44,7 @@
    *
    * @returns how many times in a row.
    */
-  unanswered({ name, incarnation }: Contact, now: number): number {
+  dialFailed({ name, incarnation }: Contact, now: number): number {
     const times = (this.#absent.get(name)?.times ?? 0) + 1;
     const span = FIRST_UNREACHABLE_MS * 2 ** (times - 1);
     const until = now + Math.min(LONGEST_UNREACHABLE_MS, span);
