--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -220,12 +220,10 @@
 
   /** @returns whether the entry has changed. */
   #recordCompletion({ fingerprint, at }: CompleteResponse): boolean {
-    const entry = this.#entries.get(fingerprint);
-    if (entry === undefined) return false;
-    if (entry.completedAt !== undefined && at <= entry.completedAt) {
-      return false;
-    }
-    this.#entries.set(fingerprint, withCompletion(entry, at));
+    const prev = this.#entries.get(fingerprint);
+    if (prev === undefined) return false;
+    if (prev.completedAt !== undefined && at <= prev.completedAt) return false;
+    this.#entries.set(fingerprint, withCompletion(prev, at));
     return true;
   }
 
--- a/packages/router/src/process/demand_estimator_test.ts
+++ b/packages/router/src/process/demand_estimator_test.ts
@@ -3,14 +3,12 @@
 import { DemandEstimator } from "./demand_estimator.ts";
 
 /** Observes a constant load over a span; returns the estimate at its end. */
-function observeFor(estimator: DemandEstimator, busy: number, span: {
+function observeFor(need: DemandEstimator, busy: number, span: {
   readonly from: number;
   readonly to: number;
 }) {
-  for (let now = span.from; now < span.to; now += 200) {
-    estimator.observe(busy, now);
-  }
-  return estimator.estimate(span.to);
+  for (let now = span.from; now < span.to; now += 200) need.observe(busy, now);
+  return need.estimate(span.to);
 }
 
 test("before any observation, the initial number is needed", () => {
--- a/packages/router/src/process/restart_detector.ts
+++ b/packages/router/src/process/restart_detector.ts
@@ -29,7 +29,7 @@
   readonly #log: EventLog;
   readonly #mayQuery: (runner: Runner) => boolean;
   /** Ids of runners with a check in progress. */
-  readonly #checked = new Set<string>();
+  readonly #active = new Set<string>();
 
   constructor(
     cache: EngineCache,
@@ -51,10 +51,8 @@
    * during a request. Does nothing for runners that report no start time.
    */
   async check(runner: Runner): Promise<void> {
-    if (runner.startedAtMs === undefined || this.#checked.has(runner.id)) {
-      return;
-    }
-    this.#checked.add(runner.id);
+    if (runner.startedAtMs === undefined || this.#active.has(runner.id)) return;
+    this.#active.add(runner.id);
     try {
       for (let queries = 0; queries < MAX_QUERIES; queries++) {
         if (!this.#isListed(runner)) return;
@@ -62,7 +60,7 @@
         await pause(QUERY_INTERVAL_MS, { background: true });
       }
     } finally {
-      this.#checked.delete(runner.id);
+      this.#active.delete(runner.id);
     }
   }
 
--- a/packages/router/src/process/runner_limits_test.ts
+++ b/packages/router/src/process/runner_limits_test.ts
@@ -17,7 +17,7 @@
 }
 
 /** Records the limit of a response to a request sent 1 ms before. */
-function recordLimit(
+function record(
   limits: RunnerLimits,
   stated: number | StatedLimit | undefined,
   now: number,
@@ -46,38 +46,36 @@
 
 test("a stated limit is logged when it changes", () => {
   const { limits, logged } = limitsWithLog();
-  recordLimit(limits, undefined, 0);
-  recordLimit(limits, 1.4, 10);
-  recordLimit(limits, 1.4, 20);
-  recordLimit(limits, 2, 2_000);
-  recordLimit(limits, undefined, 2_100);
+  record(limits, undefined, 0);
+  record(limits, 1.4, 10);
+  record(limits, 1.4, 20);
+  record(limits, 2, 2_000);
+  record(limits, undefined, 2_100);
   const values = logged.map(({ fields }) => fields.per_s);
   assert.deepEqual(values, [1.4, 2, undefined]);
   assert.equal(limits.of("r"), undefined);
 });
 
-test("log lines are bounded when the limit differs in own response", () => {
+test("log lines are bounded when the limit differs in each response", () => {
   const { limits, logged } = limitsWithLog();
-  for (let now = 0; now < 1_000; now += 10) {
-    recordLimit(limits, 2 + now / 1e6, now);
-  }
+  for (let now = 0; now < 1_000; now += 10) record(limits, 2 + now / 1e6, now);
   assert.equal(logged.length, 2);
 });
 
 test("log lines are bounded when a limit is set and removed repeatedly", () => {
   const { limits, logged } = limitsWithLog();
   for (let now = 0; now < 1_000; now += 20) {
-    recordLimit(limits, 2, now);
-    recordLimit(limits, undefined, now + 10);
+    record(limits, 2, now);
+    record(limits, undefined, now + 10);
   }
   assert.equal(logged.length, 2);
 });
 
 test("an unreadable limit is logged once and changes nothing", () => {
   const { limits, logged } = limitsWithLog();
-  recordLimit(limits, 1.4, 0);
+  record(limits, 1.4, 0);
   for (const now of [10, 20, 30]) {
-    recordLimit(limits, { kind: "unreadable", text: "-3" }, now);
+    record(limits, { kind: "unreadable", text: "-3" }, now);
   }
   assert.equal(limits.of("r"), 1.4);
   assert.equal(logged.length, 2);
@@ -88,7 +86,7 @@
 // They must not end the limit.
 test("a response to a request sent earlier does not end a limit", () => {
   const { limits } = limitsWithLog();
-  recordLimit(limits, 1.4, 100);
+  record(limits, 1.4, 100);
   limits.recordStated("r", undefined, { sentAt: 90, now: 110 });
   assert.equal(limits.of("r"), 1.4);
   limits.recordStated("r", undefined, { sentAt: 101, now: 120 });
@@ -100,7 +98,7 @@
   const news = { runner: "r", perS: 1.4, at: 100 };
   assert.deepEqual(limits.applyUpdates([news], 150), [news]);
   assert.deepEqual(limits.applyUpdates([news], 160), []);
-  recordLimit(limits, undefined, 200);
+  record(limits, undefined, 200);
   assert.deepEqual(limits.applyUpdates([{ ...news, at: 190 }], 210), []);
   assert.equal(limits.of("r"), undefined);
   limits.applyUpdates([{ ...news, at: 250 }], 260);
@@ -111,7 +109,7 @@
   const { limits } = limitsWithLog();
   let sent = 0;
   for (let now = 0; now <= 10_000; now += 100) {
-    recordLimit(limits, 1.4, now);
+    record(limits, 1.4, now);
     sent += limits.takeUpdates().length;
   }
   assert.equal(sent, 3);
--- a/packages/router/src/process/runner_loads.ts
+++ b/packages/router/src/process/runner_loads.ts
@@ -10,7 +10,7 @@
   readonly #loads = new Map<string, RunnerLoad>();
   readonly #changed = new Set<string>();
   /** Ids of runners for which requests of this daemon wait. */
-  readonly #waitedFor = new Set<string>();
+  readonly #queued = new Set<string>();
   readonly #listeners: (() => void)[] = [];
 
   /** Calls `listener` after each change of this daemon's load on any runner. */
@@ -29,15 +29,13 @@
 
   /** Whether any request of this daemon waits for capacity. */
   get hasWaiting(): boolean {
-    return this.#waitedFor.size > 0;
+    return this.#queued.size > 0;
   }
 
   /** Number of requests of this daemon that wait for capacity. */
   get waitingCount(): number {
     let count = 0;
-    for (const id of this.#waitedFor) {
-      count += this.of(id).queue.ownEntries.length;
-    }
+    for (const id of this.#queued) count += this.of(id).queue.ownEntries.length;
     return count;
   }
 
@@ -76,8 +74,8 @@
 
   #recordChange(id: string): void {
     this.#changed.add(id);
-    if (this.#loads.get(id)?.queue.hasOwn) this.#waitedFor.add(id);
-    else this.#waitedFor.delete(id);
+    if (this.#loads.get(id)?.queue.hasOwn) this.#queued.add(id);
+    else this.#queued.delete(id);
     for (const listener of this.#listeners) listener();
   }
 }
