--- a/packages/router/src/connection/overlay.ts
+++ b/packages/router/src/connection/overlay.ts
@@ -138,7 +138,7 @@
 
   /** A link is up. */
   joined(peer: Peer): void {
-    this.#absences.met(peer.name);
+    this.#absences.markReachable(peer.name);
     this.invalidate();
     this.#chooseWay(performance.now());
   }
--- a/packages/router/src/process/absences.ts
+++ b/packages/router/src/process/absences.ts
@@ -53,7 +53,7 @@
   }
 
   /** It answers. */
-  met(name: string): void {
+  markReachable(name: string): void {
     this.#absent.delete(name);
   }
 
