--- a/packages/router/src/connection/overlay.ts
+++ b/packages/router/src/connection/overlay.ts
@@ -172,7 +172,7 @@
   /** Daemons that are taken to live, as far as known. */
   reachable(now: number): readonly Contact[] {
     return this.#host.book.all()
-      .filter((each) => this.#absences.isPresent(each, now));
+      .filter((each) => this.#absences.isReachable(each, now));
   }
 
   /** A peer does not need its link any more. */
--- a/packages/router/src/process/absences.ts
+++ b/packages/router/src/process/absences.ts
@@ -58,7 +58,7 @@
   }
 
   /** Whether a daemon is taken to answer. */
-  isPresent({ name, incarnation }: Contact, now: number): boolean {
+  isReachable({ name, incarnation }: Contact, now: number): boolean {
     const absence = this.#absent.get(name);
     if (absence === undefined) return true;
     return absence.incarnation !== incarnation || absence.until <= now;
