--- a/packages/router/src/connection/overlay.ts
+++ b/packages/router/src/connection/overlay.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { LOST_MS, UnreachableDaemons } from "../process/absences.ts";
+import { LINK_LOST_MS, UnreachableDaemons } from "../process/absences.ts";
 import { inRankOrder, ranksBefore } from "../process/contact.ts";
 import type { Contact } from "../process/contact.ts";
 import type { ContactBook } from "../process/contact_book.ts";
@@ -227,7 +227,7 @@
   /** Whether time alone may have changed the plan. */
   #isDue(now: number): boolean {
     if (relaysOf(this.#host.members().domain) !== this.#relays) return true;
-    return now - this.#plannedAt >= LOST_MS &&
+    return now - this.#plannedAt >= LINK_LOST_MS &&
       (this.#absences.any || this.#idleSince.size > 0);
   }
 
--- a/packages/router/src/process/absences.ts
+++ b/packages/router/src/process/absences.ts
@@ -6,7 +6,7 @@
 import type { Contact } from "./contact.ts";
 
 /** Milliseconds for which a daemon whose link broke counts as absent. */
-export const LOST_MS = 1_000;
+export const LINK_LOST_MS = 1_000;
 /** The same for one that nobody answers for, at first; doubled each time. */
 const FIRST_UNREACHABLE_MS = 1_000;
 const LONGEST_UNREACHABLE_MS = 4_000;
@@ -36,7 +36,11 @@
   /** Its link broke. */
   linkLost({ name, incarnation }: Contact, now: number): void {
     this.#forgetOld(now);
-    this.#absent.set(name, { incarnation, until: now + LOST_MS, times: 0 });
+    this.#absent.set(name, {
+      incarnation,
+      until: now + LINK_LOST_MS,
+      times: 0,
+    });
   }
 
   /**
