--- a/packages/router/src/connection/state_exchange.ts
+++ b/packages/router/src/connection/state_exchange.ts
@@ -8,7 +8,7 @@
 import { ContactBook } from "../process/contact_book.ts";
 import type { ContactUpdates } from "../process/contact_book.ts";
 import type { EventLog } from "../process/event_log.ts";
-import { knownToAll, toldTo } from "../process/known_daemons.ts";
+import { contactsForNewPeer, knownToAll } from "../process/known_daemons.ts";
 import type { FleetView } from "../process/fleet_view.ts";
 import { MembershipCounts } from "./membership_counts.ts";
 import { UpdateBroadcaster } from "./update_broadcaster.ts";
@@ -194,7 +194,7 @@
   ): readonly Contact[] {
     const contacts = this.#book.all();
     return this.#overlay.relayed
-      ? toldTo(peer?.failureDomain, contacts)
+      ? contactsForNewPeer(peer?.failureDomain, contacts)
       : contacts;
   }
 
--- a/packages/router/src/process/known_daemons.ts
+++ b/packages/router/src/process/known_daemons.ts
@@ -16,7 +16,7 @@
  * What a daemon of a failure domain is told when a link is up: those that it may
  * link to in its own one, and two of each other one.
  */
-export function toldTo(
+export function contactsForNewPeer(
   failureDomain: string | undefined,
   contacts: readonly Contact[],
 ): readonly Contact[] {
