--- a/packages/router/src/connection/state_exchange.ts
+++ b/packages/router/src/connection/state_exchange.ts
@@ -8,7 +8,10 @@
 import { ContactBook } from "../process/contact_book.ts";
 import type { ContactUpdates } from "../process/contact_book.ts";
 import type { EventLog } from "../process/event_log.ts";
-import { contactsForNewPeer, knownToAll } from "../process/known_daemons.ts";
+import {
+  contactsForAll,
+  contactsForNewPeer,
+} from "../process/known_daemons.ts";
 import type { FleetView } from "../process/fleet_view.ts";
 import { MembershipCounts } from "./membership_counts.ts";
 import { UpdateBroadcaster } from "./update_broadcaster.ts";
@@ -170,7 +173,7 @@
     const { name: own } = this.#own;
     const { fleetSize } = this;
     const all = [this.#own, ...this.reachable];
-    const shared = this.#overlay.relayed ? knownToAll(all) : all;
+    const shared = this.#overlay.relayed ? contactsForAll(all) : all;
     return { own, fleetSize, names: shared.map(({ name }) => name) };
   }
 
--- a/packages/router/src/process/known_daemons.ts
+++ b/packages/router/src/process/known_daemons.ts
@@ -29,7 +29,9 @@
 }
 
 /** Those that everybody is told of: the first ones of each failure domain. */
-export function knownToAll(contacts: readonly Contact[]): readonly Contact[] {
+export function contactsForAll(
+  contacts: readonly Contact[],
+): readonly Contact[] {
   const domains = groupBy(contacts, ({ failureDomain }) => failureDomain);
   const most = domains.size === 1
     ? KNOWN_OF_ONLY_DOMAIN
