--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -14,7 +14,7 @@
 import type { Runner } from "../process/runner.ts";
 import type { ListenAddress } from "../process/settings.ts";
 import { StartGate } from "../process/start_gate.ts";
-import { watches } from "../process/watch_plan.ts";
+import { isWatcher } from "../process/watch_plan.ts";
 import type { Configuration } from "../version/configuration.ts";
 import type { PeerNetwork } from "./peer_network.ts";
 import { Peers } from "./peers.ts";
@@ -216,7 +216,7 @@
   /** The daemons that watch the store for their failure domain are found there. */
   #isContact(): boolean {
     return this.#peers.count === 0 ||
-      watches(this.#own, [this.#own, ...this.#reachable]);
+      isWatcher(this.#own, [this.#own, ...this.#reachable]);
   }
 
   #left(peer: Peer): void {
--- a/packages/router/src/connection/state_exchange.ts
+++ b/packages/router/src/connection/state_exchange.ts
@@ -23,7 +23,7 @@
 import { BroadcastTimer } from "./broadcast_timer.ts";
 import { broadcastIntervalMs, propagationMs } from "./broadcast_interval.ts";
 import type { IntervalInputs } from "./broadcast_interval.ts";
-import { watches } from "../process/watch_plan.ts";
+import { isWatcher } from "../process/watch_plan.ts";
 import { applyUpdate } from "./apply_update.ts";
 import type { SharedLeaderState, SharedRunnerState } from "./apply_update.ts";
 import { VersionExchange } from "./version_exchange.ts";
@@ -183,7 +183,7 @@
    */
   get receivesFleetUpdates(): boolean {
     if (this.#overlay.relayed) return this.#overlay.isHead;
-    return watches(this.#own, [this.#own, ...this.reachable]);
+    return isWatcher(this.#own, [this.#own, ...this.reachable]);
   }
 
   /** Contacts of all other daemons. */
--- a/packages/router/src/process/watch_plan.ts
+++ b/packages/router/src/process/watch_plan.ts
@@ -35,7 +35,7 @@
  *
  * @param fleet daemons that are known: those that rank first suffice.
  */
-export function watches(one: Watcher, fleet: readonly Watcher[]): boolean {
+export function isWatcher(one: Watcher, fleet: readonly Watcher[]): boolean {
   const domains = new Set(fleet.map(({ failureDomain }) => failureDomain));
   const perDomain = Math.max(1, Math.floor(WATCHERS / domains.size));
   const before = fleet.filter((each) =>
@@ -50,7 +50,7 @@
  * @param point in [0, 1), from a random number generator.
  */
 export function watchMs(fleet: readonly Watcher[], point: number): number {
-  const watchers = fleet.filter((each) => watches(each, fleet)).length;
+  const watchers = fleet.filter((each) => isWatcher(each, fleet)).length;
   const wait = Math.min(
     LONGEST_WAIT_MS,
     Math.max(SHORTEST_WAIT_MS, WAIT_PER_WATCHER_MS * watchers),
--- a/packages/router/src/process/watch_plan_test.ts
+++ b/packages/router/src/process/watch_plan_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { watches, watchMs } from "./watch_plan.ts";
+import { isWatcher, watchMs } from "./watch_plan.ts";
 import type { Watcher } from "./watch_plan.ts";
 
 function fleetOf(daemons: number): readonly Watcher[] {
@@ -16,7 +16,7 @@
 test("the calls of watches do not grow with the fleet", () => {
   const rateOf = (daemons: number) => {
     const fleet = fleetOf(daemons);
-    const watching = fleet.filter((each) => watches(each, fleet)).length;
+    const watching = fleet.filter((each) => isWatcher(each, fleet)).length;
     return 1_000 * watching / watchMs(fleet, 0.5);
   };
   assert.ok(Math.abs(rateOf(65) - rateOf(380)) < 0.1);
@@ -25,6 +25,6 @@
 
 test("a daemon alone watches, and for a short time", () => {
   const [alone] = fleetOf(1);
-  assert.equal(watches(alone!, [alone!]), true);
+  assert.equal(isWatcher(alone!, [alone!]), true);
   assert.ok(watchMs([alone!], 0.99) <= 1_500);
 });
