--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -11,7 +11,7 @@
 import type { RequestMetrics } from "../process/metrics.ts";
 import type { Runner } from "../process/runner.ts";
 import type { RunnerDirectory } from "../process/runner_directory.ts";
-import { isWatcher, watchMs } from "../process/watch_plan.ts";
+import { isWatcher, watchWaitMs } from "../process/watch_plan.ts";
 import type { Watcher } from "../process/watch_plan.ts";
 import type { Configuration } from "../version/configuration.ts";
 
@@ -152,7 +152,7 @@
   ): FollowerTiming {
     const { own, peers, random } = this.#host;
     return {
-      waitMs: () => watchMs([own, ...peers()], random()),
+      waitMs: () => watchWaitMs([own, ...peers()], random()),
       active: () =>
         peers().length === 0 || isWatcher(own, [own, ...peers()]) ||
         (!known() && this.#isUninformed(follower())),
--- a/packages/router/src/process/watch_plan.ts
+++ b/packages/router/src/process/watch_plan.ts
@@ -49,7 +49,7 @@
  *
  * @param point in [0, 1), from a random number generator.
  */
-export function watchMs(fleet: readonly Watcher[], point: number): number {
+export function watchWaitMs(fleet: readonly Watcher[], point: number): number {
   const watchers = fleet.filter((each) => isWatcher(each, fleet)).length;
   const wait = Math.min(
     LONGEST_WAIT_MS,
--- a/packages/router/src/process/watch_plan_test.ts
+++ b/packages/router/src/process/watch_plan_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { isWatcher, watchMs } from "./watch_plan.ts";
+import { isWatcher, watchWaitMs } from "./watch_plan.ts";
 import type { Watcher } from "./watch_plan.ts";
 
 function fleetOf(daemons: number): readonly Watcher[] {
@@ -17,7 +17,7 @@
   const rateOf = (daemons: number) => {
     const fleet = fleetOf(daemons);
     const watching = fleet.filter((each) => isWatcher(each, fleet)).length;
-    return 1_000 * watching / watchMs(fleet, 0.5);
+    return 1_000 * watching / watchWaitMs(fleet, 0.5);
   };
   assert.ok(Math.abs(rateOf(65) - rateOf(380)) < 0.1);
   assert.ok(rateOf(380) < 2);
@@ -26,5 +26,5 @@
 test("a daemon alone watches, and for a short time", () => {
   const [alone] = fleetOf(1);
   assert.equal(isWatcher(alone!, [alone!]), true);
-  assert.ok(watchMs([alone!], 0.99) <= 1_500);
+  assert.ok(watchWaitMs([alone!], 0.99) <= 1_500);
 });
