--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -12,7 +12,7 @@
 import type { Runner } from "../process/runner.ts";
 import type { RunnerDirectory } from "../process/runner_directory.ts";
 import { isWatcher, watchWaitMs } from "../process/watch_plan.ts";
-import type { Watcher } from "../process/watch_plan.ts";
+import type { WatchCandidate } from "../process/watch_plan.ts";
 import type { Configuration } from "../version/configuration.ts";
 
 /** Milliseconds in which a daemon that starts meets those that rank before it. */
@@ -33,12 +33,12 @@
 
 /** Who is told, and what decides how often the store is read. */
 export interface FollowerDependencies {
-  readonly own: Watcher;
+  readonly own: WatchCandidate;
   readonly log: EventLog;
   readonly metrics: Pick<RequestMetrics, "dependency">;
   readonly directory: RunnerDirectory;
   /** Other daemons that are taken to live, as far as known. */
-  peers(): readonly Watcher[];
+  peers(): readonly WatchCandidate[];
   /** In [0, 1). */
   random(): number;
   /** Whether there is a configuration to go on with. */
--- a/packages/router/src/process/watch_plan.ts
+++ b/packages/router/src/process/watch_plan.ts
@@ -26,7 +26,10 @@
 const WATCHERS = 6;
 
 /** A daemon, as others see it. */
-export type Watcher = Pick<Contact, "name" | "failureDomain" | "linkMbps">;
+export type WatchCandidate = Pick<
+  Contact,
+  "name" | "failureDomain" | "linkMbps"
+>;
 
 /**
  * Whether a daemon is among those that watch for its failure domain: the first
@@ -35,7 +38,10 @@
  *
  * @param fleet daemons that are known: those that rank first suffice.
  */
-export function isWatcher(one: Watcher, fleet: readonly Watcher[]): boolean {
+export function isWatcher(
+  one: WatchCandidate,
+  fleet: readonly WatchCandidate[],
+): boolean {
   const domains = new Set(fleet.map(({ failureDomain }) => failureDomain));
   const perDomain = Math.max(1, Math.floor(WATCHERS / domains.size));
   const before = fleet.filter((each) =>
@@ -49,7 +55,10 @@
  *
  * @param point in [0, 1), from a random number generator.
  */
-export function watchWaitMs(fleet: readonly Watcher[], point: number): number {
+export function watchWaitMs(
+  fleet: readonly WatchCandidate[],
+  point: number,
+): number {
   const watchers = fleet.filter((each) => isWatcher(each, fleet)).length;
   const wait = Math.min(
     LONGEST_WAIT_MS,
--- a/packages/router/src/process/watch_plan_test.ts
+++ b/packages/router/src/process/watch_plan_test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { isWatcher, watchWaitMs } from "./watch_plan.ts";
-import type { Watcher } from "./watch_plan.ts";
+import type { WatchCandidate } from "./watch_plan.ts";
 
-function fleetOf(daemons: number): readonly Watcher[] {
+function fleetOf(daemons: number): readonly WatchCandidate[] {
   return Array.from({ length: daemons }, (_, index) => ({
     name: `host-${index}`,
     failureDomain: `d-${index % 3}`,
