--- a/packages/router/src/connection/broadcast_interval.ts
+++ b/packages/router/src/connection/broadcast_interval.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { relaysOf } from "../process/link_plan.ts";
+import { relayCount } from "../process/link_plan.ts";
 
 /**
  * Milliseconds between two states for each peer that is told directly: with 7
@@ -72,7 +72,7 @@
   const { peers, relayed, domainSize } = moment;
   if (peers === 0) return 0;
   if (!relayed) return SETTLE_PERIODS * broadcastIntervalMs(moment);
-  const relays = relaysOf(domainSize) > 1
+  const relays = relayCount(domainSize) > 1
     ? RELAYS_OF_LARGE_DOMAINS
     : RELAYS_OF_SMALL_DOMAINS;
   return SETTLE_PERIODS * SHORTEST_PERIOD_MS + relays * SETTLE_PER_RELAY_MS;
--- a/packages/router/src/connection/overlay.ts
+++ b/packages/router/src/connection/overlay.ts
@@ -8,7 +8,7 @@
 import type { Contact } from "../process/contact.ts";
 import type { ContactBook } from "../process/contact_book.ts";
 import type { EventLog } from "../process/event_log.ts";
-import { planLinks, relaysOf } from "../process/link_plan.ts";
+import { planLinks, relayCount } from "../process/link_plan.ts";
 import type { LinkPlan } from "../process/link_plan.ts";
 import type { MemberCounts, Subscribe } from "./peer_message.ts";
 import type { Peer, Peers } from "./peers.ts";
@@ -226,7 +226,7 @@
 
   /** Whether time alone may have changed the plan. */
   #isDue(now: number): boolean {
-    if (relaysOf(this.#host.members().domain) !== this.#relays) return true;
+    if (relayCount(this.#host.members().domain) !== this.#relays) return true;
     return now - this.#plannedAt >= LINK_LOST_MS &&
       (this.#absences.any || this.#idleSince.size > 0);
   }
@@ -281,7 +281,7 @@
 
   #plan(now: number): LinkPlan {
     const { domain } = this.#host.members();
-    this.#relays = relaysOf(domain);
+    this.#relays = relayCount(domain);
     return planLinks(this.#own, this.reachable(now), domain);
   }
 
--- a/packages/router/src/process/link_plan.ts
+++ b/packages/router/src/process/link_plan.ts
@@ -49,7 +49,7 @@
   const domains = groupBy(contacts, ({ failureDomain }) => failureDomain);
   const near = domains.get(own.failureDomain) ?? [];
   const ranked = inRankOrder([own, ...near]);
-  const count = relaysOf(domainSize);
+  const count = relayCount(domainSize);
   const relays = ranked.slice(0, count);
   const head = relays[0]!;
   if (head === own) {
@@ -65,7 +65,7 @@
 }
 
 /** Relays of a failure domain of so many daemons. */
-export function relaysOf(domainSize: number): number {
+export function relayCount(domainSize: number): number {
   return Math.max(1, Math.round(domainSize / DAEMONS_PER_RELAY));
 }
 
