--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -15,7 +15,7 @@
   StoredRecord,
 } from "./process/leader_record.ts";
 export type {
-  CallEnd,
+  CallOutcome as CallEnd,
   Fence,
   PlatformApi,
   PlatformCall,
--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -9,7 +9,7 @@
 import type { RequestMetrics } from "./metrics.ts";
 import { OrderTracker } from "./order_tracker.ts";
 import { pause } from "./pause.ts";
-import type { CallEnd, PlatformApi, PlatformCall } from "./platform_api.ts";
+import type { CallOutcome, PlatformApi, PlatformCall } from "./platform_api.ts";
 import type { ScalingPolicy } from "./runner_order.ts";
 import { checkpointOf, fixReports, withAccepted } from "./usage_reports.ts";
 import type { UsageSources, UsageTiming } from "./usage_reports.ts";
@@ -269,7 +269,7 @@
     return { fence: { holder: name, fencing }, timeoutMs: CALL_MS };
   }
 
-  async #made(call: Promise<CallEnd>): Promise<CallEnd> {
+  async #made(call: Promise<CallOutcome>): Promise<CallOutcome> {
     const end = await call;
     this.#options.lease.recordAction();
     return end;
--- a/packages/router/src/process/order_tracker.ts
+++ b/packages/router/src/process/order_tracker.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { EventLog } from "./event_log.ts";
-import type { CallEnd } from "./platform_api.ts";
+import type { CallOutcome } from "./platform_api.ts";
 import { isSamePool } from "./runner_order.ts";
 import type { RunnerOrder, ScalingPolicy } from "./runner_order.ts";
 
@@ -69,7 +69,7 @@
   }
 
   /** Records the platform's answer to an order. */
-  recordResult(order: RunnerOrder, end: CallEnd, sent: {
+  recordResult(order: RunnerOrder, end: CallOutcome, sent: {
     readonly fencing: number;
     readonly now: number;
   }): void {
--- a/packages/router/src/process/order_tracker_test.ts
+++ b/packages/router/src/process/order_tracker_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { SILENT_LOG } from "../../tests/fixtures.ts";
 import { OrderTracker } from "./order_tracker.ts";
-import type { CallEnd } from "./platform_api.ts";
+import type { CallOutcome } from "./platform_api.ts";
 import type { RunnerOrder, ScalingPolicy } from "./runner_order.ts";
 
 function order(fields: Partial<RunnerOrder> = {}): RunnerOrder {
@@ -25,8 +25,8 @@
   return { tracker: new OrderTracker(demand, SILENT_LOG), noneLeft };
 }
 
-const ACCEPTED: CallEnd = { kind: "accepted" };
-const FAILED: CallEnd = { kind: "failed", reason: "No answer in time" };
+const ACCEPTED: CallOutcome = { kind: "accepted" };
+const FAILED: CallOutcome = { kind: "failed", reason: "No answer in time" };
 
 test("only changed orders are replaced", () => {
   const other = order({ failureDomain: "b" });
--- a/packages/router/src/process/platform_api.ts
+++ b/packages/router/src/process/platform_api.ts
@@ -15,7 +15,7 @@
 }
 
 /** How a call ended. */
-export type CallEnd =
+export type CallOutcome =
   /** The platform has taken it. */
   | { readonly kind: "accepted" }
   /** There are no runners to be had at the moment. */
@@ -26,9 +26,9 @@
 /** The platform's API. A call ends within the time that it is given. */
 export interface PlatformApi {
   /** Reports the requests of one window. */
-  reportUsage(report: UsageReport, call: PlatformCall): Promise<CallEnd>;
+  reportUsage(report: UsageReport, call: PlatformCall): Promise<CallOutcome>;
   /** Orders a number of runners. */
-  orderRunners(order: RunnerOrder, call: PlatformCall): Promise<CallEnd>;
+  orderRunners(order: RunnerOrder, call: PlatformCall): Promise<CallOutcome>;
 }
 
 /** What goes with each call. */
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -26,7 +26,7 @@
 import { LeaderLease } from "../src/process/leader_lease.ts";
 import type { LeaderStore, UsageReport } from "../src/process/leader_record.ts";
 import type {
-  CallEnd,
+  CallOutcome,
   Fence,
   PlatformApi,
   PlatformCall,
@@ -284,13 +284,13 @@
   async reportUsage(
     { window, counts }: UsageReport,
     { fence }: PlatformCall,
-  ): Promise<CallEnd> {
+  ): Promise<CallOutcome> {
     this.arrivals.push({ at: performance.now(), fence, window, counts });
     await sleep(RESPONSE_MS);
     return { kind: "accepted" };
   }
 
-  orderRunners(): Promise<CallEnd> {
+  orderRunners(): Promise<CallOutcome> {
     return Promise.resolve({ kind: "accepted" });
   }
 }
--- a/packages/router/tests/leader_test.ts
+++ b/packages/router/tests/leader_test.ts
@@ -6,7 +6,7 @@
 import { LeaderLease } from "../src/process/leader_lease.ts";
 import type { UsageReport } from "../src/process/leader_record.ts";
 import type {
-  CallEnd,
+  CallOutcome,
   PlatformApi,
   PlatformCall,
 } from "../src/process/platform_api.ts";
@@ -28,23 +28,26 @@
   readonly reports: UsageReport[] = [];
   readonly orders: RunnerOrder[] = [];
   readonly calls: PlatformCall[] = [];
-  end: CallEnd = { kind: "accepted" };
+  end: CallOutcome = { kind: "accepted" };
   takesMs = 4;
 
   async reportUsage(
     report: UsageReport,
     call: PlatformCall,
-  ): Promise<CallEnd> {
+  ): Promise<CallOutcome> {
     this.reports.push(report);
     return await this.#answer(call);
   }
 
-  async orderRunners(order: RunnerOrder, call: PlatformCall): Promise<CallEnd> {
+  async orderRunners(
+    order: RunnerOrder,
+    call: PlatformCall,
+  ): Promise<CallOutcome> {
     this.orders.push(order);
     return await this.#answer(call);
   }
 
-  async #answer(call: PlatformCall): Promise<CallEnd> {
+  async #answer(call: PlatformCall): Promise<CallOutcome> {
     this.calls.push(call);
     await new Promise((resolve) => setTimeout(resolve, this.takesMs));
     return this.end;
