--- a/packages/router/src/request/admission.ts
+++ b/packages/router/src/request/admission.ts
@@ -1,5 +1,6 @@
 /**
- * Whether a runner has room for one more request of a rank.
+ * Admission control: whether a runner has capacity for another request of a
+ * rank.
  *
  * @module
  */
@@ -8,45 +9,52 @@
 import { MAX_TIGHT_PREFILL_MS } from "./demand.ts";
 import type { Demand, RunnerFleet } from "./demand.ts";
 
-/** Work in ms that a runner may have in flight when the least urgent start. */
+/**
+ * Work in flight on a runner, in ms of prefill, up to which requests of the
+ * least urgent rank are admitted.
+ */
 const MAX_WORK_MS = 4_000;
-/** Part of a runner's slots and memory that the least urgent may fill. */
+/** Share of a runner's slots and memory that the least urgent rank may use. */
 const FILL_SHARE = 0.6;
-/** How much more of them each more urgent rank may fill. */
+/** Additional share for each more urgent rank. */
 const FILL_BY_RANK = 0.2;
 /**
- * Reading in ms that may be ahead of the least urgent when it starts. Engines
- * read the prompts that they have admitted in turn, whatever their ranks, so
- * this bounds what an urgent request waits for.
+ * Prefill in ms that may be ahead of a request of the least urgent rank when it
+ * starts. Engines prefill admitted prompts in order, whatever their ranks, so
+ * this bounds the wait of an urgent request.
  */
 const MAX_BACKLOG_MS = 600;
-/** How much more it may have for each rank that a request is more urgent. */
+/** Factor by which the work limits grow for each more urgent rank. */
 const WORK_BY_RANK = 1.6;
 
 /**
- * Ranks beyond which a more urgent request gets no more: three classes in each of
- * two tiers of workspaces make six ranks, and 1.6 to the fifth is ten backlogs.
+ * Number of ranks beyond which a more urgent request gets no higher limits:
+ * three classes in each of two tiers of workspaces make six ranks, and 1.6 to
+ * the fifth power is ten backlogs.
  */
 const MAX_STEPS = 2;
 
-/** How much more of what is scarce a request may take than the least urgent. */
+/**
+ * Returns the factor by which a request's limits exceed those of the least
+ * urgent rank.
+ */
 export function urgencyFactor(ranksBelow: number): number {
   return WORK_BY_RANK ** Math.min(MAX_STEPS, ranksBelow);
 }
 
 /**
- * Whether a runner already works on so much that one more request of this rank
- * would keep those that are there from their ends. Requests that wait for it and
- * go before count like those that are there: their reading, and the slots that
- * they will take. Without the latter a slot that became free drew a request from
- * each of 16 daemons; an engine of 16 slots had 23 requests, and the least
- * urgent were put out again in the middle of their streams.
+ * Whether a runner has so much work that one more request of this rank would
+ * keep the requests in flight from finishing. Requests ahead in the runner's
+ * queue count like requests in flight, with their prefill and the slots that
+ * they will take. When the slots did not count, a slot that became free drew a
+ * request from each of 16 daemons; an engine of 16 slots had 23 requests, and
+ * preempted the least urgent ones in the middle of their streams.
  *
- * While an engine reads prompts without pause, streams get one token a step of
- * 40 ms instead of 6; those that need hundreds then run into their timeouts,
- * and all the work on them is lost. With less in flight, reading pauses and
- * they end. Slots and memory are kept back for more urgent ranks, which would
- * otherwise wait for streams of seconds to end, or preempt them.
+ * While an engine prefills prompts back to back, streams get one token per step
+ * of 40 ms instead of 6 ms; those that need hundreds of tokens then time out,
+ * and all the work on them is lost. With less work in flight, prefill pauses
+ * and they finish. Slots and memory are held back for more urgent ranks, which
+ * would otherwise wait seconds for streams to end, or preempt them.
  */
 export function isOverloaded(
   fleet: RunnerFleet,
@@ -68,10 +76,10 @@
 }
 
 /**
- * Whether a long prompt would make streams with tight gaps late that are at a
- * runner which is kept for them. In a burst, when all other runners are full,
- * long prompts would otherwise fill these too, and urgent streams would wait
- * for seconds behind them.
+ * Whether a long prompt would delay the tight streams on a runner reserved for
+ * them. In a burst, when all other runners are full, long prompts would
+ * otherwise fill the reserved runners too, and urgent streams would wait for
+ * seconds behind them.
  */
 export function delaysTightStreams(
   fleet: RunnerFleet,
--- a/packages/router/src/request/admission_test.ts
+++ b/packages/router/src/request/admission_test.ts
@@ -49,7 +49,10 @@
   };
 }
 
-/** A daemon that knows of `inFlight` requests at the runner. */
+/**
+ * Returns a fleet with one runner that has `inFlight` requests of other
+ * daemons.
+ */
 function fleetWith(inFlight: number): RunnerFleet {
   const loads = new RunnerLoads();
   const share = { ...loads.of("r").own, inFlight };
@@ -64,10 +67,10 @@
   };
 }
 
-// An engine of 16 slots is full, and short requests wait for it at 16 daemons. A
-// stream ends, and every daemon sees the free slot. Sent all at once, 15 find no
-// slot: the engine puts the least urgent of those that it runs out again, and
-// their callers' streams stop in the middle.
+// Guards against several daemons filling one free slot. An engine of 16 slots
+// is full, short requests wait for it at 16 daemons, and a stream ends. If all
+// daemons send at once, 15 requests find no slot, and the engine preempts the
+// least urgent requests in the middle of their streams.
 test("one slot that becomes free draws one of the requests that wait", () => {
   const daemons = 16;
   const turns = Array.from(
@@ -98,9 +101,10 @@
   );
 });
 
-// A burst: more wait for a runner than it can begin in time. Oldest first, each
-// caller has its first word when its own target has just passed. Whoever can
-// still be on time goes before those that cannot, of the same rank only.
+// Guards against a burst in which all requests are late: more wait for a runner
+// than it can start in time. In order of arrival, each caller gets its first
+// token just after its target. Requests that can still start on time go before
+// late ones of the same rank only.
 test("who can still be on time goes before who cannot", () => {
   const fleet = { ...fleetWith(SLOTS - 1), now: 1_000 };
   const { queue } = fleet.loads.of("r");
--- a/packages/router/src/request/attempt.ts
+++ b/packages/router/src/request/attempt.ts
@@ -1,5 +1,5 @@
 /**
- * One send of a request to one runner.
+ * One attempt to send a request to a runner.
  *
  * @module
  */
@@ -11,41 +11,41 @@
 import type { Dialect, ResponseHead } from "./dialect.ts";
 
 /**
- * Milliseconds to open a connection. A round trip between failure domains takes
- * about 3; the system sends a lost opening packet again after 1,000, and by
- * then another runner has long answered.
+ * Time-out in ms for opening a connection. A round trip between failure domains
+ * takes about 3 ms; the operating system retransmits a lost opening packet
+ * after 1,000 ms, by which time another runner has long responded.
  */
 const CONNECT_TIMEOUT_MS = 300;
 
-/** What is sent. */
+/** The request as it is sent to the runner. */
 export interface OutgoingRequest {
   readonly id: string;
   readonly method: string;
   /** Path with query. */
   readonly target: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly headers: string[];
   readonly body: Buffer;
 }
 
-/** How a send went, up to the head of the answer. */
+/** Result of sending a request, up to the head of the response. */
 export type SendResult =
-  /** An answer to this request; its body follows. */
+  /** A response to this request; its body follows. */
   | {
     readonly kind: "answer";
     readonly status: number;
     readonly head: ResponseHead;
     readonly incoming: IncomingMessage;
   }
-  /** The runner says that the request has not run. */
+  /** The runner states that it has not run the request. */
   | {
     readonly kind: "not-run";
     readonly status: number;
     readonly head: ResponseHead;
   }
-  /** Nothing of the request left for the runner. */
+  /** No part of the request was sent to the runner. */
   | { readonly kind: "unsent"; readonly reason: string }
-  /** The request may have run; there is no answer to it. */
+  /** The request may have run, but there is no response to it. */
   | { readonly kind: "broken"; readonly reason: string };
 
 function hasNoBody(send: OutgoingRequest): boolean {
@@ -53,7 +53,7 @@
     (send.method === "GET" || send.method === "HEAD");
 }
 
-/** Sends a request once; {@linkcode cancel} ends it at any time. */
+/** Sends a request once; {@linkcode cancel} aborts it at any time. */
 export class Attempt {
   readonly runner: Runner;
   readonly #dialect: Dialect;
@@ -69,9 +69,9 @@
     tools: {
       readonly dialect: Dialect;
       readonly connections: RunnerConnections;
-      /** Most connections to one runner. */
+      /** Maximum number of connections to one runner. */
       readonly maxConnections: number;
-      /** Told of each new connection that was opened. */
+      /** Called for each new connection that is opened. */
       readonly onConnect: () => void;
     },
   ) {
@@ -97,12 +97,12 @@
     return this.#left;
   }
 
-  /** Whether the runner has begun to answer. */
+  /** Whether the runner has begun to respond. */
   get responseStarted(): boolean {
     return this.#incoming !== undefined;
   }
 
-  /** Waits for the head of the answer. */
+  /** Sends the request and waits for the head of the response. */
   send(): Promise<SendResult> {
     return new Promise((resolve) => {
       this.#settle = resolve;
@@ -116,7 +116,9 @@
     });
   }
 
-  /** Ends the send; the runner sees its connection close and stops work. */
+  /**
+   * Aborts the request; the runner sees its connection close and stops work.
+   */
   cancel(reason: string): void {
     this.#fail(reason);
     this.#outgoing.destroy();
@@ -141,9 +143,9 @@
   }
 
   /**
-   * Ends an answer whose connection failed. Node's parser takes the reset of a
-   * connection for the end of an answer without length, so a part of the body
-   * would pass for the whole.
+   * Aborts a response whose connection failed. Node's parser takes a connection
+   * reset for the end of a response without a length, so a partial body would
+   * pass for a complete one.
    */
   #failed(error: Error): void {
     this.#fail(error.message);
@@ -158,8 +160,9 @@
     const status = incoming.statusCode!;
     const head = this.#dialect.parseResponse(status, incoming.rawHeaders);
     if (head.id !== undefined && head.id !== this.#send.id) {
-      // A late second answer to an earlier request: ours may still come, but
-      // nothing on this connection can be trusted to belong to us any more.
+      // A late duplicate response to an earlier request. The response to this
+      // one may still follow, but nothing on this connection can be attributed
+      // to this request any more.
       incoming.on("error", () => {});
       this.#outgoing.destroy();
       return { kind: "broken", reason: "answer to another request" };
--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -1,5 +1,5 @@
 /**
- * One try of a request at the runner that was chosen for it.
+ * Executes one attempt of a request at the runner selected for it.
  *
  * @module
  */
@@ -20,22 +20,30 @@
 import { InactivityTimer } from "./inactivity_timer.ts";
 import type { RoutedRequest } from "./routed_request.ts";
 
-/** Targets without a first event after which a stream is tried elsewhere. */
+/**
+ * Number of target latencies without a first event after which a stream is
+ * retried on another runner.
+ */
 const STREAM_SILENCE = 2;
-/** Targets without an answer after which an idempotent request is. */
+/**
+ * Number of target latencies without a response after which an idempotent
+ * request is retried on another runner.
+ */
 const WHOLE_SILENCE = 1;
 
-/** What one try came to. */
+/** Result of one attempt. */
 export type AttemptResult =
   | { readonly kind: "done"; readonly outcome: Outcome }
-  /** Another runner may be tried; `fallback` answers if none is. */
+  /**
+   * Another runner may be tried; `fallback` produces the outcome if none is.
+   */
   | {
     readonly kind: "again";
     readonly reason: string;
     readonly fallback: () => Outcome;
   };
 
-/** Tries runners for one request, one after the other. */
+/** Executes the attempts of one request, one after the other. */
 export class AttemptExecutor {
   readonly #daemon: Daemon;
   readonly #caller: Caller;
@@ -57,17 +65,19 @@
     });
   }
 
-  /** Events that were passed on; none when the answer is no stream. */
+  /**
+   * Number of events relayed; `undefined` when the response is not a stream.
+   */
   get eventCount(): number | undefined {
     return this.#relay.eventCount;
   }
 
-  /** Ends the try that goes on, if any. */
+  /** Cancels the current attempt, if any. */
   cancel(reason: string): void {
     this.#attempt?.cancel(reason);
   }
 
-  /** Sends to one runner and passes on what comes. */
+  /** Sends the request to one runner and relays the response. */
   async execute(
     choice: RunnerChoice,
     subject: RoutedRequest,
@@ -119,7 +129,10 @@
     }
   }
 
-  /** The runner would end under the request, which still waits there. */
+  /**
+   * Withdraws the request from a runner that has not begun to respond, because
+   * the request would crash it.
+   */
   #withdraw(attempt: Attempt): void {
     if (attempt.responseStarted) return;
     this.#progress.withdrawn = true;
@@ -127,8 +140,8 @@
   }
 
   /**
-   * A runner that says nothing for long is given up where another one may go
-   * on: callers leave a silent stream after two seconds or more.
+   * Gives up on a runner that stays silent where another one may continue:
+   * callers leave a silent stream after two seconds or more.
    */
   #watchSilence({ route }: RoutedRequest, attempt: Attempt): InactivityTimer {
     const last = route.maxAttempts <= this.#progress.attempts + 1;
@@ -182,7 +195,10 @@
     }
   }
 
-  /** Only the runner's own answer shows that it names no limit any more. */
+  /**
+   * Records the rate limit that a response states. Only a response with the
+   * runner's own seal shows that the runner no longer states one.
+   */
   #hearLimit(head: ResponseHead, { attempt, sentAt }: AttemptContext): void {
     const silent = head.limit === undefined && !head.sealed;
     if (silent || head.misdirected) return;
@@ -190,13 +206,14 @@
     this.#daemon.limits.recordStated(attempt.runner.id, head.limit, times);
   }
 
-  /** The connection broke before the head of an answer. */
+  /** Handles a connection that broke before the head of a response. */
   #broke(
     reason: string,
     { attempt, load, run }: AttemptContext,
   ): AttemptResult {
     this.#progress.mayHaveRun = true;
-    // The connection may have gone silent, and its siblings with it.
+    // The connection may have been lost without notice, and the runner's idle
+    // connections with it.
     if (!this.#caller.disconnected) {
       this.#daemon.connections.dropIdle(attempt.runner);
     }
@@ -218,13 +235,17 @@
       passed.answer();
       return outcome;
     };
-    // The runner failed by itself; its answer stands if no other does better.
+    // The runner returned a server error, which stands if no other attempt does
+    // better.
     const mayRepeat = subject.route.repetition !== "never" && !over;
     if (mayRepeat) return again(`status ${status}`, answer);
     return { kind: "done", outcome: answer() };
   }
 
-  /** Another try after one that may have run, where the route allows it. */
+  /**
+   * Ends an attempt that may have run: with a time-out, or with another attempt
+   * where the route allows it.
+   */
   #repeat(reason: string): AttemptResult {
     if (this.#progress.expired) {
       return { kind: "done", outcome: this.#own.timeout() };
--- a/packages/router/src/request/caller.ts
+++ b/packages/router/src/request/caller.ts
@@ -1,5 +1,5 @@
 /**
- * The caller's side of one request: what it sent and what it is answered.
+ * The caller's side of one request: the request as received and the response.
  *
  * @module
  */
@@ -8,38 +8,47 @@
 import { endToEndHeaders, headerOf } from "./headers.ts";
 import type { RawHeaders } from "./dialect.ts";
 
-/** An answer of this daemon's own. */
+/** A response that this daemon generates itself. */
 export interface Refusal {
   readonly status: number;
-  /** Stable name of the reason, listed in docs/codes.md. */
+  /** Stable code of the reason, listed in docs/codes.md. */
   readonly code: string;
-  /** Milliseconds after which another try makes sense; only if not run. */
+  /**
+   * Milliseconds after which a retry makes sense; only if the request has not
+   * run.
+   */
   readonly retryAfterMs?: number | undefined;
-  /** Whether the connection closes behind the answer. */
+  /** Whether the connection closes after the response. */
   readonly close?: boolean;
 }
 
 const MS_PER_SECOND = 1_000;
-/** The daemon writes the length of a body anew. */
+/**
+ * Headers not relayed from a runner's response; the daemon sets the length of
+ * the body itself.
+ */
 const OWN_ANSWER_HEADERS: ReadonlySet<string> = new Set(["content-length"]);
 
 /**
- * Whether a runner's answer tells where its body ends. One that does not may
- * have been cut off unseen; it goes to the caller without length too, so that
- * the caller knows as much, instead of a length that vouches for a part.
+ * Whether a runner's response states where its body ends. One that does not may
+ * have been truncated without notice. It is relayed without a length too, so
+ * that the caller can draw the same conclusion, instead of a length that
+ * vouches for a partial body.
  */
 function isFramed(headers: RawHeaders): boolean {
   return headerOf(headers, "content-length") !== undefined ||
     headerOf(headers, "transfer-encoding") !== undefined;
 }
 
-/** Answers one request, exactly once. */
+/** Responds to one request, exactly once. */
 export class Caller {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly #leaving: () => boolean;
 
-  /** @param leaving whether connections close behind their answers. */
+  /**
+   * @param closesConnections whether connections close after their responses.
+   */
   constructor(
     request: IncomingMessage,
     response: ServerResponse,
@@ -50,17 +59,16 @@
     this.#leaving = leaving;
   }
 
-  /** Whether the head of an answer is out. */
   get headersSent(): boolean {
     return this.response.headersSent;
   }
 
-  /** Whether the connection is gone. */
+  /** Whether the connection is closed. */
   get disconnected(): boolean {
     return this.response.destroyed;
   }
 
-  /** Answers with a refusal, unless an answer is already out. */
+  /** Sends a refusal, unless a response has already begun. */
   refuse(refusal: Refusal): void {
     if (this.headersSent || this.disconnected) return;
     const body = Buffer.from(JSON.stringify({ error: refusal.code }));
@@ -76,7 +84,7 @@
     this.response.end(body);
   }
 
-  /** Passes on a runner's whole answer. */
+  /** Relays a runner's complete response. */
   respond(status: number, headers: RawHeaders, body: Buffer): void {
     if (this.headersSent || this.disconnected) return;
     const framed = isFramed(headers);
@@ -88,7 +96,7 @@
     this.response.end();
   }
 
-  /** Passes on the head of a runner's stream. */
+  /** Relays the head of a runner's stream. */
   beginStream(status: number, headers: RawHeaders): void {
     if (this.headersSent || this.disconnected) return;
     this.#head(status, endToEndHeaders(headers, OWN_ANSWER_HEADERS), {
@@ -97,14 +105,14 @@
     });
   }
 
-  /** Ends a stream that is complete. */
+  /** Ends a complete stream. */
   endStream(): void {
     this.response.end();
   }
 
   /**
-   * Ends an answer that cannot be whole, by closing the connection: without the
-   * last chunk it does not look complete.
+   * Aborts a response that cannot be completed, by closing the connection:
+   * without the last chunk it does not appear complete.
    */
   abort(): void {
     this.response.destroy();
@@ -123,7 +131,7 @@
       this.response.shouldKeepAlive = false;
     }
     if (options.close && options.length === undefined) {
-      // Node then writes the body as it is, up to the end of the connection.
+      // Node then writes the body unframed, up to the end of the connection.
       this.response.useChunkedEncodingByDefault = false;
     }
     this.response.writeHead(status, headers);
--- a/packages/router/src/request/capacity_wait.ts
+++ b/packages/router/src/request/capacity_wait.ts
@@ -1,5 +1,5 @@
 /**
- * A request's wait for room on a runner, told to all daemons.
+ * A request's wait for capacity on a runner, shared with all daemons.
  *
  * @module
  */
@@ -14,13 +14,13 @@
 }
 
 /**
- * The place of one request among those that wait for a runner.
+ * The entry of one request in the queue of a runner.
  *
- * A request that was told of no room joins the others at the runner of its
- * choice, and is sent only after all daemons can have heard of that. Sent as
- * soon as room is seen, requests that wait at every daemon go to the one runner
- * that is free: 22 prompts within 50 ms, which it reads for 5 s without pause,
- * while its streams get a token each 40 ms and run into their timeouts.
+ * A request that finds no capacity joins the queue of its selected runner, and
+ * is sent only after all daemons can have received that entry. If requests were
+ * sent as soon as capacity appears, those waiting at all daemons would go to
+ * the one runner that is free: 22 prompts within 50 ms, which it prefills for 5
+ * s back to back, while its streams get one token per 40 ms and time out.
  */
 export class CapacityWait {
   readonly #turn: QueueKey;
@@ -31,9 +31,9 @@
   }
 
   /**
-   * Waits at a runner from now on, unless it does already.
+   * Joins the queue of a runner, unless the request is in it already.
    *
-   * @returns whether the wait there is new.
+   * @returns whether the entry in the queue is new.
    */
   moveTo(load: RunnerLoad, options: {
     /** Id of the runner. */
@@ -51,12 +51,13 @@
   }
 
   /**
-   * Whether the request may be sent to a runner that has room: it has not
-   * waited at all, or there for long enough that all daemons know.
+   * Whether the request may be sent to a runner that has capacity: it has not
+   * waited at all, or has been in that runner's queue for so long that all
+   * daemons have received the entry.
    */
   maySend(load: RunnerLoad, options: {
     readonly now: number;
-    /** Milliseconds in which a change is known to all daemons. */
+    /** Milliseconds within which a change reaches all daemons. */
     readonly propagationMs: number;
   }): boolean {
     if (this.#place === undefined) return true;
@@ -64,12 +65,12 @@
     return this.#place.load === load && now - this.#place.since > settleMs;
   }
 
-  /** Id of the runner that it waits for. */
+  /** Id of the runner whose queue the request is in. */
   get runnerId(): string | undefined {
     return this.#place?.runner;
   }
 
-  /** Waits no more. */
+  /** Leaves the queue. */
   end(): void {
     this.#place?.load.queue.remove(this.#place.waiting);
     this.#place = undefined;
--- a/packages/router/src/request/capacity_wait_test.ts
+++ b/packages/router/src/request/capacity_wait_test.ts
@@ -7,11 +7,11 @@
 
 const DAEMONS = 8;
 const PROMPT_TOKENS = 15_000;
-/** What an engine reads in a ms. */
+/** Prefill rate of an engine. */
 const READ_TOKENS_PER_MS = 50;
 const STEP_MS = 20;
 const SHARE_EVERY_MS = 60;
-/** Backlog of reading at which daemons send no more, in tokens. */
+/** Prefill backlog at which daemons stop sending, in tokens. */
 const FULL_TOKENS = 20_000;
 
 /** One daemon with requests that wait for the runner. */
@@ -45,7 +45,7 @@
   }
 }
 
-/** Sends what one daemon may; tells the tokens that went out. */
+/** Sends the waiting requests of one daemon for which there is capacity. */
 function sendWhatFits(daemon: Daemon, options: {
   readonly now: number;
   readonly settleMs: number;
@@ -78,7 +78,10 @@
   }
 }
 
-/** Plays until all prompts are read; tells the most that lay unread at once. */
+/**
+ * Simulates daemons until all prompts are prefilled; returns the largest
+ * backlog.
+ */
 function play(settleMs: number): { mostTokens: number; endedAt: number } {
   const daemons = Array.from(
     { length: DAEMONS },
@@ -88,7 +91,7 @@
     [];
   let budget = 0;
   let mostTokens = 0;
-  // The requests waited elsewhere, and all see at once that this one is free.
+  // All requests have waited for another runner, and see this one free at once.
   for (const { held, loads } of daemons) {
     for (const { wait } of held) {
       wait.moveTo(new RunnerLoads().of("elsewhere"), {
@@ -118,10 +121,11 @@
   return { mostTokens, endedAt: Infinity };
 }
 
-// Long prompts wait at every daemon, and one runner becomes free. Each daemon
-// sees that at the same moment. If all send at once, the runner reads 32
-// prompts for ten seconds without pause: its streams get a token each 40 ms,
-// run into their timeouts, and what was read for them is lost.
+// Guards against all daemons sending to one free runner at the same time. Long
+// prompts wait at every daemon, and each sees at the same moment that the
+// runner becomes free. If all send at once, the runner prefills 32 prompts for
+// ten seconds back to back: its streams get a token per 40 ms and time out, and
+// the work on them is lost.
 test("requests that wait at several daemons go to a free runner in turn", () => {
   const { mostTokens, endedAt } = play(1.5 * SHARE_EVERY_MS);
   assert.ok(mostTokens <= 4 * PROMPT_TOKENS, `${mostTokens} tokens at once`);
--- a/packages/router/src/request/completion_check.ts
+++ b/packages/router/src/request/completion_check.ts
@@ -1,38 +1,42 @@
 /**
- * Whether an answer can end in time.
+ * Predicts whether a response can finish in time.
  *
  * @module
  */
 import { prefillMs } from "../process/prefill_time.ts";
 import { urgencyFactor } from "./admission.ts";
 
-/** What is known of an answer before its request is sent. */
+/** Properties of a response that are known before its request is sent. */
 export interface ExpectedResponse {
-  /** Milliseconds until its caller has left, or gets a timeout. */
+  /** Milliseconds until the caller disconnects or gets a time-out. */
   readonly remainingMs: number;
-  /** Tokens of the prompt that its runner has to read. */
+  /** Prompt tokens that the runner has to prefill. */
   readonly prefillTokens: number;
-  /** Tokens of the answer, as its caller expects; 0 if it does not say. */
+  /** Tokens that the caller expects in the response; 0 if it states none. */
   readonly outputTokens: number;
-  /** Kinds of requests that are less urgent. */
+  /** Number of less urgent ranks. */
   readonly ranksBelow: number;
-  /** What its runner takes for a token now; none while it is not known. */
+  /**
+   * Current milliseconds per token at the runner; `undefined` while unknown.
+   */
   readonly msPerToken: number | undefined;
 }
 
 /**
- * Whether an answer would probably end in time, at the pace that its runner has
- * now. The load it answers: a burst in which engines read prompts without pause
- * and streams get a fifth of their pace. Of 3,915 long answers 769 then ended at
- * their callers' deadlines, in the middle; what was read and made for them was
- * lost to those that waited. An urgent answer may seem to need more time than there
- * is: less urgent ones are refused before it, and with them its runner's pace
- * rises. What callers expect is right in the middle, so that
- * an answer which is refused here had less than an even chance.
+ * Whether a response would probably finish in time at its runner's current
+ * pace.
+ *
+ * The check sheds load in a burst in which engines prefill back to back and
+ * streams slow down to a fifth of their pace. Without it, 769 of 3,915 long
+ * responses were cut off at their callers' deadlines, and the work on them was
+ * lost to the requests that waited. An urgent response may appear to need more
+ * time than there is: less urgent ones are refused before it, and its runner's
+ * pace then recovers. The caller's expectation is right at the median, so a
+ * response that is refused here had less than an even chance.
  *
  * @example
  * ```ts
- * endsInTime({ leftMs: 4_000, unreadTokens: 500, answerTokens: 200,
+ * finishesInTime({ remainingMs: 4_000, prefillTokens: 500, outputTokens: 200,
  *   msPerToken: 40, ranksBelow: 0 }); // false
  * ```
  */
--- a/packages/router/src/request/completion_check_test.ts
+++ b/packages/router/src/request/completion_check_test.ts
@@ -5,7 +5,7 @@
 
 const EVENT_TOKENS = 5;
 
-/** A pace after streams whose events came `ms` apart, until `until`. */
+/** Returns a pace that has recorded events `ms` apart, until `until`. */
 function paceOf(runner: string, ms: number, until: number): StreamPace {
   const pace = new StreamPace();
   for (let now = 0; now <= until; now += ms) {
@@ -24,10 +24,10 @@
   };
 }
 
-// Engines read a burst of prompts without pause, and a token takes 40 ms instead
-// of 8. A long answer that begins now ends at its caller's deadline, in the
-// middle. Its caller is told at once; short ones, and long ones before and after
-// the burst, are served.
+// Guards against long responses that are cut off at their callers' deadlines.
+// Engines prefill a burst of prompts back to back, and a token takes 40 ms
+// instead of 8. A long response is refused at once; short ones, and long ones
+// before and after the burst, are served.
 test("a long answer is not begun where it cannot end", () => {
   const calm = paceOf("r", 8 * EVENT_TOKENS, 2_000).msPerToken("r", 2_000);
   const burst = paceOf("r", 40 * EVENT_TOKENS, 4_000).msPerToken("r", 4_000);
@@ -36,9 +36,9 @@
   assert.equal(finishesInTime(answerOf(100, burst)), true);
 });
 
-// The same burst, and an urgent answer that seems to need half more time than
-// there is. Refused, it would get nothing while the less urgent prompts that slow
-// its runner down go on; they are refused before it, and the pace rises again.
+// In the same burst, an urgent response appears to need half again as much time
+// as there is. If it is refused, the less urgent prompts that slow down its
+// runner go on. They are refused before it, and the pace recovers.
 test("an urgent answer is not refused for what less urgent ones do", () => {
   const answer = { ...answerOf(300, 40) };
   assert.equal(finishesInTime(answer), false);
--- a/packages/router/src/request/create_attempt.ts
+++ b/packages/router/src/request/create_attempt.ts
@@ -1,5 +1,5 @@
 /**
- * What a runner is sent for a request.
+ * Builds the request that is sent to a runner.
  *
  * @module
  */
@@ -11,8 +11,8 @@
 import type { RoutedRequest } from "./routed_request.ts";
 
 /**
- * Makes an attempt to have a request run by the runner that was chosen; nothing
- * is sent until it is started.
+ * Creates an attempt to run a request on the selected runner. Nothing is sent
+ * before {@linkcode Attempt.send} is called.
  */
 export function createAttempt(
   daemon: Daemon,
@@ -21,9 +21,12 @@
     readonly request: IncomingMessage;
     readonly choice: RunnerChoice;
     readonly body: Buffer;
-    /** Milliseconds until the caller gets its final answer in any case. */
+    /** Milliseconds until the caller gets its final response at the latest. */
     readonly leftMs: number;
-    /** Last event that the caller has of a stream that goes on. */
+    /**
+     * Last event that the caller has received, if the attempt continues a
+     * stream.
+     */
     readonly lastEventId: number | undefined;
   },
 ): Attempt {
--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -1,5 +1,5 @@
 /**
- * What the work on a request uses of the daemon.
+ * The services of the daemon that request handling depends on.
  *
  * @module
  */
@@ -21,7 +21,7 @@
 import type { Dialect } from "./dialect.ts";
 import type { RunnerFleet } from "./demand.ts";
 
-/** Parts that live as long as the process. */
+/** Services that exist for the lifetime of the process. */
 export interface Daemon {
   readonly dialect: Dialect;
   readonly connections: RunnerConnections;
@@ -29,36 +29,44 @@
   readonly loads: RunnerLoads;
   readonly metrics: RequestMetrics;
   readonly prefixes: PrefixIndex;
-  /** How much runners say that they take. */
+  /** Rate limits that runners state. */
   readonly limits: RunnerLimits;
-  /** Requests that end the runners which run them. */
+  /** Requests that crash the runners on which they run. */
   readonly crashes: CrashRecord;
-  /** Wakes requests that wait for room. */
+  /** Wakes requests that wait for capacity. */
   readonly pulse: Pulse;
-  /** Whether new requests are refused, because the process ends soon. */
+  /** Whether new requests are refused because the process is about to exit. */
   readonly closed: boolean;
-  /** Steady milliseconds. */
+  /** Monotonic time in milliseconds. */
   now(): number;
-  /** In [0, 1). */
+  /** Returns a random number in [0, 1). */
   random(): number;
-  /** The newest configuration; absent until there is one. */
+  /** Returns the latest configuration, or `undefined` before there is one. */
   routingTable(): RoutingTable | undefined;
-  /** Runners of a service and what is known of them. */
+  /** Returns the runners of a service and their known state. */
   fleet(service: string): RunnerFleet;
-  /** Milliseconds since the list of runners was last confirmed. */
+  /** Returns the milliseconds since the list of runners was last confirmed. */
   runnersAgeMs(): number;
-  /** Connections that this daemon may have to one runner of a service. */
+  /**
+   * Returns how many connections this daemon may open to one runner of a
+   * service.
+   */
   connectionShare(service: Service): number;
-  /** Milliseconds in which a change here is known to all other daemons. */
+  /**
+   * Returns the milliseconds within which a change here reaches all other
+   * daemons.
+   */
   propagationMs(): number;
-  /** A connection to a runner broke while a request was there. */
+  /** Reports that a connection to a runner broke while a request was on it. */
   reportBrokenConnection(runner: Runner, run: BrokenRun): void;
-  /** How fast the runners of a service make tokens. */
+  /** Returns how fast the runners of a service generate tokens. */
   pace(service: string): StreamPace;
-  /** Requests that wait until runners of a service take more. */
+  /**
+   * Returns the requests that wait for the rate limits of a service's runners.
+   */
   limitWaits(service: string): LimitQueue;
-  /** A runner has begun a request. */
+  /** Records that a runner has begun to run a request. */
   requestStarted(subject: { readonly workspace: Workspace | undefined }): void;
-  /** Repeats that may be sent to a service. */
+  /** Returns the budget for retries to a service. */
   retryBudget(service: string): RetryBudget;
 }
--- a/packages/router/src/request/dialect.ts
+++ b/packages/router/src/request/dialect.ts
@@ -1,5 +1,6 @@
 /**
- * A caller's request and a runner's answer, as the platform's words say them.
+ * Heads of requests and responses, and their translation to and from the
+ * platform's headers.
  *
  * @module
  */
@@ -8,70 +9,73 @@
 import type { ReportedLoad } from "../process/runner_load.ts";
 import type { StatedLimit } from "../process/runner_limits.ts";
 
-/** Names and values as received, in turn, with repeated names. */
+/** Alternating names and values as received, including repeated names. */
 export type RawHeaders = readonly string[];
 
-/** What the head of a caller's request says. */
+/** Head of a caller's request. */
 export interface RequestHead {
-  /** Names this try of the caller; runners echo it. Empty when absent. */
+  /** Id of the caller's attempt, which runners echo; empty when absent. */
   readonly id: string;
   readonly host: string;
-  /** Key of a workspace. */
+  /** API key of a workspace. */
   readonly key: string | undefined;
-  /** Milliseconds that the caller will wait. */
+  /** Milliseconds that the caller is willing to wait. */
   readonly deadlineMs: number | undefined;
-  /** Tokens of the prompt. */
   readonly promptTokens: number;
-  /** Most tokens of the answer. */
   readonly maxOutputTokens: number;
-  /** Tokens of the answer that the caller expects; often far off. */
+  /** Tokens that the caller expects in the response; often far off. */
   readonly expectedOutputTokens: number | undefined;
-  /** Parts of the prompt in order; the last one is the request's own. */
+  /** Parts of the prompt in order; the last one is specific to the request. */
   readonly prompt: readonly PromptPart[];
-  /** Last event that the caller has of a stream that it resumes. */
+  /** Last event that the caller has received of a stream that it resumes. */
   readonly lastEventId: number | undefined;
 }
 
-/** What a runner is told beside the caller's own headers. */
+/** Head of a request to a runner, in addition to the caller's own headers. */
 export interface RunnerRequestHead {
-  /** Name of the runner that is meant; no other one may run the request. */
+  /** Name of the intended runner; no other runner may run the request. */
   readonly runnerName: string;
   /** Milliseconds that are left. */
   readonly deadlineMs: number;
   readonly workspace: string | undefined;
   /** 0 is the most urgent; absent for plain services. */
   readonly rank: number | undefined;
-  /** Address of a runner that holds part of the prompt, as "IP:PORT". */
+  /** Address of a runner that has part of the prompt cached, as "IP:PORT". */
   readonly fetchFrom: string | undefined;
-  /** Last event that was delivered of a stream that goes on. */
+  /** Last event that was delivered, if the request continues a stream. */
   readonly lastEventId: number | undefined;
 }
 
-/** What the head of a runner's answer says. */
+/** Head of a runner's response. */
 export interface ResponseHead {
-  /** Try that the answer belongs to; absent when the runner named none. */
+  /**
+   * Attempt that the response belongs to; absent when the runner names none.
+   */
   readonly id: string | undefined;
-  /** Whether the runner vouches that the answer is its own. */
+  /** Whether the runner's seal shows that the response is its own. */
   readonly sealed: boolean;
-  /** Whether the runner says that the request has not run. */
+  /** Whether the runner states that it has not run the request. */
   readonly notExecuted: boolean;
   /** Whether the address now belongs to another runner. */
   readonly misdirected: boolean;
-  /** Whether the body has an encoding, which no runner applies. */
+  /** Whether the body has a content encoding, which no runner applies. */
   readonly encoded: boolean;
   readonly load: ReportedLoad | undefined;
-  /** What it says of how much it takes; absent when it says nothing. */
+  /** Rate limit that the runner states; absent when it states none. */
   readonly limit: StatedLimit | undefined;
 }
 
-/** How heads are spelled between callers, this daemon and runners. */
+/** Translates heads between callers, this daemon and runners. */
 export interface Dialect {
-  /** Reads the head of a caller's request. */
+  /** Parses the head of a caller's request. */
   parseRequest(headers: RawHeaders): RequestHead;
-  /** Headers for the runner: the caller's own, less those that are ours to set. */
+  /**
+   * Returns the headers for the runner: the caller's own, except those that
+   * this daemon sets.
+   */
   runnerHeaders(headers: RawHeaders, head: RunnerRequestHead): string[];
-  /** Reads the head of a runner's answer. */
+  /** Parses the head of a runner's response. */
   parseResponse(status: number, headers: RawHeaders): ResponseHead;
-  /** Id of an event of a stream, given the event's text. */
+  /** Returns the id of a stream's event, given the text of the event. */
   eventId(event: string): number | undefined;
 }
--- a/packages/router/src/request/event_splitter.ts
+++ b/packages/router/src/request/event_splitter.ts
@@ -1,5 +1,5 @@
 /**
- * Cuts a stream of server-sent events into whole events.
+ * Splits a stream into complete server-sent events.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 const CR = 0x0d;
 const EMPTY = Buffer.alloc(0);
 
-/** Index behind the blank line that ends the first event; -1 without one. */
+/** Returns the index after the blank line that ends the first event, or -1. */
 function endOfEvent(bytes: Buffer, from: number): number {
   let at = bytes.indexOf(LF, from);
   while (at !== -1) {
@@ -22,13 +22,16 @@
 }
 
 /**
- * Passes on only whole events, so that a runner that stops in the middle of one
- * leaves nothing half at the caller that a second runner would have to repeat.
+ * Returns only complete events. When a runner stops in the middle of one, the
+ * caller has no partial event that a second runner would have to repeat.
  */
 export class EventSplitter {
   #rest: Buffer = EMPTY;
 
-  /** Whole events among the bytes so far, each with its blank line. */
+  /**
+   * Adds a chunk and returns the events that it completes, with their blank
+   * lines.
+   */
   push(chunk: Buffer): readonly Buffer[] {
     const bytes = this.#rest.length === 0
       ? chunk
@@ -45,7 +48,7 @@
     return events;
   }
 
-  /** Whether part of an event is left over. */
+  /** Whether a partial event is buffered. */
   get pending(): boolean {
     return this.#rest.length > 0;
   }
--- a/packages/router/src/request/event_splitter_test.ts
+++ b/packages/router/src/request/event_splitter_test.ts
@@ -4,8 +4,8 @@
 import fc from "fast-check";
 import { EventSplitter } from "./event_splitter.ts";
 
-// A runner stops in the middle of an event. What reached the caller must end
-// with a whole event, wherever the bytes were cut on the way.
+// A runner stops in the middle of an event. The caller must get complete events
+// only, wherever the bytes are split on the way.
 test("only whole events come out, however the bytes are cut", () => {
   const text = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata";
   const whole = text.slice(0, text.indexOf("id: 3"));
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -1,5 +1,5 @@
 /**
- * The path of one request, from its head to its final answer.
+ * Handles one request, from its head to its final response.
  *
  * @module
  */
@@ -20,19 +20,19 @@
 import type { RoutedRequest } from "./routed_request.ts";
 import { readBody } from "./read_body.ts";
 
-/** Milliseconds left under which no other runner is tried. */
+/** Minimum time left, in ms, for another attempt. */
 const LEAST_TIME_MS = 30;
-/** Runners that are tried one after the other while none can be reached. */
+/** Maximum number of runners tried in turn when none of them can be reached. */
 const MAX_UNSENT = 3;
 
-/** Works on one request. */
+/** Handles one request: selects runners, sends attempts and retries. */
 export class Exchange {
   readonly #daemon: Daemon;
   readonly #caller: Caller;
   readonly #progress: Progress;
   readonly #own: LocalOutcomes;
   readonly #tries: AttemptExecutor;
-  /** Whether the caller's body is still on its way. */
+  /** Whether the request body is still being received. */
   #reading = false;
 
   constructor(daemon: Daemon, caller: Caller) {
@@ -46,7 +46,7 @@
     });
   }
 
-  /** Works until the caller has its final answer or has left. */
+  /** Resolves when the caller has its final response or has disconnected. */
   async run(): Promise<void> {
     const call = this.#daemon.dialect.parseRequest(
       this.#caller.request.rawHeaders,
@@ -68,7 +68,10 @@
     }
   }
 
-  /** The caller gets its final answer at the timeout, not some time after it. */
+  /**
+   * Starts the request's time-out. The caller gets its final response when the
+   * time-out expires, not some time after it.
+   */
   #startTimer({ head: call, route }: RoutedRequest): NodeJS.Timeout {
     const span = Math.min(route.timeoutMs, call.deadlineMs ?? Infinity);
     this.#progress.expiresAt = this.#progress.startedAt + span;
@@ -158,12 +161,12 @@
       this.#progress;
     if (over || attempts >= route.maxAttempts) return false;
     if (mayHaveRun && route.repetition === "never") return false;
-    // What never left for a runner is no repeat.
+    // Attempts that never reached a runner do not count as retries.
     if (attempts === 0) return tried.size < MAX_UNSENT;
     return this.#daemon.retryBudget(service.name).take(this.#daemon.now());
   }
 
-  /** Whether the request must not be sent, as runners end that run it. */
+  /** Returns the request's quarantine if runners crash while running it. */
   #quarantine(): Quarantine | undefined {
     const { fingerprint } = this.#progress;
     return this.#daemon.crashes.quarantine(fingerprint, this.#daemon.now());
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -1,5 +1,5 @@
 /**
- * Lines of the log on the decisions for a request.
+ * Log lines about the decisions on a request.
  *
  * @module
  */
@@ -9,14 +9,16 @@
 import type { RunnerChoice } from "./placement.ts";
 import type { RoutedRequest } from "./routed_request.ts";
 
-/** Tells why no runner was sent a request, and how full the best was. */
+/**
+ * Logs that no runner had capacity for a request, and the load of the best one.
+ */
 export function logOverload(
   daemon: Daemon,
   subject: RoutedRequest,
   overload: {
     readonly choice: RunnerChoice;
     readonly waitedMs: number;
-    /** Whether its answer would have ended in its caller's time. */
+    /** Whether the response would have finished in the caller's time. */
     readonly inTime: boolean;
   },
 ): void {
@@ -41,14 +43,14 @@
   });
 }
 
-/** Tells that all runners which are left have had what they take. */
+/** Logs that all runners that are left are at their rate limits. */
 export function logLimitsReached(
   daemon: Daemon,
   subject: RoutedRequest,
   limits: {
     readonly limited: number;
     readonly waitedMs: number;
-    /** Whether this daemon has a part of any of their limits. */
+    /** Whether this daemon has a share of any of these limits. */
     readonly hasPart: boolean;
   },
 ): void {
@@ -62,7 +64,7 @@
   });
 }
 
-/** Tells that a request waits for a runner, and for what. */
+/** Logs that a request waits for a runner, and the work ahead of it. */
 export function logCapacityWait(
   daemon: Daemon,
   subject: RoutedRequest,
@@ -83,7 +85,7 @@
   });
 }
 
-/** Tells that a request is not sent since runners end under it. */
+/** Logs that a request is not sent because runners crash while running it. */
 export function logQuarantine(
   daemon: Daemon,
   requestId: string,
@@ -98,13 +100,13 @@
   });
 }
 
-/** Tells which runner was chosen, and what was known of it. */
+/** Logs the selected runner and its known state. */
 export function logRunnerChosen(
   daemon: Daemon,
   subject: RoutedRequest,
   chosen: {
     readonly choice: RunnerChoice;
-    /** The same for each try of the request. */
+    /** The same for each attempt of the request. */
     readonly fingerprint: string;
     readonly leftMs: number;
   },
--- a/packages/router/src/request/fingerprint.ts
+++ b/packages/router/src/request/fingerprint.ts
@@ -1,28 +1,31 @@
 /**
- * What makes two tries the same request.
+ * Identifies a request across its attempts.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 import type { Buffer } from "node:buffer";
 
-/** Bytes of a fingerprint: two of a billion requests hardly ever share one. */
+/**
+ * Length of a fingerprint in bytes; among a billion requests, two hardly ever
+ * share one.
+ */
 const BYTES = 9;
 
-/** What a caller asks for, whichever try it is. */
+/** The parts of a request that are the same in all its attempts. */
 export interface FingerprintInput {
   readonly host: string;
   readonly method: string;
   /** Path with query. */
   readonly target: string;
-  /** Name of the workspace that asks; none where no key is needed. */
+  /** Name of the caller's workspace; `undefined` where no key is needed. */
   readonly workspace: string | undefined;
   readonly body: Buffer;
 }
 
 /**
- * A short text that is the same for each try of one request, at any daemon, and
- * another one for any other request. It tells nothing of the body.
+ * Returns a short text that is the same for each attempt of a request, at any
+ * daemon, and different for any other request. It reveals nothing of the body.
  *
  * @example
  * ```ts
--- a/packages/router/src/request/headers.ts
+++ b/packages/router/src/request/headers.ts
@@ -1,11 +1,11 @@
 /**
- * Headers that concern one connection only.
+ * Functions on lists of raw headers.
  *
  * @module
  */
 import type { RawHeaders } from "./dialect.ts";
 
-/** Headers that concern one connection only (RFC 9110, section 7.6.1). */
+/** Hop-by-hop headers (RFC 9110, section 7.6.1), in lower case. */
 export const HOP_BY_HOP: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
@@ -18,7 +18,7 @@
   "upgrade",
 ]);
 
-/** Names that `connection` lists as belonging to this connection. */
+/** Returns the names that `connection` lists as hop-by-hop. */
 function namedInConnection(headers: RawHeaders): ReadonlySet<string> {
   const names = new Set<string>();
   for (let i = 0; i + 1 < headers.length; i += 2) {
@@ -31,8 +31,8 @@
 }
 
 /**
- * Leaves out the headers of one connection and those that `dropped` holds, in
- * lower case.
+ * Returns the headers without hop-by-hop headers and without those in
+ * `dropped`, which holds names in lower case.
  */
 export function endToEndHeaders(
   headers: RawHeaders,
@@ -48,12 +48,12 @@
   return kept;
 }
 
-/** Bytes that headers take on the wire, with separators and line ends. */
+/** Returns the size of headers on the wire, with separators and line ends. */
 export function headerBytes(headers: RawHeaders): number {
   return headers.reduce((sum, text) => sum + text.length + 2, 0);
 }
 
-/** The first value of a header, by its name in lower case. */
+/** Returns the first value of a header, by its name in lower case. */
 export function headerOf(
   headers: RawHeaders,
   name: string,
--- a/packages/router/src/request/inactivity_timer.ts
+++ b/packages/router/src/request/inactivity_timer.ts
@@ -1,10 +1,10 @@
 /**
- * A timer for something that should be heard.
+ * A timer that detects inactivity.
  *
  * @module
  */
 
-/** Calls back when nothing was heard for as long as was last expected. */
+/** Calls back when it has not been restarted within the last time-out. */
 export class InactivityTimer {
   readonly #onSilent: () => void;
   #timer: NodeJS.Timeout | undefined;
@@ -14,13 +14,12 @@
     this.#onSilent = onSilent;
   }
 
-  /** Expects something within a time, from now on. */
+  /** Restarts the timer with a time-out that begins now. */
   restart(ms: number): void {
     this.#deadline = performance.now() + ms;
     this.#timer ??= setTimeout(() => this.#check(), ms);
   }
 
-  /** Expects nothing any more. */
   stop(): void {
     clearTimeout(this.#timer);
   }
--- a/packages/router/src/request/local_outcomes.ts
+++ b/packages/router/src/request/local_outcomes.ts
@@ -1,5 +1,5 @@
 /**
- * Outcomes that are this daemon's own, when no runner's answer is passed on.
+ * Outcomes that this daemon determines when it relays no runner's response.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 import type { Outcome } from "./outcome.ts";
 import type { Progress } from "./progress.ts";
 
-/** Says of one request what is true of it: not run, failed, or out of time. */
+/** Determines the outcome of one request: refused, failed or timed out. */
 export class LocalOutcomes {
   readonly #daemon: Daemon;
   readonly #caller: Caller;
@@ -26,33 +26,33 @@
     this.#progress = progress;
   }
 
-  /** It was sent to nobody who took it, for the reason given. */
+  /** No runner accepted the request, for the reason that the code states. */
   refusal(code: string): Outcome {
     if (this.#progress.mayHaveRun) return this.failure(code);
     const refusal = unavailableRefusal(code, this.#daemon.random());
     return { kind: "refused", refusal };
   }
 
-  /** No runner had room for it. */
+  /** No runner had capacity for the request. */
   overload(): Outcome {
     const { remainingMs: leftMs } = this.#progress;
     const refusal = overloadRefusal(leftMs, this.#daemon.random());
     return { kind: "refused", refusal };
   }
 
-  /** Runners end that run it. */
+  /** Runners crash while running the request. */
   quarantine({ leftMs }: Quarantine): Outcome {
     if (this.#progress.mayHaveRun) return this.failure("quarantined");
     return { kind: "refused", refusal: quarantineRefusal(leftMs) };
   }
 
-  /** It may have run, and there is no whole answer. */
+  /** The request may have run, and there is no complete response. */
   failure(reason: string): Outcome {
     if (this.#caller.headersSent) return { kind: "broken", reason };
     return { kind: "refused", refusal: { status: 502, code: "runner_failed" } };
   }
 
-  /** Its time is over. */
+  /** The time of the request has expired. */
   timeout(): Outcome {
     if (this.#caller.headersSent) return { kind: "broken", reason: "timeout" };
     const { mayHaveRun, attempts } = this.#progress;
--- a/packages/router/src/request/outcome.ts
+++ b/packages/router/src/request/outcome.ts
@@ -1,18 +1,18 @@
 /**
- * How the work on a request ended.
+ * Outcomes of requests.
  *
  * @module
  */
 import type { Refusal } from "./caller.ts";
 
-/** How the work on a request ended, for the log and the metrics. */
+/** How a request ended, for the log and the metrics. */
 export type Outcome =
   | { readonly kind: "answered"; readonly status: number }
   | { readonly kind: "refused"; readonly refusal: Refusal }
   | { readonly kind: "broken"; readonly reason: string }
   | { readonly kind: "left" };
 
-/** A short stable name of an outcome, for logs and metrics. */
+/** Returns the short, stable name of an outcome, for logs and metrics. */
 export function outcomeName(outcome: Outcome): string {
   if (outcome.kind === "answered") return String(outcome.status);
   if (outcome.kind === "refused") return outcome.refusal.code;
--- a/packages/router/src/request/placement.ts
+++ b/packages/router/src/request/placement.ts
@@ -1,5 +1,5 @@
 /**
- * Which runner gets a request.
+ * Selects the runner on which a request is placed.
  *
  * @module
  */
@@ -16,33 +16,40 @@
 import type { CostEstimate } from "./runner_cost.ts";
 import { poolsOf } from "./runner_pools.ts";
 
-/** A runner and what the choice was based on, for the log. */
+/** A selected runner, with the inputs of the decision for the log. */
 export interface RunnerChoice {
   readonly runner: Runner;
-  /** Prompt tokens that the runner has to read, as estimated. */
+  /** Estimated number of prompt tokens that the runner has to prefill. */
   readonly prefillTokens: number;
-  /** A runner that holds more of the prompt, to fetch it from. */
+  /** A runner with more of the prompt in its cache, to fetch it from. */
   readonly fetchFrom: Runner | undefined;
-  /** Whether the request is a stream that bears only short pauses. */
+  /** Whether the request is a stream with a tight gap target. */
   readonly tight: boolean;
-  /** Whether the runner has so much work that the request had better not start. */
+  /** Whether the runner has so much work that the request should not start. */
   readonly overloaded: boolean;
   readonly candidates: number;
   readonly reason: "home" | "spread" | "least-loaded";
 }
 
-/** Requests that a runner in another failure domain must have less to be taken. */
+/**
+ * Number of requests by which a runner in another failure domain must be less
+ * loaded to be selected.
+ */
 const DOMAIN_PENALTY = 0.7;
 
 /**
- * How much more a runner of a plain service costs when all its answers are
- * failures. One that fails at once seems idle and drew 19 of 46 requests in two
- * seconds, half of which failed; with 16, a runner that fails 4 of 10 is chosen
- * only when the others have seven times its load.
+ * Relative cost that a runner of a plain service has in addition when all its
+ * responses are failures. A runner that fails at once appears idle: one drew 19
+ * of 46 requests in two seconds, half of which failed. With 16, a runner that
+ * fails 4 of 10 requests is selected only when the others have seven times its
+ * load.
  */
 const FAILED_WEIGHT = 16;
 
-/** The part of a prompt that most decides what a runner can reuse. */
+/**
+ * Returns the prompt part that most determines how much of its cache a runner
+ * can reuse.
+ */
 function sharedPart(prompt: readonly PromptPart[]): PromptPart | undefined {
   return prompt.at(-2) ?? prompt[0];
 }
@@ -58,7 +65,8 @@
   const sound = left.filter(({ id }) =>
     !fleet.loads.of(id).isEjected(fleet.now)
   );
-  // All at once look dead mostly when this daemon is cut off, or wrong.
+  // If all runners appear to be down, this daemon is probably partitioned or
+  // mistaken.
   return sound.length > 0 ? sound : left;
 }
 
@@ -93,8 +101,8 @@
 }
 
 /**
- * Whether a runner has room for a request: not too much work, and for a long
- * prompt no tight streams that it would make late.
+ * Whether a runner has capacity for a request: its load is within the limits,
+ * and a long prompt would not delay tight streams on a reserved runner.
  */
 export function hasCapacity(
   fleet: RunnerFleet,
@@ -149,16 +157,17 @@
 }
 
 /**
- * Chooses a runner, or none when no runner is left.
+ * Selects a runner, or returns `undefined` when none is left.
  *
- * Requests to a model go to the runner that costs least: every daemon finds the
- * same home for a prompt by rendezvous hashing of the deepest part that prompts
- * share, without asking, and goes elsewhere when reading the prompt there, or
- * fetching it, costs less than the wait at home. A runner that costs least but
- * has no room is still the choice, marked as overloaded: the request had better
- * wait for it than be read again at the next one that has. Streams with tight
- * gaps get runners of their own, because a chunk of a long prompt delays every
- * token beside it.
+ * A request to a model goes to the runner with the lowest cost. All daemons
+ * determine the same home runner for a prompt without coordination, by
+ * rendezvous hashing of the deepest part that prompts share. The request goes
+ * elsewhere when prefilling the prompt there, or fetching it, costs less than
+ * the wait for the home runner. A runner that costs least but lacks capacity is
+ * still selected and marked as overloaded: waiting for it is better than
+ * prefilling the prompt again on the next runner with capacity. Streams with
+ * tight gap targets get reserved runners, because a chunk of a long prompt
+ * delays every token generated in the same batch.
  */
 export function chooseRunner(
   fleet: RunnerFleet,
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -78,7 +78,7 @@
 
 const NONE: ReadonlySet<string> = new Set();
 
-/** Chooses for demands in turn, all of which stay in flight. */
+/** Places demands in order; all of them stay in flight. */
 function placeAll(fleet: RunnerFleet, demands: readonly Demand[]) {
   return demands.map((demand) => {
     const choice = chooseRunner(fleet, demand, NONE)!;
@@ -110,8 +110,9 @@
   assert.equal(second!.prefillTokens, 3_000);
 });
 
-// Many requests share one prompt. Its home alone would make the last of them
-// wait seconds; others must take some, and fetch the prompt instead of reading.
+// Guards against a queue at one runner when many requests share a prompt. On
+// its home runner alone, the last of them would wait seconds. Other runners
+// must take some of them, and fetch the prompt instead of prefilling it.
 test("a hot prompt spreads by fetching, not by reading it again", () => {
   const fleet = fleetOf(8);
   const [first] = placeAll(fleet, [longPrompt("a")]);
@@ -132,8 +133,9 @@
   assert.ok(rest.some(({ fetchFrom }) => fetchFrom !== undefined));
 });
 
-// Chunks of long prompts delay every token of the streams beside them. Replies
-// with pauses of 200 ms at most must not run where briefs are read.
+// Chunks of long prompts delay every token of the streams in the same batch.
+// Replies with gaps of 200 ms at most must not run where long prompts are
+// prefilled.
 test("long prompts and tight streams do not meet while there is room", () => {
   const fleet = fleetOf(8);
   const subjects = Array.from({ length: 12 }, (_, index) => `s-${index}`);
@@ -151,7 +153,7 @@
   assert.ok(long.every(({ runner }) => !tight.has(runner.id)));
 });
 
-/** Offers 500 long prompts at once; tells how many started. */
+/** Offers 500 long prompts at once; returns how many started. */
 function startBurst(
   fleet: RunnerFleet,
   options: { readonly read: boolean },
@@ -174,8 +176,9 @@
   return started;
 }
 
-// A burst of long prompts fills every runner. More of them would leave streams
-// at one token a step and none would end in time; an urgent one still fits.
+// A burst of long prompts fills every runner. With more of them, streams would
+// get one token per step and none would finish in time; an urgent request is
+// still admitted.
 test("a burst of the least urgent leaves room for the urgent", () => {
   const fleet = fleetOf(4);
   const started = startBurst(fleet, { read: true });
@@ -184,8 +187,8 @@
   assert.equal(chooseRunner(fleet, tightStream("y"), NONE)!.overloaded, false);
 });
 
-// Engines read the prompts that they have admitted in turn, whatever their
-// tiers. Behind a queue of long ones, an urgent request waits for seconds.
+// Engines prefill admitted prompts in order, whatever their tiers. Behind a
+// queue of long ones, an urgent request waits for seconds.
 test("little reading is ahead of an urgent request, whatever the burst", () => {
   const fleet = fleetOf(4);
   startBurst(fleet, { read: false });
@@ -194,9 +197,10 @@
   assert.ok(unreadTokens / 50 < 1_000, `${unreadTokens} tokens ahead`);
 });
 
-// Long prompts burst in while replies stream. When the other runners are full,
-// the long ones must wait or be refused: at the replies' runners, each reply
-// after them would wait for seconds, and callers give up after two.
+// A burst of long prompts arrives while replies stream. When the other runners
+// are full, the long prompts must wait or be refused: on the runners of the
+// replies, each later reply would wait for seconds, and callers give up after
+// two.
 test("a burst of long prompts does not spill over tight streams", () => {
   const fleet = fleetOf(8);
   const replies = Array.from({ length: 12 }, (_, index) => `t-${index}`);
@@ -209,9 +213,9 @@
   assert.deepEqual(after, before);
 });
 
-// A prompt's home reads another one while a runner beside it is free. Read there
-// the prompt costs all engines 300 ms once more, in a burst with each second
-// request; at its home it waits for 200.
+// A prompt's home runner prefills another prompt while a second runner is free.
+// Prefilled there, the prompt costs all engines another 300 ms, in a burst for
+// every second request; on its home runner it waits for 200.
 test("a prompt waits for its home rather than being read twice", () => {
   const fleet = fleetOf(8);
   const [first] = placeAll(fleet, [longPrompt("a")]);
@@ -245,7 +249,7 @@
   const moved = subjects.filter((subject, index) =>
     before[index] !== lost && homeOf(left, subject) !== before[index]
   );
-  // A runner may change sides between the two pools; its prompts move too.
+  // A runner may move to the other of the two pools, and its prompts with it.
   assert.ok(moved.length <= 25, `${moved.length} moved`);
 });
 
@@ -264,8 +268,9 @@
   );
 });
 
-// Every runner looks dead, most likely because this daemon was cut off. Sending
-// nothing until the pauses are over would add to the outage.
+// Every runner appears to be down, most likely because this daemon is
+// partitioned. Sending nothing until the ejections end would prolong the
+// outage.
 test("when all runners rest, one is tried all the same", () => {
   const fleet = fleetOf(2);
   for (const { id } of fleet.runners) {
@@ -279,10 +284,10 @@
   );
 });
 
-// In a burst callers wait for prompts that are being read already. The runner
-// that has begun with a prompt has two seconds to read before it; another one is
-// idle. Read there too, the prompt takes the time of four requests that would
-// only have had their own parts to read.
+// In a burst, callers wait for prompts that are already being prefilled. The
+// runner that has begun with a prompt has two seconds of prefill ahead of it,
+// and another one is idle. Prefilled there too, the prompt takes the time of
+// four requests that would only have to prefill their own parts.
 test("a prompt that a runner is about to read is not read by another one", () => {
   const fleet = fleetOf(8);
   const [first] = placeAll(fleet, [longPrompt("a")]);
@@ -296,9 +301,10 @@
   assert.notEqual(other.runner.id, first!.runner.id, "nobody reads this one");
 });
 
-// Callers of long answers get a part and then the end of their connection. Where
-// prompts are read without pause each token takes 40 ms, so 300 of them do not
-// come in 8 s; at the runners of tight streams, which read little, they do.
+// Guards against long responses that are cut off in the middle. Where prompts
+// are prefilled back to back, each token takes 40 ms, so 300 of them do not
+// arrive in 8 s; on the runners of tight streams, which prefill little, they
+// do.
 test("long answers go where little is read", () => {
   const fleet = fleetOf(8);
   const subjects = Array.from({ length: 12 }, (_, index) => `s-${index}`);
@@ -325,8 +331,8 @@
 });
 
 // A plain service has three runners, and one of them begins to fail 4 of 10
-// requests at once. It seems idle, so it is sent more than its share, and callers
-// whose requests may not be repeated get its failures.
+// requests at once. It appears idle, so it would get more than its share, and
+// callers whose requests may not be retried would get its failures.
 test("a runner that fails some requests at once is sent few", () => {
   const steps = 4_000;
   const fleet = fleetOf(3);
@@ -353,14 +359,15 @@
     load.place(placed, now);
     busy.push({ id: runner.id, endsAt: now + 90 });
   }
-  // 42 of 188 fail without regard to failures; 9 would if all runners were sound.
+  // Without the weight of failures 42 of 188 fail; 9 would if all runners were
+  // healthy.
   assert.ok(failures < 0.12 * sent, `${failures} of ${sent} failed`);
 });
 
-// Engines of few slots. A burst of urgent streams takes all slots of the runners
-// that are kept for them, while two thirds of the slots elsewhere are free. The
-// next callers' streams begin there at once instead of waiting for a stream to
-// end; where there are many slots they stay among their own.
+// Engines have few slots. A burst of urgent streams takes all slots of the
+// runners reserved for them, while two thirds of the slots elsewhere are free.
+// Further streams must start there at once instead of waiting for a stream to
+// end; where there are many slots they stay on their reserved runners.
 test("urgent streams go elsewhere when their runners are out of slots", () => {
   const slots = 16;
   const engine = { ...ENGINE, slots };
--- a/packages/router/src/request/progress.ts
+++ b/packages/router/src/request/progress.ts
@@ -1,29 +1,38 @@
 /**
- * How far the work on a request is.
+ * Tracks the progress of one request.
  *
  * @module
  */
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
 
-/** What one exchange knows of itself, for all that takes part in it. */
+/** State of one request, shared by all objects that handle it. */
 export class Progress {
   readonly startedAt: number;
   readonly #daemon: Daemon;
   readonly #caller: Caller;
-  /** Ids of runners that were tried. */
+  /** Ids of the runners tried so far. */
   readonly triedRunners = new Set<string>();
-  /** Tries that may have reached their runners. */
+  /** Number of attempts that may have reached their runners. */
   attempts = 0;
-  /** Whether any byte may have reached a runner that did not refuse it. */
+  /**
+   * Whether any byte may have reached a runner that did not refuse the request.
+   */
   mayHaveRun = false;
-  /** Whether the time until the final answer is over. */
+  /** Whether the time for the final response has expired. */
   expired = false;
-  /** Whether it was taken back from a runner before that began to run it. */
+  /**
+   * Whether the request was withdrawn from a runner before that began to run
+   * it.
+   */
   withdrawn = false;
-  /** Steady ms at which it is. */
+  /**
+   * When the time for the final response expires, in monotonic milliseconds.
+   */
   expiresAt = Infinity;
-  /** The same for each try of the request; known once its body is. */
+  /**
+   * The same for each attempt of the request; empty until the body is received.
+   */
   fingerprint = "";
 
   constructor(daemon: Daemon, caller: Caller) {
@@ -32,12 +41,12 @@
     this.startedAt = daemon.now();
   }
 
-  /** Whether nobody waits for a runner's answer any more. */
+  /** Whether a runner's response is no longer needed. */
   get abandoned(): boolean {
     return this.expired || this.withdrawn || this.#caller.disconnected;
   }
 
-  /** Milliseconds until the final answer is due. */
+  /** Milliseconds until the final response is due. */
   get remainingMs(): number {
     return this.expiresAt - this.#daemon.now();
   }
--- a/packages/router/src/request/read_body.ts
+++ b/packages/router/src/request/read_body.ts
@@ -1,18 +1,18 @@
 /**
- * Bodies that are read whole before anything is done with them.
+ * Reads message bodies completely before they are processed.
  *
  * @module
  */
 import { Buffer } from "node:buffer";
 import type { IncomingMessage } from "node:http";
 
-/** A whole body, or why there is none. */
+/** A complete body, or why there is none. */
 export type BodyResult =
   | { readonly kind: "whole"; readonly body: Buffer }
   | { readonly kind: "too-large" }
   | { readonly kind: "broken"; readonly reason: string };
 
-/** Reads a message to its end; one that breaks off is never taken as whole. */
+/** Reads a message to its end. A truncated message never counts as complete. */
 export function readBody(
   incoming: IncomingMessage,
   maxBytes: number,
--- a/packages/router/src/request/refusals.ts
+++ b/packages/router/src/request/refusals.ts
@@ -1,21 +1,25 @@
 /**
- * Refusals of requests that have not run, and when their callers may return.
+ * Refusals of requests that have not run, with the time of a retry.
  *
  * @module
  */
 import type { Refusal } from "./caller.ts";
 
-/** Milliseconds after which a refused caller may come back; spread by as much. */
+/** Minimum retry delay in ms; random jitter adds up to as much again. */
 const RETRY_AFTER_MS = 250;
-/** Part of its time that a caller will stay away when told so. */
+/**
+ * Share of its remaining time that a caller stays away at most when told to
+ * retry later.
+ */
 const RETURN_SHARE = 0.33;
 
 const UNAVAILABLE = 503;
 
 /**
- * Refuses what another daemon, or this one in a moment, may well serve.
+ * Refuses a request that another daemon, or this one in a moment, can probably
+ * serve.
  *
- * @param point in [0, 1), from a random number generator.
+ * @param jitter random number in [0, 1).
  */
 export function unavailableRefusal(code: string, point: number): Refusal {
   const retryAfterMs = RETRY_AFTER_MS * (1 + point);
@@ -23,21 +27,22 @@
 }
 
 /**
- * Refuses what has ended the runners that ran it. It would end the next one too,
- * so there is no use in coming back before that may have changed.
+ * Refuses a request that crashed the runners that ran it. It would crash the
+ * next one too, so a retry makes no sense before the quarantine ends.
  *
- * @param leftMs time for which it is not sent.
+ * @param remainingMs milliseconds until the quarantine ends.
  */
 export function quarantineRefusal(leftMs: number): Refusal {
   return { status: UNAVAILABLE, code: "quarantined", retryAfterMs: leftMs };
 }
 
 /**
- * Sends the caller away for as long as it will wait: overload lasts seconds,
- * and callers that come back at once find the same.
+ * Refuses a request because of overload. The retry delay is a share of the
+ * caller's remaining time: overload lasts seconds, and callers that retry at
+ * once are refused again.
  *
- * @param leftMs time that the caller has left.
- * @param point in [0, 1), from a random number generator.
+ * @param remainingMs milliseconds that the caller has left.
+ * @param jitter random number in [0, 1).
  */
 export function overloadRefusal(leftMs: number, point: number): Refusal {
   const retryAfterMs = leftMs * RETURN_SHARE * (1 - point / 2);
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -1,5 +1,5 @@
 /**
- * Passing a runner's answer on to the caller.
+ * Relays the responses of runners to the caller.
  *
  * @module
  */
@@ -13,34 +13,39 @@
 import type { RoutedRequest } from "./routed_request.ts";
 import { readBody } from "./read_body.ts";
 
-/** Largest answer that is held to be checked before it is passed on, in bytes. */
+/**
+ * Maximum size in bytes of a response that is buffered before it is relayed.
+ */
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
-/** Longest pauses on time without an event after which it goes on elsewhere. */
+/**
+ * Number of gap targets without an event after which a stream continues on
+ * another runner.
+ */
 const GAP_SILENCE = 4;
 const FIRST_ERROR = 400;
 const FIRST_SERVER_ERROR = 500;
 
-/** An answer that a runner has begun. */
+/** A response that a runner has begun. */
 export type RunnerResponse = Extract<SendResult, { readonly kind: "answer" }>;
 
-/** What belongs to one try. */
+/** The state of one attempt. */
 export interface AttemptContext {
   readonly load: RunnerLoad;
   readonly placed: PlacedRequest;
   readonly attempt: Attempt;
   readonly inactivity: InactivityTimer;
-  /** Steady ms. */
+  /** Monotonic milliseconds. */
   readonly sentAt: number;
   readonly run: BrokenRun;
 }
 
-/** What became of an answer. */
+/** Result of relaying a response. */
 export type RelayResult =
-  /** The caller has all of it. */
+  /** The caller has the complete response. */
   | { readonly kind: "answered"; readonly status: number }
-  /** The runner broke off, or the answer is not its own. */
+  /** The response was cut off, or is not the runner's own. */
   | { readonly kind: "broken"; readonly reason: string }
-  /** The runner failed by itself; `answer` tells the caller so. */
+  /** The runner returned a server error; `respond` relays it to the caller. */
   | {
     readonly kind: "failed";
     readonly status: number;
@@ -48,13 +53,16 @@
   };
 
 /**
- * Passes on the answers of one request's tries: whole ones after their end, and
- * streams by whole events, as one stream however many runners it comes from.
+ * Relays the responses to the attempts of one request. A response that is not
+ * streamed is relayed when it is complete. Streams are relayed event by event,
+ * as a single stream even if several runners contribute to it.
  */
 export class ResponseRelay {
   readonly #daemon: Daemon;
   readonly #caller: Caller;
-  /** Whether this daemon ended the try, so the runner is not to blame. */
+  /**
+   * Whether this daemon ended the attempt, so that the runner is not to blame.
+   */
   readonly #endedByUs: () => boolean;
   #stream: StreamRelay | undefined;
 
@@ -68,17 +76,19 @@
     this.#endedByUs = options.endedByUs;
   }
 
-  /** Last event of a stream that the caller has. */
+  /** Id of the last stream event that the caller has. */
   get lastEventId(): number | undefined {
     return this.#stream?.lastEventId;
   }
 
-  /** Events that were passed on; none when the answer is no stream. */
+  /**
+   * Number of events relayed; `undefined` when the response is not a stream.
+   */
   get eventCount(): number | undefined {
     return this.#stream?.eventCount;
   }
 
-  /** Passes one answer on, if its runner vouches for it. */
+  /** Relays a response; a successful one must carry the runner's seal. */
   relay(
     subject: RoutedRequest,
     sent: RunnerResponse,
@@ -148,7 +158,7 @@
     return { kind: "answered", status };
   }
 
-  /** Takes the times of a stream's events. */
+  /** Returns a function that records the times of a stream's events. */
   #paceOf(
     subject: RoutedRequest,
     parts: AttemptContext,
@@ -175,7 +185,9 @@
     return this.#stream;
   }
 
-  /** The first event came: the prompt has been read. */
+  /**
+   * Handles the first event, which shows that the prompt has been prefilled.
+   */
   #begin(
     subject: RoutedRequest,
     sent: RunnerResponse,
--- a/packages/router/src/request/routed_request.ts
+++ b/packages/router/src/request/routed_request.ts
@@ -1,5 +1,5 @@
 /**
- * What a request is about: its route, service and workspace.
+ * Finds the route, service and workspace of a request.
  *
  * @module
  */
@@ -12,25 +12,30 @@
 import type { Daemon } from "./daemon.ts";
 import { headerBytes } from "./headers.ts";
 
-/** Milliseconds after which a daemon that knows too little may know more. */
+/**
+ * Retry delay in ms for requests that this daemon cannot serve because its
+ * configuration is incomplete.
+ */
 const KNOWN_LATER_MS = 1_000;
 
-/** What is known of a request once its route is found. */
+/** A request whose route has been found. */
 export interface RoutedRequest {
   readonly head: RequestHead;
   readonly route: Route;
   readonly service: Service;
   readonly workspace: Workspace | undefined;
   readonly version: number;
-  /** Its rank among all kinds of requests, 0 being the most urgent. */
+  /** Rank among all kinds of requests; 0 is the most urgent. */
   readonly rank: number;
-  /** Its rank where an engine chooses whom it preempts. */
+  /** Rank by which an engine selects requests to preempt. */
   readonly preemptionRank: number;
-  /** Kinds of requests that are less urgent. */
+  /** Number of less urgent ranks. */
   readonly ranksBelow: number;
 }
 
-/** Finds what a request is about, or why it is refused. */
+/**
+ * Finds the route, service and workspace of a request, or why it is refused.
+ */
 export function routeRequest(
   daemon: Daemon,
   request: IncomingMessage,
--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -1,5 +1,6 @@
 /**
- * What a runner would cost a request, in ms of its time and of others'.
+ * Estimates what it costs to place a request on a runner, in ms of its own time
+ * and of other requests' time.
  *
  * @module
  */
@@ -9,66 +10,77 @@
 import type { Demand, RunnerFleet } from "./demand.ts";
 
 /**
- * What a ms of reading counts against a ms of waiting. Reading a prompt twice
- * takes from everybody, waiting only from the one that waits. In a burst on 23
- * engines, 2.5 read 3.9 million tokens again, 5 read 2.2 and 10 read 1.5; at 10
- * urgent short requests wait too long at their homes, and 25 of 245 got nothing.
+ * Weight of a ms of prefill relative to a ms of waiting. Duplicate prefill
+ * takes time from all requests, waiting only from the one that waits. In a
+ * burst on 23 engines, 3.9 million tokens were prefilled again with 2.5, 2.2
+ * million with 5 and 1.5 million with 10; with 10, urgent short requests wait
+ * too long for their home runners, and 25 of 245 got no response.
  */
 const WORK_WEIGHT = 5;
 /**
- * What a ms of reading counts besides, where another runner has read the same or
- * is about to. Engines read at their limit in a burst, so what is read twice
- * makes all others wait: on 98 engines 7.8 of 48 million tokens were read again
- * without this weight, 6.8 with 4 and 5.2 with 8.
+ * Additional weight of a ms of prefill where another runner has prefilled the
+ * same tokens or is about to. Engines are at their prefill limit in a burst, so
+ * duplicate prefill delays all other requests: on 98 engines, 7.8 of 48 million
+ * tokens were prefilled again without this weight, 6.8 with 4 and 5.2 with 8.
  */
 const AGAIN_WEIGHT = 8;
-/** Milliseconds of wait that a prompt's home may have more than another runner. */
+/**
+ * Milliseconds by which the wait for a prompt's home runner may exceed the wait
+ * for another runner.
+ */
 const AWAY_MS = 30;
 /**
- * The same for a prompt that nobody is known to hold. Daemons that have all
- * been restarted know nothing, but runners still hold most prompts, at home.
+ * Milliseconds of additional wait for the home runner of a prompt that no
+ * runner is known to have cached. After a restart of all daemons nothing is
+ * recorded, but most prompts are still cached on their home runners.
  */
 const AWAY_UNKNOWN_MS = 200;
 /**
- * What a fetch from another runner costs beside its time, in ms: a second copy
- * takes memory from other prompts. On 23 engines 0.878 of the worth was served
- * with 40, 0.834 with 120 and 0.857 with 0, where twice as much was copied.
+ * Cost in ms of a fetch from another runner, besides the transfer time: a
+ * second copy takes memory from other prompts. On 23 engines, 0.878 of the
+ * total request value was served with 40, 0.834 with 120 and 0.857 with 0,
+ * which copied twice as much.
  */
 const FETCH_MS = 40;
-/** What a stream with tight gaps risks among long prompts, in ms of wait. */
+/**
+ * Cost in ms of placing a stream with a tight gap target among long prompts.
+ */
 const AMONG_LONG_MS = 150;
-/** What a long prompt costs where tight streams are at home, in ms of wait. */
+/**
+ * Cost in ms of placing a long prompt on a runner reserved for tight streams.
+ */
 const AMONG_TIGHT_MS = 100;
 /**
- * What a long answer risks where prompts are read without pause, in ms of wait:
- * it would not end in time. At the runners of tight streams it does, as far as
- * its prompt disturbs none of them.
+ * Cost in ms of placing a long response where prompts are prefilled back to
+ * back: it would not finish in time. On a runner reserved for tight streams it
+ * does, provided that its prompt delays none of them.
  */
 const LONG_ANSWER_MS = 300;
-/** What a late tight stream is worth, in ms of a runner's time. */
+/** Cost of each delayed tight stream, in ms of runner time. */
 const TIGHT_STREAM_MS = 100;
 /**
- * What a runner costs whose slots are all taken, in ms of wait; with the square
- * of the part that is taken, so that it counts only near the end. It is more than
- * the cost of the wrong kind of runner: where slots are scarce, urgent streams
- * otherwise wait for the few runners kept for them while others have slots free.
- * On engines of 16 slots, two days of two bursts each: worth 0.461 and 0.392
- * without, 0.483 and 0.475 with it; nothing changes on engines of 64 and 128.
+ * Cost in ms of a runner whose slots are all in use. It scales with the square
+ * of the used share, so that it matters only near the limit. It exceeds the
+ * cost of the wrong kind of runner: where slots are scarce, urgent streams
+ * would otherwise wait for the few runners reserved for them while others have
+ * free slots. On engines of 16 slots, over two days of two bursts each, the
+ * value served was 0.461 and 0.392 without this cost, 0.483 and 0.475 with it;
+ * it changes nothing on engines of 64 and 128 slots.
  */
 const CROWD_MS = 200;
-/** What a runner's other requests slow down one more, in ms each. */
+/** Slowdown in ms that each request in flight on a runner adds. */
 const BESIDE_MS = 4;
-/** How much slower a runner is taken to be while it warms up. */
+/** Assumed slowdown factor of a runner that is warming up. */
 export const WARM_UP_FACTOR = 2;
 /**
- * Milliseconds of wait that the runner which a request waits for may have more
- * than another one. Each move begins a new wait.
+ * Milliseconds by which the wait for the awaited runner may exceed the wait for
+ * another one. Each change of runner restarts the wait.
  */
 const STAY_MS = 100;
-/** What each failure since the last success counts, in ms of wait. */
+/** Cost in ms of each failure since the last success. */
 const FAILURE_MS = 300;
 
-/** What a runner would cost a request, in ms. */
+/** Estimated cost of placing a request on a runner. */
 export interface CostEstimate {
   readonly runner: Runner;
   readonly prefillTokens: number;
@@ -76,7 +88,7 @@
   readonly costMs: number;
 }
 
-/** A runner that holds part of a prompt. */
+/** A runner that has part of a prompt in its cache. */
 export interface PrefixHolder {
   readonly runner: Runner;
   readonly tokens: number;
@@ -90,15 +102,17 @@
   return fleet.prefixes.cachedTokens(runner.id, demand.prompt, fleet.now);
 }
 
-/** What runners hold of a prompt. */
+/** Which part of a prompt runners have cached. */
 export interface PrefixHoldings {
-  /** The runner that has read most of it; none when nobody has. */
+  /**
+   * The runner that has prefilled most of the prompt; `undefined` if none has.
+   */
   readonly holder: PrefixHolder | undefined;
-  /** Most tokens that any runner has read, or is about to read. */
+  /** Most tokens of the prompt that any runner has prefilled or is about to. */
   readonly maxCachedTokens: number;
 }
 
-/** Finds what runners hold of a prompt. */
+/** Finds which part of a prompt runners have cached. */
 export function findPrefixHoldings(
   fleet: RunnerFleet,
   demand: Demand,
@@ -117,20 +131,23 @@
   return { holder, maxCachedTokens: promisedTokens };
 }
 
-/** What a request risks, or makes others risk, by the runner's kind, in ms. */
+/**
+ * Returns the cost in ms, to the request or to others, of the wrong kind of
+ * runner.
+ */
 function misplacedMs(demand: Demand, kept: boolean): number {
   if (isTight(demand)) return kept ? 0 : AMONG_LONG_MS;
   if (hasLongOutput(demand)) return kept ? 0 : LONG_ANSWER_MS;
   return kept ? AMONG_TIGHT_MS : 0;
 }
 
-/** What a runner would cost a request. */
+/** Estimates the cost of placing a request on a runner. */
 export function estimateCost(
   fleet: RunnerFleet,
   demand: Demand,
   place: {
     readonly runner: Runner;
-    /** Whether the prompt is at home there, by its rendezvous hash. */
+    /** Whether rendezvous hashing makes the runner the prompt's home. */
     readonly atHome: boolean;
     readonly kept: boolean;
     readonly holdings: PrefixHoldings;
--- a/packages/router/src/request/runner_pools.ts
+++ b/packages/router/src/request/runner_pools.ts
@@ -1,25 +1,27 @@
 /**
- * Which runners of a service are kept for tight streams, and where prompts are
- * at home.
+ * Assigns the runners of a service to pools, and prompts to home runners.
  *
  * @module
  */
 import { Rendezvous } from "@umbermast/coordination/rendezvous";
 import type { Runner } from "../process/runner.ts";
 
-/** Part of a service's runners that serve streams with tight gaps. */
+/** Share of a service's runners reserved for streams with tight gap targets. */
 const TIGHT_SHARE = 0.3;
-/** Sets of runners whose pools are remembered; a service has one at a time. */
+/**
+ * Maximum number of cached pools, one for each set of runner names. A service
+ * uses one at a time.
+ */
 const MAX_POOLS = 16;
 
-/** The runners of a service while none of them comes or goes. */
+/** The pools of a service's runners while no runner is added or removed. */
 export class RunnerPools {
-  /** Names of the runners that are kept for tight streams. */
+  /** Names of the runners reserved for tight streams. */
   readonly reserved: ReadonlySet<string>;
   readonly #tight: Rendezvous;
   readonly #others: Rendezvous;
 
-  /** @param names of the runners, each once. */
+  /** @param names of the runners, without duplicates. */
   constructor(names: readonly string[]) {
     const count = names.length < 2
       ? 0
@@ -33,9 +35,10 @@
   }
 
   /**
-   * Name of the runner at which a part of a prompt is at home: the first usable
-   * one in an order that is the same at every daemon. Names decide, so that a
-   * restart under the same name changes nobody's home.
+   * Returns the name of the home runner of a prompt part: the first usable one
+   * in an order that is the same at every daemon. The order depends on names
+   * only, so a restart under the same name moves no prompt to another home
+   * runner.
    */
   home(
     part: string,
@@ -53,11 +56,11 @@
 const ofNames = new Map<string, RunnerPools>();
 
 /**
- * The pools of a list of runners, worked out once for each set of names. A list
- * changes many times a second while runners start or are replaced, mostly by what
- * one of them tells of itself. Worked out for each list, the pools of a thousand
- * runners would take most of a daemon's processor in the seconds after a loss of
- * all daemons, when all callers come back.
+ * Returns the pools of a list of runners, computed once for each set of names.
+ * A list changes many times a second while runners start or are replaced,
+ * mostly because a runner reports a change of its own state. Computed for each
+ * list, the pools of a thousand runners would take most of a daemon's processor
+ * time in the seconds after a loss of all daemons, when all callers reconnect.
  */
 export function poolsOf(runners: readonly Runner[]): RunnerPools {
   const before = ofList.get(runners);
--- a/packages/router/src/request/runner_pools_test.ts
+++ b/packages/router/src/request/runner_pools_test.ts
@@ -23,10 +23,11 @@
   return Array.from({ length: count }, (_, index) => runnerOf(index));
 }
 
-// A thousand runners start, and each tells ten times how long it is still slow.
-// All daemons have lost power and their callers come back at the same time. Pools
-// that are worked out anew for each list take half of a daemon's part of a core,
-// and its callers wait.
+// Guards against pools that are computed for each list of runners. A thousand
+// runners start, and each reports ten times how long it will still be slow,
+// while all daemons have lost power and their callers reconnect at the same
+// time. Computing the pools for each list takes half of a daemon's share of a
+// core, and its callers wait.
 test("pools are worked out once while no runner comes or goes", () => {
   const runners = runnersOf(998);
   const pools = poolsOf(runners);
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -1,5 +1,5 @@
 /**
- * How a request finds the runner that it is sent to.
+ * Selects the runner for a request, and waits for its capacity.
  *
  * @module
  */
@@ -20,42 +20,51 @@
 import type { RoutedRequest } from "./routed_request.ts";
 
 /**
- * Part of the time that a caller has for which its request waits for room. The
- * rest is for the answer: a long one takes 3 s of the 8 that its callers have.
+ * Maximum share of a caller's remaining time for which its request waits for
+ * capacity. The rest is for the response: a long one takes 3 s of the 8 s that
+ * its callers have.
  */
 const HOLD_SHARE = 0.4;
 /**
- * Part of a request's target after which it is too late to be sent; the rest is
- * for the runner to read its prompt beside what it reads already.
+ * Share of a request's target latency after which it can no longer start on
+ * time. The rest is for the runner to prefill its prompt alongside the prompts
+ * that it already has.
  */
 const START_SHARE = 0.7;
 /**
- * Milliseconds between two looks at all runners while it waits. One takes 55 us
- * with 98 runners, a look at one of them 0.2 us: each 20 ms, 50 requests that
- * wait would take 14% of a core, with 200 ms they take 1.4%.
+ * Interval in ms at which a waiting request is evaluated against all runners
+ * again. One evaluation takes 55 us with 98 runners, a check of a single runner
+ * 0.2 us: 50 waiting requests evaluated every 20 ms would take 14% of a core;
+ * every 200 ms they take 1.4%.
  */
 const REVIEW_MS = 200;
 /**
- * Times in which a wait settles until it is reviewed. A request that moved
- * sooner would wait anew each time, and be sent nowhere.
+ * Minimum review interval as a multiple of the propagation time. A request that
+ * changed runners more often would restart its wait each time and never be
+ * sent.
  */
 const REVIEW_SETTLES = 2;
 /**
- * Milliseconds of a review for each request that waits at this daemon: 40 reviews
- * a second at most. In a burst on 98 runners 49 requests waited at a daemon, were
- * reviewed 200 times a second and moved 119 times; 58 daemons told each other
- * 14,000 changes a second, and daemons with a third of a core sent requests on a
- * second after their callers had left.
+ * Minimum review interval in ms for each request that waits at this daemon,
+ * which limits a daemon to 40 reviews a second. Without it, in a burst on 98
+ * runners, the 49 requests that waited at a daemon were reviewed 200 times a
+ * second and changed runners 119 times; 58 daemons sent each other 14,000
+ * changes a second, and daemons with a third of a core still sent requests a
+ * second after their callers had disconnected.
  */
 const REVIEW_PER_WAIT_MS = 25;
 
 /**
- * Milliseconds between two reviews of a request that cannot begin on time any
- * more: it takes what is left over, and need not cost others their processor.
+ * Interval in ms between reviews of a request that can no longer start on time.
+ * It gets leftover capacity and must not take processor time from other
+ * requests.
  */
 const LATE_REVIEW_MS = 1_000;
 
-/** Milliseconds after which a request that waits looks at all runners again. */
+/**
+ * Returns the interval in ms at which a waiting request is evaluated against
+ * all runners.
+ */
 export function reviewIntervalMs(waiting: number, settleMs: number): number {
   return Math.max(
     REVIEW_MS,
@@ -64,17 +73,17 @@
   );
 }
 
-/** What a search knows of its request. Times are steady milliseconds. */
+/** Limits of a search. Times are in monotonic milliseconds. */
 export interface SearchLimits {
-  /** When the request came. */
+  /** When the request was received. */
   readonly receivedAt: number;
-  /** When its caller gets a final answer in any case. */
+  /** When the caller gets its final response at the latest. */
   readonly expiresAt: number;
-  /** Whether nobody waits for an answer any more. */
+  /** Whether the response is no longer needed. */
   isAbandoned(): boolean;
 }
 
-/** Finds runners for one request, one for each try. */
+/** Selects runners for one request, one for each attempt. */
 export class RunnerSearch {
   readonly #daemon: Daemon;
   readonly #subject: RoutedRequest;
@@ -94,12 +103,13 @@
   }
 
   /**
-   * Chooses a runner that was not tried, and counts the request where that has a
-   * limit. While the one that suits best has too much work, a request that has
-   * reached no runner yet waits a while for it: most waits end within it, and a
-   * refusal costs the caller more.
+   * Selects a runner that has not been tried, and counts the request against
+   * the runner's rate limit, if it has one. While the best runner lacks
+   * capacity, a request that has not reached any runner waits for it for a
+   * limited time: most waits end within it, and a refusal costs the caller
+   * more.
    *
-   * @returns none when no runner is left.
+   * @returns `undefined` when no runner is left.
    */
   async find(options: {
     readonly tried: ReadonlySet<string>;
@@ -154,8 +164,8 @@
   }
 
   /**
-   * Counts what is sent before anything else runs: all that wait for a runner
-   * look at the same moment whether it takes one more.
+   * Counts the request before anything else runs: all requests that wait for a
+   * runner check at the same moment whether it accepts another one.
    */
   #taken(choice: RunnerChoice | undefined): RunnerChoice | undefined {
     if (choice === undefined) return undefined;
@@ -167,14 +177,16 @@
     return this.#daemon.limitWaits(this.#subject.service.name);
   }
 
-  /** Whether the runner takes one more, which another request gets first. */
+  /**
+   * Whether the runner is rate-limited and another waiting request goes first.
+   */
   #yields({ runner }: RunnerChoice): boolean {
     const limited = this.#daemon.limits.of(runner.id) !== undefined;
     return limited &&
       !this.#limitWaits.isFirst(this.#turn, this.#daemon.now());
   }
 
-  /** Runners that were not tried and have had what they take. */
+  /** Returns the runners that were not tried and are at their rate limits. */
   #limitedLeft(tried: ReadonlySet<string>): readonly Runner[] {
     const { runners, limits } = this.#daemon.fleet(this.#subject.service.name);
     return runners.filter(({ id }) =>
@@ -182,7 +194,7 @@
     );
   }
 
-  /** Whether one of them may take the request while it can wait. */
+  /** Whether one of the runners may accept the request before its wait ends. */
   #mayAwait(limited: readonly Runner[], until: number): boolean {
     const now = this.#daemon.now();
     const { limits } = this.#daemon;
@@ -197,8 +209,9 @@
   }
 
   /**
-   * Whether the answer would end before the caller's time is over. One that does
-   * not is read and made in vain, and slows down those that would.
+   * Whether the response would finish before the caller's time-out. One that
+   * does not is prefilled and generated in vain, and slows down those that
+   * would.
    */
   #endsInTime(choice: RunnerChoice, leftMs: number): boolean {
     const { head: call, service, ranksBelow } = this.#subject;
@@ -228,7 +241,10 @@
     logCapacityWait(this.#daemon, this.#subject, { choice, turn: this.#turn });
   }
 
-  /** Looks at one runner until it has room and the wait is settled. */
+  /**
+   * Checks one runner until it has capacity and the entry in its queue has
+   * propagated, or until the next review is due.
+   */
   async #watchRoom(
     wait: CapacityWait,
     runner: Runner,
--- a/packages/router/src/request/runner_search_test.ts
+++ b/packages/router/src/request/runner_search_test.ts
@@ -2,9 +2,10 @@
 import { test } from "node:test";
 import { reviewIntervalMs } from "./runner_search.ts";
 
-// In a burst dozens of requests wait at every daemon. Each looks at all runners
-// several times a second and moves to another one; every move is told to all
-// daemons, which spend their processors on it and answer nobody in time.
+// Guards against daemons that spend their processor time on reviews: in a
+// burst, dozens of requests wait at every daemon. If each evaluates all runners
+// several times a second and changes runners, every change is sent to all
+// daemons, which process changes and respond to no caller in time.
 test("a daemon reviews no more waits a second, however many there are", () => {
   const rate = (waiting: number) =>
     1_000 * waiting / reviewIntervalMs(waiting, 110);
--- a/packages/router/src/request/stream_body.ts
+++ b/packages/router/src/request/stream_body.ts
@@ -1,5 +1,5 @@
 /**
- * The body of a streamed answer on its way to the caller.
+ * Writes the body of a streamed response to the caller.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 const HEX = 16;
 const CRLF = "\r\n";
 
-/** One chunk of a chunked body, with its length before and its end behind. */
+/** Returns one chunk of a chunked body, with its length and line ends. */
 function chunkOf(bytes: Buffer): Buffer {
   const head = bytes.length.toString(HEX) + CRLF;
   const chunk = Buffer.allocUnsafe(head.length + bytes.length + CRLF.length);
@@ -20,18 +20,20 @@
 }
 
 /**
- * Writes events to a caller, each as one piece.
+ * Writes events to a caller, each in a single write.
  *
- * `ServerResponse.write` cuts a chunk into four pieces that it gathers until
- * the next tick, for each event anew: 350 of 2,280 samples of a router that
- * passes on 170 events a second. Written as a chunk of its own to the
- * connection, an event takes one system call and no tick.
+ * `ServerResponse.write` splits a chunk into four pieces that it buffers until
+ * the next tick, for each event anew: 350 of 2,280 profile samples of a router
+ * that relays 170 events a second. Written to the connection as a chunk of its
+ * own, an event takes one system call and no tick.
  */
 export class StreamBody {
   readonly #response: ServerResponse;
   #headIsOut = false;
 
-  /** @param response whose head is written before the first event. */
+  /**
+   * @param response a response whose head is written before the first event.
+   */
   constructor(response: ServerResponse) {
     this.#response = response;
   }
@@ -53,15 +55,16 @@
     return socket.write(chunkOf(event));
   }
 
-  /** Calls back once the caller has read what was written. */
+  /** Calls back once the caller has read the buffered data. */
   onceDrained(listener: () => void): void {
     const { socket } = this.#response;
     (socket ?? this.#response).once("drain", listener);
   }
 
   /**
-   * Whether chunks may go straight to the connection: not behind an answer that
-   * is still on its way there, nor where the answer has no chunks or no body.
+   * Whether chunks may be written directly to the connection. They may not
+   * while an earlier response is still being written to it, nor where the
+   * response is not chunked or has no body.
    */
   #isDirect(): boolean {
     const { req, headersSent, chunkedEncoding } = this.#response;
--- a/packages/router/src/request/stream_body_test.ts
+++ b/packages/router/src/request/stream_body_test.ts
@@ -20,7 +20,7 @@
   response.end();
 }
 
-/** Everything that a caller reads when it sends some bytes. */
+/** Sends bytes to a server and returns everything that it responds. */
 async function exchange(
   t: TestContext,
   sent: string,
@@ -69,8 +69,9 @@
   assert.match(read, /\r\n\r\nid: 1\n\nid: 2\ndata: two\n\n$/);
 });
 
-// A caller sends two requests on one connection. The second one's events are
-// there first; written to the connection, they would end up in the first answer.
+// A caller sends two requests on one connection, and the events of the second
+// one are available first. Written directly to the connection, they would end
+// up in the first response.
 test("events wait for the answer before them on the same connection", async (t) => {
   const request = (target: string) =>
     `GET ${target} HTTP/1.1\r\nHost: a\r\n\r\n`;
--- a/packages/router/src/request/stream_relay.ts
+++ b/packages/router/src/request/stream_relay.ts
@@ -1,5 +1,5 @@
 /**
- * Events of a runner's stream on their way to the caller.
+ * Relays the events of a runner's stream to the caller.
  *
  * @module
  */
@@ -15,13 +15,14 @@
   | { readonly kind: "broken"; readonly reason: string };
 
 /**
- * The stream of one answer, from one runner or from several in turn. Events
- * that the caller already has are left out when a later runner repeats them.
+ * Relays the stream of one response, from one runner or from several in turn.
+ * Events that the caller already has are dropped when a later runner repeats
+ * them.
  */
 export class StreamRelay {
   readonly #body: StreamBody;
   readonly #dialect: Dialect;
-  /** Before any event, the last one that the caller says it has. */
+  /** Initially the last event that the caller states to have received. */
   #lastId: number | undefined;
   #events = 0;
 
@@ -37,20 +38,20 @@
     this.#lastId = options.lastEventId;
   }
 
-  /** Id of the last event that was passed on. */
+  /** Id of the last event relayed. */
   get lastEventId(): number | undefined {
     return this.#lastId;
   }
 
-  /** Events that were passed on. */
+  /** Number of events relayed. */
   get eventCount(): number {
     return this.#events;
   }
 
   /**
-   * Passes on a runner's events until its answer ends.
+   * Relays a runner's events until its response ends.
    *
-   * @param onEvent called before each event, at the first one to write the head.
+   * @param onEvent called before each event; writes the head at the first one.
    */
   relay(incoming: IncomingMessage, onEvent: () => void): Promise<StreamEnd> {
     const splitter = new EventSplitter();
