--- a/packages/router/src/connection/apply_update.ts
+++ b/packages/router/src/connection/apply_update.ts
@@ -44,7 +44,7 @@
   const { whole, loads, parts, crashes, limits } = update;
   const now = performance.now();
   const { timeMs, lease } = update;
-  if (timeMs !== undefined) shared.time.toldBy(neighbour, timeMs);
+  if (timeMs !== undefined) shared.time.recordNeighbourTime(neighbour, timeMs);
   if (lease !== undefined) {
     shared.lease?.observe({ ...lease, at: now - lease.agoMs });
   }
--- a/packages/router/src/process/fleet_time.ts
+++ b/packages/router/src/process/fleet_time.ts
@@ -55,7 +55,7 @@
   }
 
   /** Takes the time of day that a neighbour told just now, in epoch ms. */
-  toldBy(neighbour: string, timeMs: number): void {
+  recordNeighbourTime(neighbour: string, timeMs: number): void {
     const at = this.#clocks.steady();
     this.#told.set(neighbour, { offset: timeMs - at, at });
   }
--- a/packages/router/src/process/fleet_time_test.ts
+++ b/packages/router/src/process/fleet_time_test.ts
@@ -22,8 +22,8 @@
 
 test("a host whose clock jumps goes by its neighbours", () => {
   const { clocks, time } = hostWith(0);
-  time.toldBy("b", EPOCH_MS + 1_003);
-  time.toldBy("c", EPOCH_MS + 998);
+  time.recordNeighbourTime("b", EPOCH_MS + 1_003);
+  time.recordNeighbourTime("c", EPOCH_MS + 998);
   assert.equal(time.now(), EPOCH_MS + 1_000);
   clocks.aheadMs = -2_400;
   clocks.at += 500;
@@ -33,18 +33,18 @@
 
 test("neighbours that are wrong do not move a host that agrees with others", () => {
   const { time } = hostWith(0);
-  time.toldBy("b", EPOCH_MS + 3_400);
-  time.toldBy("c", EPOCH_MS + 1_002);
-  time.toldBy("d", EPOCH_MS + 990);
+  time.recordNeighbourTime("b", EPOCH_MS + 3_400);
+  time.recordNeighbourTime("c", EPOCH_MS + 1_002);
+  time.recordNeighbourTime("d", EPOCH_MS + 990);
   assert.equal(time.now(), EPOCH_MS + 1_000);
 });
 
 test("what was told before a host was suspended does not outweigh its clock", () => {
   const { clocks, time } = hostWith(0);
-  time.toldBy("b", EPOCH_MS + 1_000);
-  time.toldBy("c", EPOCH_MS + 1_000);
+  time.recordNeighbourTime("b", EPOCH_MS + 1_000);
+  time.recordNeighbourTime("c", EPOCH_MS + 1_000);
   // The steady clock stood still for four seconds; one neighbour has told since.
   clocks.aheadMs = 4_000;
-  time.toldBy("b", EPOCH_MS + 5_000);
+  time.recordNeighbourTime("b", EPOCH_MS + 5_000);
   assert.equal(time.now(), EPOCH_MS + 5_000);
 });
