--- a/packages/router/src/process/fleet_time.ts
+++ b/packages/router/src/process/fleet_time.ts
@@ -22,14 +22,14 @@
 /** Clocks of a host. */
 export interface HostClocks {
   /** Epoch milliseconds; may jump. */
-  shown(): number;
+  wall(): number;
   /** Steady milliseconds. */
   steady(): number;
 }
 
 /** The clocks of the host that the process runs on. */
 export const HOST_CLOCKS: HostClocks = {
-  shown: () => Date.now(),
+  wall: () => Date.now(),
   steady: () => performance.now(),
 };
 
@@ -68,7 +68,7 @@
   /** Epoch milliseconds. */
   now(): number {
     const steady = this.#clocks.steady();
-    const own = this.#clocks.shown() - steady;
+    const own = this.#clocks.wall() - steady;
     const agreed = this.#median(own, steady);
     const offset = Math.abs(own - agreed) <= TOLERANCE_MS ? own : agreed;
     return steady + offset;
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -265,7 +265,7 @@
 const LEASE_MS = 3_000;
 
 const FAKE_CLOCKS: HostClocks = {
-  shown: () => performance.now(),
+  wall: () => performance.now(),
   steady: () => performance.now(),
 };
 
@@ -353,7 +353,7 @@
       store: this.#wrapStore(leadership.store),
       own: contact,
       leaseMs: LEASE_MS,
-      clock: { now: FAKE_CLOCKS.shown, monotonic: FAKE_CLOCKS.steady },
+      clock: { now: FAKE_CLOCKS.wall, monotonic: FAKE_CLOCKS.steady },
       log,
     });
     this.leader = new Leader({
