--- a/packages/router/src/leadership.ts
+++ b/packages/router/src/leadership.ts
@@ -113,7 +113,7 @@
       eligible: () => neighbourhood().mayLead,
       changed: () => neighbourhood().leaseChanged(),
       now: () => this.time.now(),
-      steady: () => HOST_CLOCKS.steady(),
+      steady: () => HOST_CLOCKS.monotonic(),
       random,
       log,
       metrics,
--- a/packages/router/src/process/fleet_time.ts
+++ b/packages/router/src/process/fleet_time.ts
@@ -24,13 +24,13 @@
   /** Epoch milliseconds; may jump. */
   wall(): number;
   /** Steady milliseconds. */
-  steady(): number;
+  monotonic(): number;
 }
 
 /** The clocks of the host that the process runs on. */
 export const HOST_CLOCKS: HostClocks = {
   wall: () => Date.now(),
-  steady: () => performance.now(),
+  monotonic: () => performance.now(),
 };
 
 /**
@@ -56,7 +56,7 @@
 
   /** Takes the time of day that a neighbour told just now, in epoch ms. */
   recordNeighbourTime(neighbour: string, timeMs: number): void {
-    const at = this.#clocks.steady();
+    const at = this.#clocks.monotonic();
     this.#told.set(neighbour, { offset: timeMs - at, at });
   }
 
@@ -67,7 +67,7 @@
 
   /** Epoch milliseconds. */
   now(): number {
-    const steady = this.#clocks.steady();
+    const steady = this.#clocks.monotonic();
     const own = this.#clocks.wall() - steady;
     const agreed = this.#median(own, steady);
     const offset = Math.abs(own - agreed) <= TOLERANCE_MS ? own : agreed;
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -266,7 +266,7 @@
 
 const FAKE_CLOCKS: HostClocks = {
   wall: () => performance.now(),
-  steady: () => performance.now(),
+  monotonic: () => performance.now(),
 };
 
 /** A usage report that the platform's API received. */
@@ -353,7 +353,7 @@
       store: this.#wrapStore(leadership.store),
       own: contact,
       leaseMs: LEASE_MS,
-      clock: { now: FAKE_CLOCKS.wall, monotonic: FAKE_CLOCKS.steady },
+      clock: { now: FAKE_CLOCKS.wall, monotonic: FAKE_CLOCKS.monotonic },
       log,
     });
     this.leader = new Leader({
@@ -370,7 +370,7 @@
       eligible: () => this.fleetSync.mayLead,
       changed: () => this.fleetSync.leaseChanged(),
       now: () => this.time.now(),
-      steady: FAKE_CLOCKS.steady,
+      steady: FAKE_CLOCKS.monotonic,
       random: Math.random,
       log,
       metrics: { term() {}, usageWindow() {}, platformCall() {} },
--- a/packages/router/tests/leader_test.ts
+++ b/packages/router/tests/leader_test.ts
@@ -73,7 +73,7 @@
 
   start(name: string): Daemon {
     const steady = () => performance.now();
-    const time = new FleetTime({ wall: steady, steady });
+    const time = new FleetTime({ wall: steady, monotonic: steady });
     const meter = new UsageMeter({
       life: name,
       windowMs: TIMING.windowMs,
