--- a/packages/router/src/connection/overlay.ts
+++ b/packages/router/src/connection/overlay.ts
@@ -1,5 +1,5 @@
 /**
- * Which daemons this one is linked to, and what each link is for.
+ * The overlay network of daemons: which peers to link to, and each link's role.
  *
  * @module
  */
@@ -14,90 +14,92 @@
 import type { Peer, Peers } from "./peers.ts";
 
 /**
- * What a peer is to this daemon: `parent` and `child` in the tree of a failure
- * domain, `head` of another one. Without a role a link carries versions only.
+ * Role of a peer: `parent` or `child` in the tree of a failure domain, or `head`
+ * of another domain. A link to a peer without a role carries versions only.
  */
 export type Role = "parent" | "child" | "head";
 
-/** Shortest time between two plans, in ms, so that news in a burst is taken together. */
-const PLAN_MS = 100;
+/** Shortest time between two plans, which batches bursts of changes. */
+const PLAN_INTERVAL_MS = 100;
 /**
- * Times without answer after which others are told that a daemon is gone, so that
- * one of them need not dial each dead daemon that ranked before it.
+ * Failed dials after which a daemon is reported gone. Otherwise each daemon would
+ * have to dial every dead daemon that ranks before it.
  */
-const GONE_AFTER = 2;
+const MAX_DIALS = 2;
 /**
- * The same in a small fleet, about a minute: there is room for all, and a daemon
- * that was cut off is dialled until it is back.
+ * The same in a fleet without relays, where contacts of all daemons fit: about a
+ * minute, so that a daemon that was cut off is dialled until it is back.
  */
-const GONE_AFTER_DIRECT = 30;
+const MAX_DIALS_DIRECT = 30;
 /**
- * Contacts of a failure domain that are kept whether they answer or not. When all
- * of it is cut off for a while, these are how both sides find each other again.
+ * Contacts of a failure domain that are kept even if they are unreachable. After a
+ * partition that cut off the whole domain, both sides find each other by them.
  */
-const LEAST_CONTACTS = 2;
-/** Milliseconds for which a link is kept that this daemon does not need any more. */
+const MIN_DOMAIN_CONTACTS = 2;
+/** Milliseconds for which a link that this daemon no longer needs stays open. */
 const LINGER_MS = 2_000;
-/** Part of `relaysFrom` below which a fleet goes back to telling all directly. */
+/** Share of `relaysFrom` below which a fleet returns to direct links. */
 const DIRECT_SHARE = 0.75;
-/** Milliseconds for which it must have been so small. */
-const DIRECT_AFTER_MS = 5_000;
+/** Milliseconds for which the fleet must have been below that size. */
+const DIRECT_DELAY_MS = 5_000;
 
 /**
- * Daemons that one that has just started links to at first in a fleet that looks
- * small: which of the others it will need shows when it has heard of them all.
+ * Links that a daemon opens after its start in a fleet that looks small, until it
+ * has received the contacts of the others and can tell which links it needs.
  */
-const FIRST_LINKS = 5;
-/** Milliseconds after which it has. */
-const MEET_MS = 500;
+const INITIAL_LINKS = 5;
+/** Milliseconds in which a daemon that starts receives these contacts. */
+const DISCOVERY_MS = 500;
 
-/** What the overlay is made of, and who is told of changes. */
+/** The overlay's data sources, and the listener for changes of roles. */
 export interface OverlayDependencies {
   readonly own: Contact;
   readonly book: ContactBook;
   readonly log: EventLog;
-  /** Daemons from which on loads go through relays. */
+  /** Fleet size from which loads go through relays. */
   readonly relaysFrom: number;
   readonly peers: Peers;
-  /** Daemons that can be heard of, with this one. */
+  /** The recent sizes of the fleet and of the own failure domain. */
   members(): MemberCounts;
-  /** The role of a peer has changed from `before`. */
+  /** Called after the role of a peer changed from `before`. */
   roleChanged(peer: Peer, before: Role | undefined): void;
 }
 
 /**
- * Keeps the links that {@linkcode planLinks} names, once the fleet is so large
- * that not everybody can tell everybody. Roles come from subscriptions: a child
- * subscribes at its parent, a head at the other heads, and the one that is asked
- * serves, whatever it takes for itself. What differs between the views of two
- * daemons costs a link or a while without news, but a parent always ranks before
- * its children, so that no load is counted twice.
+ * Links all daemons of a small fleet to each other, and maintains the links that
+ * {@linkcode planLinks} plans in a fleet that is too large for that.
+ *
+ * Roles follow from subscriptions: a child subscribes to its parent, a head to the
+ * other heads, and a daemon serves its subscribers whatever its own plan says.
+ * Where the views of two daemons differ, they have a needless link, or miss
+ * updates for a while. A parent always ranks before its children, so no load is
+ * counted twice.
  */
 export class Overlay {
-  readonly #host: OverlayDependencies;
+  readonly #dependencies: OverlayDependencies;
   readonly #own: Contact;
-  /** Where this daemon has subscribed, and for what. */
-  readonly #asked = new Map<string, Subscribe["scope"]>();
-  /** Who has subscribed here, and for what. */
-  readonly #askedBy = new Map<string, Subscribe["scope"]>();
+  /** Scopes of this daemon's subscriptions, by the peer subscribed to. */
+  readonly #subscriptions = new Map<string, Subscribe["scope"]>();
+  /** Scopes of the subscriptions of peers to this daemon. */
+  readonly #subscribers = new Map<string, Subscribe["scope"]>();
   readonly #absences = new UnreachableDaemons();
   readonly #idleSince = new Map<string, number>();
-  /** Peers to keep links to, whether they have a role or not. */
+  /** Names of the peers in the last plan. */
   #planned: ReadonlySet<string> = new Set();
-  /** Peers whose links are closed because neither side needs them. */
-  readonly #parting = new WeakSet<Peer>();
+  /** Peers whose links are being closed because neither side needs them. */
+  readonly #closing = new WeakSet<Peer>();
   readonly #startedAt = performance.now();
   #relayed = false;
   #head = false;
   #smallSince = Infinity;
   #plannedAt = -Infinity;
-  /** Relays of the own failure domain in the last plan. */
-  #relays = 1;
+  /** Number of relays of the own failure domain in the last plan. */
+  #relayCount = 1;
   #stale = true;
 
-  constructor(host: OverlayDependencies) {
-    this.#host = host;
-    this.#own = host.own;
+  constructor(dependencies: OverlayDependencies) {
+    this.#dependencies = dependencies;
+    this.#own = dependencies.own;
   }
 
   /** Whether loads go through relays. */
@@ -105,22 +107,22 @@
     return this.#relayed;
   }
 
-  /** Whether this daemon hears of its whole failure domain, and of the others. */
+  /** Whether this daemon receives the updates of its failure domain and of the others. */
   get isHead(): boolean {
     return this.#head;
   }
 
-  /** Whether this daemon passes on what others tell. */
+  /** Whether this daemon has children to relay updates to. */
   get isRelay(): boolean {
-    return [...this.#askedBy.values()].includes("fleet");
+    return [...this.#subscribers.values()].includes("fleet");
   }
 
-  /** What a peer is to this daemon. */
+  /** The role of a peer, if it has one. */
   role(name: string): Role | undefined {
-    if (this.#askedBy.get(name) === "fleet") return "child";
-    if (this.#asked.get(name) === "fleet") return "parent";
-    const headed = this.#asked.has(name) || this.#askedBy.has(name);
-    return headed ? "head" : undefined;
+    if (this.#subscribers.get(name) === "fleet") return "child";
+    if (this.#subscriptions.get(name) === "fleet") return "parent";
+    const isHead = this.#subscriptions.has(name) || this.#subscribers.has(name);
+    return isHead ? "head" : undefined;
   }
 
   /** Whether a peer's link carries versions only. */
@@ -130,125 +132,134 @@
 
   /** Peers with one of these roles. */
   peersWith(...roles: readonly Role[]): readonly Peer[] {
-    return this.#host.peers.connected.filter(({ name }) => {
+    return this.#dependencies.peers.connected.filter(({ name }) => {
       const role = this.role(name);
       return role !== undefined && roles.includes(role);
     });
   }
 
-  /** A link is up. */
+  /** Handles a link that has come up. */
   joined(peer: Peer): void {
     this.#absences.markReachable(peer.name);
     this.invalidate();
-    this.#chooseWay(performance.now());
+    this.#chooseTopology(performance.now());
   }
 
-  /** A link is down. */
+  /** Handles a link that has closed. */
   left(peer: Peer): void {
     const before = this.role(peer.name);
-    this.#asked.delete(peer.name);
-    this.#askedBy.delete(peer.name);
+    this.#subscriptions.delete(peer.name);
+    this.#subscribers.delete(peer.name);
     this.#idleSince.delete(peer.name);
-    const chosen = this.#parting.has(peer);
-    if (!chosen) this.#absences.linkLost(peer, performance.now());
-    if (before !== undefined) this.#host.roleChanged(peer, before);
+    const closedHere = this.#closing.has(peer);
+    if (!closedHere) this.#absences.linkLost(peer, performance.now());
+    if (before !== undefined) this.#dependencies.roleChanged(peer, before);
     this.invalidate();
   }
 
-  /** Nobody answers at an address. */
+  /** Handles an address at which dials fail repeatedly. */
   unreachable(address: string): void {
-    const { book, log } = this.#host;
+    const { book, log } = this.#dependencies;
     const contact = book.all().find((each) => each.address === address);
     if (contact === undefined) return;
     const now = performance.now();
-    const times = this.#absences.dialFailed(contact, now);
+    const dials = this.#absences.dialFailed(contact, now);
     this.invalidate();
-    if (!this.#isGone(contact, times)) return;
+    if (!this.#isGone(contact, dials)) return;
     if (book.remove(contact, now)) {
-      log.event("daemon_gone", { name: contact.name, address, times });
+      log.event("daemon_gone", {
+        name: contact.name,
+        address,
+        times: dials,
+      });
     }
   }
 
-  /** Daemons that are taken to live, as far as known. */
+  /** Other daemons that are presumed alive. */
   reachable(now: number): readonly Contact[] {
-    return this.#host.book.all()
+    return this.#dependencies.book.all()
       .filter((each) => this.#absences.isReachable(each, now));
   }
 
-  /** A peer does not need its link any more. */
+  /** Closes a link that the peer does not need, unless this daemon does. */
   handleUnneeded(peer: Peer): void {
     const { name, link } = peer;
     const needed = !this.#relayed || this.#planned.has(name) ||
       this.role(name) !== undefined;
     if (needed) return;
-    this.#parting.add(peer);
+    this.#closing.add(peer);
     link.close();
   }
 
-  /** Something that links follow from has changed. */
+  /** Marks the plan as stale. */
   invalidate(): void {
     this.#stale = true;
   }
 
-  /** A peer asks for loads, or does so no more. */
+  /** Adds, replaces or removes the subscription of a peer. */
   handleSubscribe(peer: Peer, scope: Subscribe["scope"]): void {
     const before = this.role(peer.name);
     if (scope === "none") {
-      this.#askedBy.delete(peer.name);
-    } else if (this.#mayAsk(peer, scope)) {
-      this.#askedBy.set(peer.name, scope);
+      this.#subscribers.delete(peer.name);
+    } else if (this.#maySubscribe(peer, scope)) {
+      this.#subscribers.set(peer.name, scope);
     } else {
-      this.#host.log.event("subscription_refused", { name: peer.name, scope });
+      this.#dependencies.log.event("subscription_refused", {
+        name: peer.name,
+        scope,
+      });
     }
     const after = this.role(peer.name);
-    if (before !== after) this.#host.roleChanged(peer, before);
+    if (before !== after) this.#dependencies.roleChanged(peer, before);
     this.invalidate();
   }
 
-  /** Sees to it that links and roles fit what is known. */
+  /** Adapts links and subscriptions to the known contacts and sizes. */
   reconcile(now: number): void {
-    this.#chooseWay(now);
+    this.#chooseTopology(now);
     if (!this.#stale && !this.#isDue(now)) return;
-    if (this.#relayed && now - this.#plannedAt < PLAN_MS) return;
+    if (this.#relayed && now - this.#plannedAt < PLAN_INTERVAL_MS) return;
     this.#plannedAt = now;
     this.#stale = false;
     if (!this.#relayed) return this.#linkAll(now);
     const plan = this.#plan(now);
     this.#head = plan.parent === undefined;
-    const wanted = wantedBy(plan);
-    this.#host.peers.maintainLinks(
-      new Set(wanted.map(({ address }) => address)),
+    const contacts = contactsIn(plan);
+    this.#dependencies.peers.maintainLinks(
+      new Set(contacts.map(({ address }) => address)),
     );
-    this.#planned = new Set(wanted.map(({ name }) => name));
+    this.#planned = new Set(contacts.map(({ name }) => name));
     this.#subscribe(plan);
-    this.#partIdle(now);
+    this.#closeIdleLinks(now);
   }
 
-  /** Whether time alone may have changed the plan. */
+  /** Whether the plan is to be renewed without an invalidation. */
   #isDue(now: number): boolean {
-    if (relayCount(this.#host.members().domain) !== this.#relays) return true;
+    if (relayCount(this.#dependencies.members().domain) !== this.#relayCount) {
+      return true;
+    }
     return now - this.#plannedAt >= LINK_LOST_MS &&
       (this.#absences.any || this.#idleSince.size > 0);
   }
 
-  #mayAsk(peer: Peer, scope: Subscribe["scope"]): boolean {
+  #maySubscribe(peer: Peer, scope: Subscribe["scope"]): boolean {
     const sameDomain = peer.failureDomain === this.#own.failureDomain;
     if (scope === "domain") return !sameDomain;
     return sameDomain && ranksBefore(this.#own, peer);
   }
 
-  /** A daemon that reaches nobody says nothing about others. */
-  #isGone({ failureDomain }: Contact, times: number): boolean {
-    const { book, peers } = this.#host;
+  /** Whether a daemon counts as gone. A daemon that reaches no peer cannot tell. */
+  #isGone({ failureDomain }: Contact, dials: number): boolean {
+    const { book, peers } = this.#dependencies;
     if (peers.count === 0) return false;
-    if (times < (this.#relayed ? GONE_AFTER : GONE_AFTER_DIRECT)) return false;
+    if (dials < (this.#relayed ? MAX_DIALS : MAX_DIALS_DIRECT)) return false;
     const ofDomain = book.all()
       .filter((each) => each.failureDomain === failureDomain);
-    return ofDomain.length > LEAST_CONTACTS;
+    return ofDomain.length > MIN_DOMAIN_CONTACTS;
   }
 
-  #chooseWay(now: number): void {
-    const { book, relaysFrom, members, log } = this.#host;
+  #chooseTopology(now: number): void {
+    const { book, relaysFrom, members, log } = this.#dependencies;
     const size = Math.max(book.size + 1, members().fleet);
     if (size >= DIRECT_SHARE * relaysFrom || this.isRelay) {
       this.#smallSince = Infinity;
@@ -256,57 +267,61 @@
       this.#smallSince = now;
     }
     const relayed = size >= relaysFrom || this.isRelay ||
-      (this.#relayed && now - this.#smallSince < DIRECT_AFTER_MS);
+      (this.#relayed && now - this.#smallSince < DIRECT_DELAY_MS);
     if (relayed === this.#relayed) return;
     this.#relayed = relayed;
     this.#stale = true;
     log.event("relaying_changed", { relayed, size });
-    // What was told directly is void. Neighbours in the tree stay: they have told
-    // the whole of what they know, and would not tell it again.
-    for (const peer of this.#host.peers.connected) {
+    // Discards the reports of direct links. Neighbours in the tree keep their
+    // roles: they have sent their snapshots and would not send them again.
+    for (const peer of this.#dependencies.peers.connected) {
       if (this.role(peer.name) !== undefined) continue;
-      this.#host.roleChanged(peer, undefined);
+      this.#dependencies.roleChanged(peer, undefined);
     }
   }
 
   #linkAll(now: number): void {
-    const { book, peers } = this.#host;
-    for (const name of [...this.#asked.keys()]) this.#ask(name, "none");
-    const met = now - this.#startedAt >= MEET_MS;
+    const { book, peers } = this.#dependencies;
+    for (const name of [...this.#subscriptions.keys()]) {
+      this.#setSubscription(name, "none");
+    }
+    const discovered = now - this.#startedAt >= DISCOVERY_MS;
     const ranked = inRankOrder(book.all());
-    const links = met ? ranked : ranked.slice(0, FIRST_LINKS);
+    const links = discovered ? ranked : ranked.slice(0, INITIAL_LINKS);
     peers.maintainLinks(new Set(links.map(({ address }) => address)));
     this.#stale = links.length < ranked.length;
   }
 
   #plan(now: number): LinkPlan {
-    const { domain } = this.#host.members();
-    this.#relays = relayCount(domain);
+    const { domain } = this.#dependencies.members();
+    this.#relayCount = relayCount(domain);
     return planLinks(this.#own, this.reachable(now), domain);
   }
 
-  /** Subscribes where the plan says, as far as links are up. */
+  /** Subscribes to the peers of the plan whose links are up. */
   #subscribe(plan: LinkPlan): void {
-    const { peers } = this.#host;
+    const { peers } = this.#dependencies;
     const targets = plan.parent === undefined ? plan.heads : [plan.parent];
     const scope = plan.parent === undefined ? "domain" : "fleet";
-    const up = targets.filter(({ name }) => peers.get(name) !== undefined);
-    // The parent so far serves until the link to the next one is up.
-    if (plan.parent !== undefined && up.length === 0) return;
+    const linked = targets.filter(({ name }) => peers.get(name) !== undefined);
+    // Keeps the current parent until the link to the next one is up.
+    if (plan.parent !== undefined && linked.length === 0) return;
     const names = new Set(targets.map(({ name }) => name));
-    for (const [name, before] of [...this.#asked]) {
-      if (!names.has(name) || before !== scope) this.#ask(name, "none");
+    for (const [name, before] of [...this.#subscriptions]) {
+      if (!names.has(name) || before !== scope) {
+        this.#setSubscription(name, "none");
+      }
     }
-    for (const { name } of up) {
-      if (!this.#asked.has(name)) this.#ask(name, scope);
+    for (const { name } of linked) {
+      if (!this.#subscriptions.has(name)) this.#setSubscription(name, scope);
     }
   }
 
-  #ask(name: string, scope: Subscribe["scope"]): void {
-    const { peers, log, roleChanged } = this.#host;
+  #setSubscription(name: string, scope: Subscribe["scope"]): void {
+    const { peers, log, roleChanged } = this.#dependencies;
     const before = this.role(name);
-    if (scope === "none") this.#asked.delete(name);
-    else this.#asked.set(name, scope);
+    if (scope === "none") this.#subscriptions.delete(name);
+    else this.#subscriptions.set(name, scope);
     const peer = peers.get(name);
     if (peer === undefined) return;
     peer.link.send({ kind: "subscribe", scope });
@@ -316,13 +331,13 @@
     roleChanged(peer, before);
   }
 
-  /** Has links closed that this daemon dialled and neither side needs. */
-  #partIdle(now: number): void {
-    for (const peer of this.#host.peers.connected) {
+  /** Offers to close the links that this daemon dialled and no longer needs. */
+  #closeIdleLinks(now: number): void {
+    for (const peer of this.#dependencies.peers.connected) {
       const { name, dialled, link } = peer;
-      const idle = dialled && !this.#planned.has(name) &&
+      const isIdle = dialled && !this.#planned.has(name) &&
         this.role(name) === undefined;
-      if (!idle) {
+      if (!isIdle) {
         this.#idleSince.delete(name);
         continue;
       }
@@ -330,13 +345,13 @@
       this.#idleSince.set(name, since);
       if (now - since < LINGER_MS) continue;
       this.#idleSince.set(name, now);
-      this.#parting.add(peer);
+      this.#closing.add(peer);
       link.send({ kind: "unneeded" });
     }
   }
 }
 
-function wantedBy(plan: LinkPlan): readonly Contact[] {
+function contactsIn(plan: LinkPlan): readonly Contact[] {
   const { parent, spare, heads } = plan;
-  return [parent, spare, ...heads].filter((each) => each !== undefined);
+  return [parent, spare, ...heads].filter((contact) => contact !== undefined);
 }
