--- a/packages/router/src/connection/peers.ts
+++ b/packages/router/src/connection/peers.ts
@@ -1,5 +1,5 @@
 /**
- * The other daemons that this one has links to.
+ * Links to other daemons: dialling, accepting and the handshake.
  *
  * @module
  */
@@ -12,21 +12,21 @@
 import type { Hello, PeerMessage } from "./peer_message.ts";
 import type { LinkOpening, PeerNetwork } from "./peer_network.ts";
 
-/** First pause before an address is dialled again, in ms; doubled each time. */
-const FIRST_PAUSE_MS = 150;
-const LONGEST_PAUSE_MS = 2_000;
-/** Dials in a row without answer after which a sought address is given up. */
-const MAX_SEEKS = 5;
-/** Dials in a row without answer after which an address counts as unreachable. */
+/** First delay before an address is dialled again; doubled with each failure. */
+const MIN_BACKOFF_MS = 150;
+const MAX_BACKOFF_MS = 2_000;
+/** Consecutive failed dials after which a candidate address is dropped. */
+const MAX_CANDIDATE_DIALS = 5;
+/** Consecutive failed dials after which an address is reported as unreachable. */
 const UNREACHABLE_DIALS = 2;
 /**
- * Links that a daemon has at most. A relay needs some thirty; beyond them, and
- * with room for a start of all, the descriptors are for callers and runners.
+ * Most links of a daemon. A relay needs some thirty, and more while all daemons
+ * start at once; the other file descriptors are for callers and runners.
  */
 const MAX_LINKS = 500;
 
-/** Daemons of another version that are remembered, so that each is logged once. */
-const MAX_FOREIGN = 1_000;
+/** Remembered addresses of daemons of another version, each of which is logged once. */
+const MAX_MISMATCHED = 1_000;
 
 /** A daemon whose link is up. */
 export interface Peer extends Contact {
@@ -35,33 +35,35 @@
   readonly dialled: boolean;
 }
 
-/** Told of peers and their messages. */
+/** Receives peers and their messages. */
 export interface PeerListener {
-  /** Names the daemons that a new peer is told of. */
+  /** Contacts to send to a new peer. */
   contactsFor(
     peer: Pick<Contact, "failureDomain"> | undefined,
   ): readonly Contact[];
-  joined(peer: Peer, known: readonly Contact[]): void;
+  /** Called when a link is up, with the contacts in the peer's hello. */
+  joined(peer: Peer, contacts: readonly Contact[]): void;
+  /** Called when a link is down. */
   left(peer: Peer): void;
   received(peer: Peer, message: PeerMessage): void;
-  /** Nobody answers at an address, some times in a row. */
+  /** Called when several consecutive dials of an address have failed. */
   unreachable(address: string): void;
 }
 
 interface Target {
-  /** Dials in a row without answer. */
+  /** Consecutive failed dials. */
   dials: number;
-  /** Whether a dial is on its way. */
+  /** Whether a dial is in progress. */
   dialling: boolean;
   timer: NodeJS.Timeout | undefined;
 }
 
 /**
- * Keeps one link to each daemon that it is asked to, and takes links of others.
+ * Maintains one link to each requested daemon, and accepts links from others.
  *
- * Both sides may dial at once. Of two links between the same two lives of
- * daemons, the one that the lower address dialled stays; a new life of a
- * daemon replaces the link of the one before.
+ * Both sides may dial at once. Of two links between the same incarnations of two
+ * daemons, the one dialled from the lower address is kept. A link of a new
+ * incarnation of a daemon replaces that of the previous one.
  */
 export class Peers {
   readonly #own: Contact;
@@ -71,12 +73,12 @@
   readonly #peers = new Map<string, Peer>();
   readonly #byAddress = new Map<string, Peer>();
   readonly #targets = new Map<string, Target>();
-  /** Addresses to keep a link to. */
-  #wanted: ReadonlySet<string> = new Set();
-  /** Addresses to dial until someone answers there. */
-  readonly #sought = new Set<string>();
-  /** Addresses of daemons of another version; one log line each. */
-  readonly #foreign = new Set<string>();
+  /** Addresses to maintain links to. */
+  #maintained: ReadonlySet<string> = new Set();
+  /** Addresses to dial until a daemon answers. */
+  readonly #candidates = new Set<string>();
+  /** Addresses of daemons of another version that have been logged. */
+  readonly #mismatched = new Set<string>();
   #stopped = false;
 
   constructor(own: Contact, options: {
@@ -95,17 +97,17 @@
     return [...this.#peers.values()];
   }
 
-  /** The peer of that name, while its link is up. */
+  /** The peer with a name, if its link is up. */
   get(name: string): Peer | undefined {
     return this.#peers.get(name);
   }
 
-  /** How many links are up. */
+  /** Number of links that are up. */
   get count(): number {
     return this.#peers.size;
   }
 
-  /** The port that it listens on. */
+  /** The port on which links are accepted. */
   get port(): number {
     return this.#network.port;
   }
@@ -113,24 +115,24 @@
   open(address: ListenAddress): Promise<void> {
     return this.#network.open(
       address,
-      (opening) => this.#join(opening, undefined),
+      (opening) => this.#openLink(opening, undefined),
     );
   }
 
-  /** Dials addresses, of whomever they are, until someone answers there. */
+  /** Dials the addresses of unknown daemons until they answer or are given up. */
   discover(addresses: readonly string[]): void {
     for (const address of addresses) {
       if (address === this.#own.address) continue;
-      this.#sought.add(address);
-      this.#dialSoon(address);
+      this.#candidates.add(address);
+      this.#dialIfIdle(address);
     }
   }
 
-  /** Keeps links to these addresses from now on, and dials no others again. */
+  /** Maintains links to these addresses from now on, and redials no others. */
   maintainLinks(addresses: ReadonlySet<string>): void {
-    this.#wanted = addresses;
+    this.#maintained = addresses;
     for (const address of this.#targets.keys()) this.#dropUnneeded(address);
-    for (const address of addresses) this.#dialSoon(address);
+    for (const address of addresses) this.#dialIfIdle(address);
   }
 
   /** Closes all links. */
@@ -142,7 +144,7 @@
   }
 
   #isNeeded(address: string): boolean {
-    return this.#wanted.has(address) || this.#sought.has(address);
+    return this.#maintained.has(address) || this.#candidates.has(address);
   }
 
   #dropUnneeded(address: string): void {
@@ -153,8 +155,8 @@
     if (!target.dialling) this.#targets.delete(address);
   }
 
-  /** Dials at once, unless a link, a dial or a pause is there already. */
-  #dialSoon(address: string): void {
+  /** Dials an address unless it has a link, a dial in progress or a backoff. */
+  #dialIfIdle(address: string): void {
     if (this.#stopped || address === this.#own.address) return;
     if (this.#byAddress.has(address)) return;
     const target = this.#targets.get(address) ??
@@ -169,46 +171,48 @@
     this.#network.dial(address, {
       opened: (opening) => {
         target.dialling = false;
-        this.#join(opening, address);
+        this.#openLink(opening, address);
       },
       failed: () => {
         target.dialling = false;
-        this.#unanswered(address, target);
+        this.#dialFailed(address, target);
       },
     });
   }
 
-  #unanswered(address: string, target: Target): void {
+  #dialFailed(address: string, target: Target): void {
     if (this.#stopped) return;
     target.dials += 1;
-    if (target.dials >= MAX_SEEKS) this.#sought.delete(address);
+    if (target.dials >= MAX_CANDIDATE_DIALS) this.#candidates.delete(address);
     if (target.dials >= UNREACHABLE_DIALS) this.#listener.unreachable(address);
     this.#redial(address, target);
   }
 
   #redial(address: string, target: Target): void {
     this.#dropUnneeded(address);
-    const idle = this.#stopped || !this.#targets.has(address);
-    if (idle || target.timer !== undefined || this.#byAddress.has(address)) {
+    const unneeded = this.#stopped || !this.#targets.has(address);
+    if (
+      unneeded || target.timer !== undefined || this.#byAddress.has(address)
+    ) {
       return;
     }
-    const pause = Math.min(
-      LONGEST_PAUSE_MS,
-      FIRST_PAUSE_MS * 2 ** Math.min(target.dials, 8),
+    const backoffMs = Math.min(
+      MAX_BACKOFF_MS,
+      MIN_BACKOFF_MS * 2 ** Math.min(target.dials, 8),
     );
     target.timer = setTimeout(() => {
       target.timer = undefined;
       const needed = this.#isNeeded(address) && !this.#byAddress.has(address);
       if (needed && !target.dialling) this.#dial(address, target);
-    }, pause * (0.5 + Math.random()));
+    }, backoffMs * (0.5 + Math.random()));
   }
 
-  #join(opening: LinkOpening, dialledAddress: string | undefined): void {
+  #openLink(opening: LinkOpening, dialledAddress: string | undefined): void {
     let peer: Peer | undefined;
     const link = opening({
       onMessage: (message) => {
         if (message.kind === "hello") {
-          peer = this.#greeted(message, link, dialledAddress !== undefined);
+          peer = this.#handleHello(message, link, dialledAddress !== undefined);
           return;
         }
         if (peer !== undefined) this.#listener.received(peer, message);
@@ -217,32 +221,33 @@
         this.#log.event("peer_message_bad", { name: peer?.name, reason });
       },
       onClose: () => {
-        if (peer !== undefined) this.#lost(peer);
-        this.#closed(dialledAddress ?? peer?.address, peer !== undefined);
+        if (peer !== undefined) this.#linkLost(peer);
+        this.#linkClosed(dialledAddress ?? peer?.address, peer !== undefined);
       },
     });
-    // The other side speaks first where it dialled, and is told what it can use.
+    // The dialling side sends its hello first; the reply then includes the contacts
+    // that are useful to it.
     if (dialledAddress !== undefined) link.send(this.#hello(undefined));
   }
 
-  #closed(address: string | undefined, greeted: boolean): void {
+  #linkClosed(address: string | undefined, connected: boolean): void {
     if (address === undefined || this.#byAddress.has(address)) return;
     const target = this.#targets.get(address);
     if (target === undefined) {
-      if (this.#wanted.has(address)) this.#dialSoon(address);
+      if (this.#maintained.has(address)) this.#dialIfIdle(address);
       return;
     }
-    if (greeted) this.#redial(address, target);
-    else this.#unanswered(address, target);
+    if (connected) this.#redial(address, target);
+    else this.#dialFailed(address, target);
   }
 
-  #hello(to: Contact | undefined): Hello {
-    const known = this.#listener.contactsFor(to);
+  #hello(peer: Contact | undefined): Hello {
+    const known = this.#listener.contactsFor(peer);
     return { kind: "hello", protocol: PROTOCOL_VERSION, ...this.#own, known };
   }
 
-  #greeted(hello: Hello, link: Link, dialled: boolean): Peer | undefined {
-    if (!this.#isWelcome(hello)) {
+  #handleHello(hello: Hello, link: Link, dialled: boolean): Peer | undefined {
+    if (!this.#accepts(hello)) {
       link.close();
       return undefined;
     }
@@ -250,8 +255,8 @@
     const { name, incarnation, address } = contact;
     const peer = { ...contact, link, dialled };
     if (!dialled) link.send(this.#hello(contact));
-    const before = this.#peers.get(name);
-    if (before !== undefined && before.incarnation === incarnation) {
+    const existing = this.#peers.get(name);
+    if (existing !== undefined && existing.incarnation === incarnation) {
       const dialler = dialled ? this.#own.address : address;
       const other = dialled ? address : this.#own.address;
       if (dialler > other) {
@@ -259,50 +264,50 @@
         return undefined;
       }
     }
-    if (before !== undefined) this.#replace(before);
+    if (existing !== undefined) this.#replace(existing);
     this.#peers.set(name, peer);
     this.#byAddress.set(address, peer);
-    this.#answered(address);
+    this.#linked(address);
     this.#listener.joined(peer, hello.known);
     this.#log.event("peer_joined", { name, address, peers: this.#peers.size });
     return peer;
   }
 
-  #answered(address: string): void {
-    this.#sought.delete(address);
+  #linked(address: string): void {
+    this.#candidates.delete(address);
     const target = this.#targets.get(address);
     if (target === undefined) return;
     target.dials = 0;
     this.#dropUnneeded(address);
   }
 
-  #isWelcome({ name, protocol, address }: Hello): boolean {
+  #accepts({ name, protocol, address }: Hello): boolean {
     if (name === this.#own.name) return false;
     if (protocol === PROTOCOL_VERSION) return this.#peers.size < MAX_LINKS;
-    if (!this.#foreign.has(address)) {
-      if (this.#foreign.size >= MAX_FOREIGN) this.#foreign.clear();
-      this.#foreign.add(address);
+    if (!this.#mismatched.has(address)) {
+      if (this.#mismatched.size >= MAX_MISMATCHED) this.#mismatched.clear();
+      this.#mismatched.add(address);
       this.#log.event("peer_version_other", { name, address, protocol });
     }
     return false;
   }
 
-  #replace(before: Peer): void {
-    this.#forget(before);
-    this.#listener.left(before);
-    before.link.close();
+  #replace(existing: Peer): void {
+    this.#remove(existing);
+    this.#listener.left(existing);
+    existing.link.close();
   }
 
-  #forget(peer: Peer): void {
+  #remove(peer: Peer): void {
     this.#peers.delete(peer.name);
     if (this.#byAddress.get(peer.address) === peer) {
       this.#byAddress.delete(peer.address);
     }
   }
 
-  #lost(peer: Peer): void {
+  #linkLost(peer: Peer): void {
     if (this.#peers.get(peer.name) !== peer) return;
-    this.#forget(peer);
+    this.#remove(peer);
     this.#listener.left(peer);
     this.#log.event("peer_lost", {
       name: peer.name,
