--- a/packages/router/src/connection/crash_detector.ts
+++ b/packages/router/src/connection/crash_detector.ts
@@ -74,7 +74,7 @@
     if (ended) this.#metrics.runnerEnded(runner.service);
     if (ended) this.#record.recordCrashes(runs, performance.now());
     const named = runs.slice(0, MAX_NAMED).map((each) => each.fingerprint);
-    this.#log.event("runner_looked_at", {
+    this.#log.event("runner_probed", {
       runner: runner.id,
       service: runner.service,
       ended,
--- a/packages/router/src/connection/peers.ts
+++ b/packages/router/src/connection/peers.ts
@@ -218,7 +218,7 @@
         if (peer !== undefined) this.#listener.received(peer, message);
       },
       onFault: (reason) => {
-        this.#log.event("peer_message_bad", { name: peer?.name, reason });
+        this.#log.event("peer_message_invalid", { name: peer?.name, reason });
       },
       onClose: () => {
         if (peer !== undefined) this.#linkLost(peer);
@@ -287,7 +287,7 @@
     if (!this.#mismatched.has(address)) {
       if (this.#mismatched.size >= MAX_MISMATCHED) this.#mismatched.clear();
       this.#mismatched.add(address);
-      this.#log.event("peer_version_other", { name, address, protocol });
+      this.#log.event("peer_version_mismatch", { name, address, protocol });
     }
     return false;
   }
--- a/packages/router/tests/fleet_test.ts
+++ b/packages/router/tests/fleet_test.ts
@@ -223,7 +223,7 @@
     assert.equal(other.links.has(local), false);
   }
   const lines = head!.events.filter(({ name }) =>
-    name === "peer_version_other"
+    name === "peer_version_mismatch"
   );
   assert.equal(lines.length, 1);
 });
