--- a/packages/router/src/connection/broadcast_interval_test.ts
+++ b/packages/router/src/connection/broadcast_interval_test.ts
@@ -3,7 +3,7 @@
 import { broadcastIntervalMs, propagationMs } from "./broadcast_interval.ts";
 import type { IntervalInputs } from "./broadcast_interval.ts";
 
-function momentOf(fields: Partial<IntervalInputs> = {}): IntervalInputs {
+function inputsOf(fields: Partial<IntervalInputs> = {}): IntervalInputs {
   return {
     peers: 3,
     relayed: true,
@@ -14,28 +14,28 @@
   };
 }
 
-// A state wakes whoever is told. While runners have room, none needs to know at
-// once what another one has sent; while requests wait, several want the same room.
-test("while nothing waits, states are half as frequent", () => {
-  const calm = broadcastIntervalMs(momentOf());
+// Each update costs its receivers CPU time. While runners have capacity, daemons need
+// not see each other's loads at once; while requests wait, they compete for capacity.
+test("while no requests wait, updates are half as frequent", () => {
+  const idle = broadcastIntervalMs(inputsOf());
   assert.ok(
-    calm >= 2 * broadcastIntervalMs(momentOf({ requestsWaiting: true })),
+    idle >= 2 * broadcastIntervalMs(inputsOf({ requestsWaiting: true })),
   );
 });
 
-// The operator edits the table while nothing is sent; what waits for the next
-// state would be in force late at every daemon on the way.
-test("a newer configuration does not wait for the pace of loads", () => {
+// Guards against a new configuration that takes effect late at every daemon on the
+// path, because it waits for the next load update while no requests are sent.
+test("a newer configuration does not wait for the interval of loads", () => {
   const newer = { configuration: true, runners: false };
   assert.ok(
-    broadcastIntervalMs(momentOf({ unsent: newer })) <
-      broadcastIntervalMs(momentOf({ requestsWaiting: true })),
+    broadcastIntervalMs(inputsOf({ unsent: newer })) <
+      broadcastIntervalMs(inputsOf({ requestsWaiting: true })),
   );
 });
 
-test("with more relays on the way a load takes longer to be known", () => {
-  const small = propagationMs(momentOf({ domainSize: 12 }));
-  const large = propagationMs(momentOf({ domainSize: 63 }));
+test("with more relays on the path a load takes longer to propagate", () => {
+  const small = propagationMs(inputsOf({ domainSize: 12 }));
+  const large = propagationMs(inputsOf({ domainSize: 63 }));
   assert.ok(small < large && large <= 200, `${small}, ${large} ms`);
-  assert.equal(propagationMs(momentOf({ peers: 0 })), 0);
+  assert.equal(propagationMs(inputsOf({ peers: 0 })), 0);
 });
--- a/packages/router/src/connection/broadcast_timer.ts
+++ b/packages/router/src/connection/broadcast_timer.ts
@@ -1,23 +1,23 @@
 /**
- * When a daemon tells others what has changed.
+ * Schedules the state updates that a daemon sends.
  *
  * @module
  */
 
-/** When to tell, in ms. */
+/** Intervals of a {@linkcode BroadcastTimer}. */
 export interface BroadcastTiming {
-  /** Shortest time between two states now. */
+  /** Shortest time between two updates at present. */
   intervalMs(): number;
-  /** Time between two looks while nothing changes. */
+  /** Time between two calls while nothing changes. */
   readonly idleMs: number;
 }
 
-/** Calls back soon after something has changed, and now and then. */
+/** Calls back soon after a change, rate-limited, and periodically without one. */
 export class BroadcastTimer {
   readonly #timing: BroadcastTiming;
   readonly #tick: () => void;
   #timer: NodeJS.Timeout | undefined;
-  /** Whether the timer is set for the next state, and not to rest. */
+  /** Whether the timer is set for the next update rather than to the idle interval. */
   #awake = false;
   #started = false;
   #tickedAt = -Infinity;
@@ -38,7 +38,7 @@
     clearTimeout(this.#timer);
   }
 
-  /** Something has changed: one period after the last state, or at once. */
+  /** Schedules an update: one interval after the last one, or at once. */
   wake(): void {
     if (!this.#started) return;
     const dueAt = this.#tickedAt + this.#timing.intervalMs();
@@ -54,7 +54,7 @@
       this.#awake = false;
       this.#tickedAt = performance.now();
       this.#tick();
-      // What woke it meanwhile has set the timer already.
+      // A call of `wake` in the callback has already set the timer.
       if (!this.#awake) this.#schedule(this.#timing.idleMs);
     }, ms);
   }
--- a/packages/router/src/connection/version_exchange.ts
+++ b/packages/router/src/connection/version_exchange.ts
@@ -1,5 +1,5 @@
 /**
- * Versions of configurations and runners, told, compared and asked for.
+ * Compares versions with peers and fetches newer configurations and runner lists.
  *
  * @module
  */
@@ -9,70 +9,70 @@
 import type { FetchRequest, FetchResponse, Versions } from "./peer_message.ts";
 import type { Peer } from "./peers.ts";
 
-/** Milliseconds before newer data is asked for again. */
-const WANT_AGAIN_MS = 300;
+/** Milliseconds without a response after which newer data is requested again. */
+const RETRY_MS = 300;
 
-/** What versions are of, and who takes what peers give. */
+/** The versioned data of this daemon. */
 export interface VersionedState {
   readonly prefixes: PrefixIndex;
   readonly directory: RunnerDirectory;
   /** The configuration in force. */
   configuration(): Configuration | undefined;
-  /** Takes a configuration from a peer. */
+  /** Applies a configuration from a peer. */
   adopt(configuration: Configuration, source: string): void;
 }
 
 /**
- * Knows which peer has which versions, asks for what is newer and gives it.
- * Versions ride on every state, so a change that one daemon knows reaches the
- * others also while the store turns them away.
+ * Tracks the versions of each peer, requests newer data and responds to requests.
+ * Each state update includes the sender's versions, so that a change reaches
+ * daemons that the store rejects through the others.
  */
 export class VersionExchange {
-  readonly #known: VersionedState;
-  readonly #offered: () => void;
-  /** Versions that each peer has told to have. */
+  readonly #state: VersionedState;
+  readonly #onNewerVersion: () => void;
+  /** The versions in each peer's last update. */
   readonly #versionsOf = new WeakMap<Peer, Versions>();
-  #told: Versions = { configuration: -1, runners: 0 };
-  #givenAt = -Infinity;
-  #wantedAt = -Infinity;
-  #askedForParts = false;
+  #sent: Versions = { configuration: -1, runners: 0 };
+  #lastResponseAt = -Infinity;
+  #requestedAt = -Infinity;
+  #partsRequested = false;
 
-  /** @param offered called when a peer has something newer. */
-  constructor(known: VersionedState, offered: () => void) {
-    this.#known = known;
-    this.#offered = offered;
+  /** @param onNewerVersion called when newer data is requested from a peer. */
+  constructor(state: VersionedState, onNewerVersion: () => void) {
+    this.#state = state;
+    this.#onNewerVersion = onNewerVersion;
   }
 
   /** Versions that this daemon has. */
   get own(): Versions {
     return {
-      configuration: this.#known.configuration()?.version ?? -1,
-      runners: this.#known.directory.revision,
+      configuration: this.#state.configuration()?.version ?? -1,
+      runners: this.#state.directory.revision,
     };
   }
 
-  /** Steady milliseconds at which a peer gave something last. */
+  /** Time of the last fetch response from a peer, in monotonic ms. */
   get lastResponseAt(): number {
-    return this.#givenAt;
+    return this.#lastResponseAt;
   }
 
-  /** What is newer than what peers were told last. */
+  /** Whether the versions are newer than those last sent to peers. */
   get unsent(): { readonly configuration: boolean; readonly runners: boolean } {
     const { configuration, runners } = this.own;
     return {
-      configuration: configuration > this.#told.configuration,
-      runners: runners > this.#told.runners,
+      configuration: configuration > this.#sent.configuration,
+      runners: runners > this.#sent.runners,
     };
   }
 
-  /** Peers are told what this daemon has. */
+  /** Records that the present versions are sent to peers. */
   markSent(): void {
-    this.#told = this.own;
+    this.#sent = this.own;
   }
 
   /**
-   * Whether a peer may lack what this daemon has. Who told a newer version, or
-   * the same, need not be told it back.
+   * Whether a peer may have an older version. A peer that sent the same or newer
+   * versions does not need this daemon's.
    */
   mayLack(peer: Peer): boolean {
     const { configuration, runners } = this.own;
@@ -82,42 +82,42 @@
   }
 
   /**
-   * Asks a peer for what it has newer.
+   * Requests newer data from a peer, if it has any.
    *
-   * @param options `hasParts`: whether what runners hold is to be had there;
-   * a daemon that has just started asks one other for it.
+   * @param options `hasParts`: whether the peer has the prompt parts that runners
+   * cache; a daemon requests them once, from one peer, after its start.
    */
-  requestNewer(peer: Peer, told: Versions, options: {
+  requestNewer(peer: Peer, peerVersions: Versions, options: {
     readonly hasParts: boolean;
   }): void {
     const { configuration: version, runners: revision } = this.own;
-    const { configuration: toldVersion, runners: toldRevision } = told;
+    const { configuration: peerVersion, runners: peerRevision } = peerVersions;
     this.#versionsOf.set(peer, {
-      configuration: toldVersion,
-      runners: toldRevision,
+      configuration: peerVersion,
+      runners: peerRevision,
     });
-    const configuration = toldVersion > version;
-    const runnersSince = toldRevision > revision ? revision : undefined;
-    const parts = !this.#askedForParts && toldVersion >= 0 &&
+    const configuration = peerVersion > version;
+    const runnersSince = peerRevision > revision ? revision : undefined;
+    const parts = !this.#partsRequested && peerVersion >= 0 &&
       options.hasParts;
     if (!configuration && runnersSince === undefined && !parts) return;
     const now = performance.now();
-    if (!parts && now - this.#wantedAt < WANT_AGAIN_MS) return;
-    this.#wantedAt = now;
-    this.#askedForParts ||= parts;
-    this.#offered();
+    if (!parts && now - this.#requestedAt < RETRY_MS) return;
+    this.#requestedAt = now;
+    this.#partsRequested ||= parts;
+    this.#onNewerVersion();
     peer.link.send({ kind: "want", configuration, runnersSince, parts });
   }
 
-  /** Gives a peer what it asks for. */
+  /** Responds to a peer's request. */
   respond(
     peer: Peer,
     { configuration, runnersSince, parts }: FetchRequest,
   ): void {
-    const { directory, prefixes } = this.#known;
+    const { directory, prefixes } = this.#state;
     peer.link.send({
       kind: "give",
-      configuration: configuration ? this.#known.configuration() : undefined,
+      configuration: configuration ? this.#state.configuration() : undefined,
       runners: runnersSince === undefined
         ? undefined
         : directory.updateSince(runnersSince),
@@ -125,16 +125,16 @@
     });
   }
 
-  /** Takes what a peer gives. */
+  /** Applies a peer's response. */
   applyResponse(
     peer: Peer,
     { configuration, runners, parts = [] }: FetchResponse,
   ): void {
     const now = performance.now();
-    this.#wantedAt = -Infinity;
-    this.#givenAt = now;
-    if (configuration) this.#known.adopt(configuration, `peer ${peer.name}`);
-    if (runners) this.#known.directory.applyUpdate(runners);
-    for (const news of parts) this.#known.prefixes.applyUpdate(news, now);
+    this.#requestedAt = -Infinity;
+    this.#lastResponseAt = now;
+    if (configuration) this.#state.adopt(configuration, `peer ${peer.name}`);
+    if (runners) this.#state.directory.applyUpdate(runners);
+    for (const each of parts) this.#state.prefixes.applyUpdate(each, now);
   }
 }
