--- a/packages/router/src/process/fleet_time_test.ts
+++ b/packages/router/src/process/fleet_time_test.ts
@@ -9,8 +9,8 @@
   const clocks = {
     at: 1_000,
     aheadMs,
-    shown: () => EPOCH_MS + clocks.at + clocks.aheadMs,
-    steady: () => clocks.at,
+    wall: () => EPOCH_MS + clocks.at + clocks.aheadMs,
+    monotonic: () => clocks.at,
   };
   return { clocks, time: new FleetTime(clocks) };
 }
