--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -22,10 +22,7 @@
 } from "./process/platform_api.ts";
 export type { RunnerOrder } from "./process/runner_order.ts";
 export type { UsageReport } from "./process/leader_record.ts";
-export type {
-  CachedParts as HeldMemory,
-  EngineCache as EngineMemory,
-} from "./process/cache_survey.ts";
+export type { CachedParts, EngineCache } from "./process/cache_survey.ts";
 export type { PromptPart } from "./process/prefix_index.ts";
 export type { ReportedLoad } from "./process/runner_load.ts";
 export type { StatedLimit } from "./process/runner_limits.ts";
--- a/packages/router/src/process/autoscaler.ts
+++ b/packages/router/src/process/autoscaler.ts
@@ -15,7 +15,9 @@
 import { validateScaling } from "./scaling.ts";
 import type { Scaling } from "./scaling.ts";
 
-/** Milliseconds without growth of the list of runners before the first order. */
+/**
+ * Milliseconds without growth of the list of runners before the first order.
+ */
 const SETTLED_MS = 3_000;
 /**
  * Milliseconds for which a failure domain counts as out of preemptible runners
@@ -47,7 +49,7 @@
 
 /** State kept per service. */
 interface ServiceState {
-  readonly need: DemandEstimator;
+  readonly estimator: DemandEstimator;
   /** The last logged plan. */
   logged: string;
 }
@@ -56,7 +58,10 @@
 export class Autoscaler implements ScalingPolicy {
   readonly #sources: AutoscalerSources;
   readonly #states = new Map<string, ServiceState>();
-  /** End, in monotonic ms, of the time a pool counts as out of preemptible runners. */
+  /**
+   * End, in monotonic ms, of the time a pool counts as out of preemptible
+   * runners.
+   */
   readonly #depletedUntil = new Map<string, number>();
   /** Largest number of listed runners, by service, and when it was reached. */
   readonly #peakListed = new Map<string, { count: number; since: number }>();
@@ -79,7 +84,7 @@
       if (scaling === undefined || !this.#isValid(name, scaling)) return [];
       return this.#ordersOf({ ...service, scaling }, {
         runners: byService.get(name) ?? [],
-        orders: orders.filter((each) => each.service === name),
+        orders: orders.filter((order) => order.service === name),
         now,
       });
     });
@@ -94,29 +99,32 @@
 
   #ordersOf(
     service: ScalableService,
-    seen: {
+    inputs: {
       readonly runners: readonly Runner[];
       readonly orders: readonly RunnerOrder[];
       readonly now: number;
     },
   ): readonly RunnerOrder[] {
-    const { runners, orders, now } = seen;
+    const { runners, orders, now } = inputs;
     const { name, scaling } = service;
     const started = orders.length > 0 || this.#isSettled(name, runners, now);
     if (!started) return [];
     this.#markReclaimed(runners, now);
-    const domains = this.#domains(service, seen);
+    const domains = this.#domains(service, inputs);
     const state = this.#stateOf(name, domains, orders);
     const ready = runners.filter(({ draining }) => !draining);
     const busy = this.#busy(service, ready);
-    state.need.observe(busy, now);
-    const needed = state.need.estimate(now);
+    state.estimator.observe(busy, now);
+    const needed = state.estimator.estimate(now);
     const plan = planRunners(needed, scaling, domains);
     this.#logPlan(name, state, { needed, busy, ready: ready.length, plan });
-    return plan.flatMap((each) => toOrders(name, each));
+    return plan.flatMap((domain) => toOrders(name, domain));
   }
 
-  /** Whether the list is complete; while all start, runners are added one by one. */
+  /**
+   * Whether the list is complete; while all start, runners are added one by
+   * one.
+   */
   #isSettled(
     service: string,
     { length: count }: readonly Runner[],
@@ -132,12 +140,12 @@
   }
 
   /**
-   * Marks failure domains as depleted in which all preemptible runners drain. Where
-   * only some drain, they are being replaced or were scaled down.
+   * Marks failure domains as depleted in which all preemptible runners drain.
+   * Where only some drain, they are being replaced or were scaled down.
    */
   #markReclaimed(runners: readonly Runner[], now: number): void {
-    const preemptible = runners.filter((each) => each.preemptible);
-    const byDomain = groupBy(preemptible, (each) => each.failureDomain);
+    const preemptible = runners.filter((runner) => runner.preemptible);
+    const byDomain = groupBy(preemptible, (runner) => runner.failureDomain);
     for (const [failureDomain, inDomain] of byDomain) {
       if (!inDomain.every(({ draining }) => draining)) continue;
       const pool = poolKey(inDomain[0]!.service, failureDomain);
@@ -157,10 +165,10 @@
       [...runners, ...orders].map(({ failureDomain }) => failureDomain),
     );
     return [...names].sort().map((name) => {
-      const ready = runners.filter((each) =>
-        each.failureDomain === name && !each.draining
+      const ready = runners.filter((runner) =>
+        runner.failureDomain === name && !runner.draining
       );
-      const preemptible = ready.filter((each) => each.preemptible).length;
+      const preemptible = ready.filter((runner) => runner.preemptible).length;
       const depletedUntil = this.#depletedUntil.get(poolKey(service, name)) ??
         -Infinity;
       return {
@@ -181,11 +189,11 @@
     const known = this.#states.get(service);
     if (known !== undefined) return known;
     const serving = domains
-      .reduce((sum, each) => sum + each.preemptible + each.regular, 0);
-    const need = new DemandEstimator(
+      .reduce((sum, domain) => sum + domain.preemptible + domain.regular, 0);
+    const estimator = new DemandEstimator(
       neededByPreviousLeader(orders, domains) ?? serving,
     );
-    const state = { need, logged: "" };
+    const state = { estimator, logged: "" };
     this.#states.set(service, state);
     return state;
   }
@@ -194,8 +202,8 @@
   #busy({ engine }: ScaledService, ready: readonly Runner[]): number {
     return ready.reduce((sum, { id, slots }) => {
       const { inFlight, unreadTokens } = this.#sources.loads.of(id).total;
-      const reads = engine !== undefined && unreadTokens > 0;
-      return sum + (reads ? 1 : Math.min(1, inFlight / slots));
+      const prefilling = engine !== undefined && unreadTokens > 0;
+      return sum + (prefilling ? 1 : Math.min(1, inFlight / slots));
     }, 0);
   }
 
@@ -220,7 +228,7 @@
     readonly plan: readonly DomainPlan[];
   }): void {
     const plan = details.plan
-      .map((each) => `${each.name}:${each.preemptible}+${each.regular}`)
+      .map((domain) => `${domain.name}:${domain.preemptible}+${domain.regular}`)
       .join(",");
     if (plan === state.logged) return;
     state.logged = plan;
@@ -235,14 +243,16 @@
   }
 }
 
-/** Runners needed according to the previous leader's orders; none without one. */
+/**
+ * Runners needed according to the previous leader's orders; none without one.
+ */
 function neededByPreviousLeader(
   orders: readonly RunnerOrder[],
   domains: readonly DomainState[],
 ): number | undefined {
   const ordered = (preemptible: boolean) =>
     orders
-      .filter((each) => each.preemptible === preemptible)
+      .filter((order) => order.preemptible === preemptible)
       .reduce((sum, { runners }) => sum + runners, 0);
   if (orders.length === 0) return undefined;
   // Regular runners beside preemptible ones only replace them temporarily.
--- a/packages/router/src/process/autoscaler_test.ts
+++ b/packages/router/src/process/autoscaler_test.ts
@@ -62,7 +62,9 @@
     });
   }
 
-  /** Runs the autoscaler over a span of time, in the leader's steps of 200 ms. */
+  /**
+   * Runs the autoscaler over a span of time, in the leader's steps of 200 ms.
+   */
   run(from: number, to: number): void {
     for (let now = from; now <= to; now += 200) {
       const wanted = this.scaler.desiredOrders(this.orders, now);
@@ -73,8 +75,8 @@
   /** Orders as "domain:preemptible+regular". */
   get shown(): string {
     const of = (domain: string, preemptible: boolean) =>
-      this.orders.find((each) =>
-        each.failureDomain === domain && each.preemptible === preemptible
+      this.orders.find((order) =>
+        order.failureDomain === domain && order.preemptible === preemptible
       )?.runners;
     return ["a", "b", "c"]
       .map((domain) => `${domain}:${of(domain, true)}+${of(domain, false)}`)
@@ -86,9 +88,9 @@
   return ["a", "b", "c"].flatMap((domain) => runnersOf(domain, 8));
 }
 
-function preemptible(each: number): readonly Runner[] {
+function preemptible(count: number): readonly Runner[] {
   return ["a", "b", "c"]
-    .flatMap((domain) => runnersOf(domain, each, { preemptible: true }));
+    .flatMap((domain) => runnersOf(domain, count, { preemptible: true }));
 }
 
 test("nothing is ordered while the list of runners is still growing", () => {
@@ -134,7 +136,7 @@
   const simulation = new Simulation(standing());
   simulation.run(0, 4_000);
   simulation.runners = preemptible(12)
-    .map((each, at) => at < 3 ? { ...each, draining: true } : each);
+    .map((runner, at) => at < 3 ? { ...runner, draining: true } : runner);
   simulation.run(4_200, 5_000);
   assert.equal(simulation.shown, "a:12+0 b:12+0 c:12+0");
 });
--- a/packages/router/src/process/cache_survey.ts
+++ b/packages/router/src/process/cache_survey.ts
@@ -22,13 +22,15 @@
 export interface EngineCache {
   /** Returns the prompt parts in a runner's cache. */
   cachedParts(runner: Runner): Promise<CachedParts>;
-  /** Returns the start of a runner's incarnation in Unix ms, if it reports it. */
+  /**
+   * Returns the start of a runner's incarnation in Unix ms, if it reports it.
+   */
   startTime(runner: Runner): Promise<number | undefined>;
 }
 
 /**
- * Milliseconds from the start to the survey: by then peers are connected, so that
- * each runner is queried by one daemon only.
+ * Milliseconds from the start to the survey: by then peers are connected, so
+ * that each runner is queried by one daemon only.
  */
 const SURVEY_DELAY_MS = 400;
 
@@ -44,11 +46,11 @@
 }
 
 /**
- * Queries the caches of runners once, at the start of a daemon. After all daemons
- * were killed at once, runners still have most prompts cached, but no daemon knows
- * which: prefilling them again would cost a second of each engine's time within
- * the first seconds of traffic. Daemons divide the runners among themselves and
- * exchange the results.
+ * Queries the caches of runners once, at the start of a daemon. After all
+ * daemons were killed at once, runners still have most prompts cached, but no
+ * daemon knows which: prefilling them again would cost a second of each
+ * engine's time within the first seconds of traffic. Daemons divide the runners
+ * among themselves and exchange the results.
  */
 export class CacheSurvey {
   readonly #cache: EngineCache;
@@ -61,7 +63,9 @@
     options: {
       readonly prefixes: PrefixIndex;
       readonly log: EventLog;
-      /** Whether the runner's rate limit allows a query now; counts it if so. */
+      /**
+       * Whether the runner's rate limit allows a query now; counts it if so.
+       */
       readonly mayQuery: (runner: Runner) => boolean;
     },
   ) {
--- a/packages/router/src/process/crash_entry.ts
+++ b/packages/router/src/process/crash_entry.ts
@@ -4,7 +4,9 @@
  * @module
  */
 
-/** A run of a request at a runner that crashed meanwhile; times in monotonic ms. */
+/**
+ * A run of a request at a runner that crashed meanwhile; times in monotonic ms.
+ */
 export interface CrashedRun {
   /** Identifies the request across attempts. */
   readonly fingerprint: string;
@@ -24,8 +26,8 @@
 /** Consecutive crashes after which a request is quarantined. */
 const CRASHES_TO_BLAME = 3;
 /**
- * The same for a request that has completed before: one that is repeated often may
- * well be at three runners in turn that crash for another reason.
+ * The same for a request that has completed before: one that is repeated often
+ * may well be at three runners in turn that crash for another reason.
  */
 const CRASHES_TO_BLAME_COMPLETED = 6;
 /** Crashed runs remembered per request. */
@@ -63,7 +65,9 @@
   return entryOf(entry.runs, at);
 }
 
-/** Whether the request is blamed for so many crashes that it must not be sent. */
+/**
+ * Whether the request is blamed for so many crashes that it must not be sent.
+ */
 export function isBlamed(
   { crashes, completedAt }: CrashEntry,
 ): boolean {
@@ -84,9 +88,9 @@
 }
 
 /**
- * Counts the runs that each started after the crash of the one before. Overlapping
- * runs count once: when a failure domain loses power, all runners that run a
- * request crash at once, whatever the request.
+ * Counts the runs that each started after the crash of the one before.
+ * Overlapping runs count once: when a failure domain loses power, all runners
+ * that run a request crash at once, whatever the request.
  *
  * @param runs in the order of their crashes.
  * @param since monotonic ms; runs that started earlier do not count.
--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -37,8 +37,9 @@
 /** Duration of a quarantine in ms, from the last crash. */
 const QUARANTINE_MS = 600_000;
 /**
- * Milliseconds for which crashes and complete responses are remembered. A request
- * that is sent again after its quarantine is quarantined at the next crash.
+ * Milliseconds for which crashes and complete responses are remembered. A
+ * request that is sent again after its quarantine is quarantined at the next
+ * crash.
  */
 const MEMORY_MS = 3_600_000;
 /** Requests remembered for crashes: at most 2.6 MB, with eight runs each. */
@@ -54,14 +55,14 @@
 const SAME_RESPONSE_MS = 2_000;
 
 /**
- * Counts, for each request that was at a crashing runner, the consecutive crashes.
- * A request that crashes any runner is retried at any daemon, with another id each
- * time. Health tracking of runners alone would send it to the next healthy runner
- * as long as it is retried.
+ * Counts, for each request that was at a crashing runner, the consecutive
+ * crashes. A request that crashes any runner is retried at any daemon, with
+ * another id each time. Health tracking of runners alone would send it to the
+ * next healthy runner as long as it is retried.
  *
  * All requests at a crashing runner are suspect. The one that caused the crash
- * differs from the others in that it is sent again and the next runner crashes as
- * well, whereas the others see one crash, or complete in between.
+ * differs from the others in that it is sent again and the next runner crashes
+ * as well, whereas the others see one crash, or complete in between.
  *
  * @example
  * ```ts
@@ -187,7 +188,7 @@
     const before = this.#entries.get(fingerprint) ?? EMPTY_ENTRY;
     const held = this.quarantine(fingerprint, now) !== undefined;
     if (now - run.endedAt > MEMORY_MS) return false;
-    if (before.runs.some((each) => each.runner === runner)) return false;
+    if (before.runs.some((known) => known.runner === runner)) return false;
     const completedBefore = before.completedAt === undefined &&
       this.#completedAt.has(fingerprint);
     this.#entries.delete(fingerprint);
@@ -237,7 +238,9 @@
     }
   }
 
-  /** Evicts expired entries; if too many remain, the oldest, blamed ones last. */
+  /**
+   * Evicts expired entries; if too many remain, the oldest, blamed ones last.
+   */
   #evict(now: number): void {
     for (const [fingerprint, { lastCrashAt }] of this.#entries) {
       if (now - lastCrashAt <= MEMORY_MS) break;
--- a/packages/router/src/process/crash_record_test.ts
+++ b/packages/router/src/process/crash_record_test.ts
@@ -19,7 +19,7 @@
   return { record, logged };
 }
 
-/** A run on a runner of its own that crashes after `RUN_MS`. */
+/** A run on a runner of its own, which crashes `RUN_MS` after the start. */
 function runAt(at: number, fields: Partial<CrashedRun> = {}): CrashedRun {
   return {
     fingerprint: "bad",
@@ -120,8 +120,8 @@
   assert.equal(isQuarantined(record, "bad", 800), true);
 });
 
-// The daemon that saw the crashes may never have seen a complete response. It must
-// learn of one from another daemon, or it would blame the request.
+// The daemon that saw the crashes may never have seen a complete response. It
+// must learn of one from another daemon, or it would blame the request.
 test("a daemon that saw a request complete reports this to the others", () => {
   const [observer, witness] = [recordWithLog().record, recordWithLog().record];
   witness.recordResponse("bad", 0);
--- a/packages/router/src/process/demand_estimator.ts
+++ b/packages/router/src/process/demand_estimator.ts
@@ -13,8 +13,8 @@
 /** Half-life in ms of observations of the current load. */
 const LOAD_HALF_LIFE_MS = 1_500;
 /**
- * Half-life in ms of the peak. Bursts recur, and a missing runner in a burst costs
- * more than one that idles until the next burst.
+ * Half-life in ms of the peak. Bursts recur, and a missing runner in a burst
+ * costs more than one that idles until the next burst.
  */
 const PEAK_HALF_LIFE_MS = 300_000;
 /** Fraction of the held count below which the need must fall to reduce it. */
@@ -43,7 +43,8 @@
 
 /**
  * Estimates the number of runners needed from the number of busy ones, so that
- * the utilization stays below its target. The peak rises at once and falls slowly.
+ * the utilization stays below its target. The peak rises at once and falls
+ * slowly.
  *
  * @example
  * ```ts
--- a/packages/router/src/process/failure_rate.ts
+++ b/packages/router/src/process/failure_rate.ts
@@ -7,8 +7,8 @@
 import { Decay } from "./decay.ts";
 
 /**
- * Half-life of responses in ms, so that the rate follows a runner that begins to
- * fail or recovers within some seconds.
+ * Half-life of responses in ms, so that the rate follows a runner that begins
+ * to fail or recovers within some seconds.
  */
 const HALF_LIFE_MS = 3_000;
 /**
--- a/packages/router/src/process/limit_queue.ts
+++ b/packages/router/src/process/limit_queue.ts
@@ -8,8 +8,9 @@
 
 /**
  * Queue of this daemon's requests for one service all of whose runners have
- * reached their rate limits. All waiting requests check at the same time whether a
- * runner accepts one more; without an order, a less urgent one could be sent.
+ * reached their rate limits. All waiting requests check at the same time
+ * whether a runner accepts one more; without an order, a less urgent one could
+ * be sent.
  */
 export class LimitQueue {
   readonly #keys = new Set<QueueKey>();
--- a/packages/router/src/process/limit_share.ts
+++ b/packages/router/src/process/limit_share.ts
@@ -16,8 +16,8 @@
  */
 const ALLOCATED_FRACTION = 0.9;
 /**
- * Minimum requests per second that are allocated, so that the recovery of a runner
- * that stated a limit near zero is noticed.
+ * Minimum requests per second that are allocated, so that the recovery of a
+ * runner that stated a limit near zero is noticed.
  */
 const MIN_PER_S = 0.2;
 /**
@@ -32,9 +32,9 @@
 /**
  * Computes a daemon's share of a limit. If the limit is large enough for all
  * daemons, all have equal shares. Otherwise rendezvous hashing selects a few
- * daemons, and all daemons with the same view of the fleet select the same ones.
- * This needs no messages, so nothing waits for them, and the share of a lost
- * daemon is unused only until the others notice the loss.
+ * daemons, and all daemons with the same view of the fleet select the same
+ * ones. This needs no messages, so nothing waits for them, and the share of a
+ * lost daemon is unused only until the others notice the loss.
  *
  * @param key hash key; another key selects other daemons.
  *
--- a/packages/router/src/process/order_tracker.ts
+++ b/packages/router/src/process/order_tracker.ts
@@ -20,7 +20,9 @@
   readonly notBefore: number;
 }
 
-/** Tracks which orders of one leader's term have been accepted by the platform. */
+/**
+ * Tracks which orders of one leader's term have been accepted by the platform.
+ */
 export class OrderTracker {
   readonly #policy: ScalingPolicy | undefined;
   readonly #log: EventLog;
@@ -31,7 +33,9 @@
     this.#log = log;
   }
 
-  /** Starts a new term: whether an earlier leader's orders arrived is unknown. */
+  /**
+   * Starts a new term: whether an earlier leader's orders arrived is unknown.
+   */
   reset(): void {
     this.#sent = [];
   }
@@ -59,7 +63,8 @@
       if (sentOrder?.order.runners !== order.runners) return true;
       return !sentOrder.accepted && now >= sentOrder.notBefore;
     });
-    // Bounds apply to both kinds together: orders that make room are sent first.
+    // Bounds apply to both kinds together: orders that make room are sent
+    // first.
     const needsRoom = ({ preemptible, runners }: RunnerOrder) =>
       preemptible && runners > 0;
     return [
--- a/packages/router/src/process/order_tracker_test.ts
+++ b/packages/router/src/process/order_tracker_test.ts
@@ -15,14 +15,16 @@
   };
 }
 
-/** A tracker for desired orders, and the orders recorded as having none left. */
+/**
+ * A tracker for desired orders, and the orders recorded as having none left.
+ */
 function trackerFor(desired: readonly RunnerOrder[]) {
   const noneLeft: RunnerOrder[] = [];
-  const demand: ScalingPolicy = {
+  const policy: ScalingPolicy = {
     desiredOrders: () => desired,
     recordNoneLeft: (refused) => void noneLeft.push(refused),
   };
-  return { tracker: new OrderTracker(demand, SILENT_LOG), noneLeft };
+  return { tracker: new OrderTracker(policy, SILENT_LOG), noneLeft };
 }
 
 const ACCEPTED: CallOutcome = { kind: "accepted" };
--- a/packages/router/src/process/prefix_index.ts
+++ b/packages/router/src/process/prefix_index.ts
@@ -1,5 +1,6 @@
 /**
- * Index of the prompt parts that each runner has cached, inferred from requests.
+ * Index of the prompt parts that each runner has cached, inferred from
+ * requests.
  *
  * @module
  */
@@ -30,20 +31,22 @@
 /** Milliseconds after which a part is assumed to be evicted. */
 const PART_TTL_MS = 30_000;
 /**
- * Milliseconds after which a part that was sent, but not prefilled, expires: the
- * request has failed, or the runner is far behind.
+ * Milliseconds after which a part that was sent, but not prefilled, expires:
+ * the request has failed, or the runner is far behind.
  */
 const SENT_TTL_MS = 5_000;
 /**
- * Milliseconds after which a part in use is published again. Parts that all daemons
- * know are not sent: each request publishes only what its runner did not have
- * cached, and parts in use are renewed well within their lifetime.
+ * Milliseconds after which a part in use is published again. Parts that all
+ * daemons know are not sent: each request publishes only what its runner did
+ * not have cached, and parts in use are renewed well within their lifetime.
  */
 const REPUBLISH_MS = PART_TTL_MS / 3;
 /** Parts per runner: at 100 bytes each, about 10 MB for 98 runners. */
 const MAX_PARTS = 1_000;
 
-/** Tracks the parts that this daemon believes to be in the caches of runners. */
+/**
+ * Tracks the parts that this daemon believes to be in the caches of runners.
+ */
 export class PrefixIndex {
   readonly #parts = new Map<string, Map<string, CachedPart>>();
   readonly #listeners: (() => void)[] = [];
@@ -54,7 +57,9 @@
     this.#listeners.push(listener);
   }
 
-  /** Records that a request was sent to a runner, which will prefill its prompt. */
+  /**
+   * Records that a request was sent to a runner, which will prefill its prompt.
+   */
   recordSent(runner: string, prompt: readonly PromptPart[], now: number): void {
     this.#publish({ runner, parts: sharedParts(prompt), read: false }, now);
   }
@@ -137,7 +142,9 @@
     for (const listener of this.#listeners) listener();
   }
 
-  /** @param isPublished whether a part is known to other daemons from now on. */
+  /**
+   * @param isPublished whether a part is known to other daemons from now on.
+   */
   #record(
     update: PrefixUpdate,
     now: number,
--- a/packages/router/src/process/restart_detector.ts
+++ b/packages/router/src/process/restart_detector.ts
@@ -12,16 +12,17 @@
 /** Milliseconds between queries to a runner that does not respond. */
 const QUERY_INTERVAL_MS = 1_000;
 /**
- * Queries to one runner. After a longer silence its entry has been removed, or its
- * next entry contains the new start time.
+ * Queries to one runner. After a longer silence its entry has been removed, or
+ * its next entry contains the new start time.
  */
 const MAX_QUERIES = 8;
 
 /**
- * Queries a runner's start time after a connection to it has broken. Its new entry
- * may arrive only seconds later. While the store is down or unreachable from this
- * daemon, a runner that crashed and restarted under the same name would keep
- * attracting prompts that it no longer has cached, for up to half a minute.
+ * Queries a runner's start time after a connection to it has broken. Its new
+ * entry may arrive only seconds later. While the store is down or unreachable
+ * from this daemon, a runner that crashed and restarted under the same name
+ * would keep attracting prompts that it no longer has cached, for up to half a
+ * minute.
  */
 export class RestartDetector {
   readonly #cache: EngineCache;
@@ -36,7 +37,9 @@
     options: {
       readonly directory: RunnerDirectory;
       readonly log: EventLog;
-      /** Whether the runner's rate limit allows a query now; counts it if so. */
+      /**
+       * Whether the runner's rate limit allows a query now; counts it if so.
+       */
       readonly mayQuery: (runner: Runner) => boolean;
     },
   ) {
--- a/packages/router/src/process/restart_detector_test.ts
+++ b/packages/router/src/process/restart_detector_test.ts
@@ -24,7 +24,7 @@
 /** A detector for one runner that responds with the given results in turn. */
 function detectorFor(
   runner: Runner,
-  answers: readonly (number | Error | undefined)[],
+  results: readonly (number | Error | undefined)[],
   mayQuery: () => boolean = () => true,
 ) {
   const directory = new RunnerDirectory();
@@ -33,18 +33,19 @@
   const detector = new RestartDetector({
     cachedParts: () => Promise.resolve({ startedAtMs: undefined, parts: [] }),
     startTime() {
-      const answer = answers[queryCount++];
-      return answer instanceof Error
-        ? Promise.reject(answer)
-        : Promise.resolve(answer);
+      const result = results[queryCount++];
+      return result instanceof Error
+        ? Promise.reject(result)
+        : Promise.resolve(result);
     },
   }, { directory, mayQuery, log: SILENT_LOG });
   return { directory, detector, queryCount: () => queryCount };
 }
 
-// The store is down; a runner crashes and restarts under the same name two seconds
-// later. Until its entry can be written again, prompts would be routed to the
-// cache that it has lost, and be prefilled there again beside its other requests.
+// The store is down; a runner crashes and restarts under the same name two
+// seconds later. Until its entry can be written again, prompts would be routed
+// to the cache that it has lost, and be prefilled there again beside its other
+// requests.
 test("a runner whose connection broke is queried for its start", async (t) => {
   t.mock.timers.enable({ apis: ["setTimeout"] });
   const runner = runnerStartedAt(100);
--- a/packages/router/src/process/retry_budget.ts
+++ b/packages/router/src/process/retry_budget.ts
@@ -17,11 +17,14 @@
 /** Number of counting intervals per window. */
 const INTERVALS = 10;
 /**
- * Fraction of the ratio that is used. An observer's windows start at other times
- * than ours, so that requests counted here may belong to a burst before them.
+ * Fraction of the ratio that is used. An observer's windows start at other
+ * times than ours, so that requests counted here may belong to a burst before
+ * them.
  */
 const RATIO_FRACTION = 0.6;
-/** Fraction of the extra retries that is used; the rest covers unknown daemons. */
+/**
+ * Fraction of the extra retries that is used; the rest covers unknown daemons.
+ */
 const EXTRA_FRACTION = 0.5;
 
 interface Interval {
@@ -32,8 +35,8 @@
 
 /**
  * Counts requests and retries of one service over a sliding window. Each daemon
- * keeps the ratio for its own requests, so that the sum over daemons keeps it as
- * well, even during a partition; the extra retries are divided among them.
+ * keeps the ratio for its own requests, so that the sum over daemons keeps it
+ * as well, even during a partition; the extra retries are divided among them.
  */
 export class RetryBudget {
   readonly #bounds: RetryBounds;
--- a/packages/router/src/process/retry_budget_test.ts
+++ b/packages/router/src/process/retry_budget_test.ts
@@ -17,7 +17,7 @@
   const daemons = 8;
   const requests = 100;
   let retries = 0;
-  for (let each = 0; each < daemons; each += 1) {
+  for (let daemon = 0; daemon < daemons; daemon += 1) {
     const budget = new RetryBudget(BOUNDS, () => daemons);
     for (let i = 0; i < requests; i += 1) budget.recordRequest(1_000);
     retries += takeAll(budget, 1_000);
--- a/packages/router/src/process/runner.ts
+++ b/packages/router/src/process/runner.ts
@@ -4,13 +4,17 @@
  * @module
  */
 
-/** One incarnation of a runner; a restart changes the id, but may keep the name. */
+/**
+ * One incarnation of a runner; a restart changes the id, but may keep the name.
+ */
 export interface Runner {
   /** Unique id of this incarnation; see {@linkcode runnerId}. */
   readonly id: string;
   /** Name in the platform's list; may stay the same across restarts. */
   readonly name: string;
-  /** Start of this incarnation in Unix ms of the runner's clock, if reported. */
+  /**
+   * Start of this incarnation in Unix ms of the runner's clock, if reported.
+   */
   readonly startedAtMs: number | undefined;
   readonly service: string;
   /** IP address. */
@@ -21,18 +25,23 @@
   readonly slots: number;
   /** Whether it is shutting down and accepts no new requests. */
   readonly draining: boolean;
-  /** Whether the platform may reclaim it, with all others in its failure domain. */
+  /**
+   * Whether the platform may reclaim it, with all others in its failure domain.
+   */
   readonly preemptible?: boolean | undefined;
-  /** Duration of its warm-up after the start, in ms, during which it is slow. */
+  /**
+   * Duration of its warm-up after the start, in ms, during which it is slow.
+   */
   readonly warmUpMs: number;
 }
 
 const RADIX = 36;
 
 /**
- * Builds the id of a runner's incarnation from its name and start time. All state
- * on runners is keyed by this id, so that the cache, failures and load of one
- * incarnation are never attributed to the next, even if a peer reports them late.
+ * Builds the id of a runner's incarnation from its name and start time. All
+ * state on runners is keyed by this id, so that the cache, failures and load of
+ * one incarnation are never attributed to the next, even if a peer reports them
+ * late.
  *
  * @example
  * ```ts
--- a/packages/router/src/process/runner_directory.ts
+++ b/packages/router/src/process/runner_directory.ts
@@ -34,8 +34,8 @@
 
 /**
  * Holds the newest list of runners, indexed by service. A list is only replaced
- * by one of a higher revision, whether from the store or a peer, so that an older
- * list cannot bring a removed runner back.
+ * by one of a higher revision, whether from the store or a peer, so that an
+ * older list cannot bring a removed runner back.
  */
 export class RunnerDirectory {
   readonly #listeners: (() => void)[] = [];
@@ -61,8 +61,9 @@
 
   /**
    * Returns the changes since a revision. While runners start, the list changes
-   * many times a second and every change goes to all daemons; updates are therefore
-   * cached, and daemons with the same revision are given the same object.
+   * many times a second and every change goes to all daemons; updates are
+   * therefore cached, and daemons with the same revision are given the same
+   * object.
    */
   updateSince(since: number): RunnerListUpdate {
     const known = this.#updates.get(since);
@@ -132,8 +133,9 @@
   }
 
   /**
-   * Records the start time that a runner itself reports. It may arrive before the
-   * runner's new entry if the store is down or unreachable from this daemon.
+   * Records the start time that a runner itself reports. It may arrive before
+   * the runner's new entry if the store is down or unreachable from this
+   * daemon.
    */
   recordStart(name: string, startedAtMs: number): void {
     const known = this.#byName().get(name);
--- a/packages/router/src/process/runner_directory_test.ts
+++ b/packages/router/src/process/runner_directory_test.ts
@@ -26,8 +26,8 @@
 });
 
 // A peer that was frozen sends an older list, which still has a removed runner.
-// If it were applied, requests would go to an address that may already belong to
-// another service.
+// If it were applied, requests would go to an address that may already belong
+// to another service.
 test("an older list does not bring a removed runner back", () => {
   const directory = new RunnerDirectory();
   directory.replace({ revision: 5, runners: [] });
@@ -46,8 +46,9 @@
   return { ...runner("a"), id: `a~${startedAtMs}`, startedAtMs, ...fields };
 }
 
-// A draining runner crashes and restarts under the same name. Its capacity would
-// stay unused if the drain of the earlier incarnation applied to the new one.
+// A draining runner crashes and restarts under the same name. Its capacity
+// would stay unused if the drain of the earlier incarnation applied to the new
+// one.
 test("a runner that crashed while it drained is used after its restart", () => {
   const directory = new RunnerDirectory();
   directory.replace({
@@ -59,8 +60,9 @@
 });
 
 // A runner's write of its entry is delayed, and completes after the runner has
-// restarted and written a new entry. If it were applied, prompts would be routed
-// by the cache of the old incarnation, or not at all because that was draining.
+// restarted and written a new entry. If it were applied, prompts would be
+// routed by the cache of the old incarnation, or not at all because that was
+// draining.
 test("a delayed entry of an earlier incarnation is ignored", () => {
   const directory = new RunnerDirectory();
   directory.replace({ revision: 1, runners: [incarnation(200)] });
@@ -72,8 +74,8 @@
 });
 
 // A host's clock is set back before its runner restarts, so that the new
-// incarnation has an earlier start time than the old one. If its entry counted as
-// stale forever, its drain or its return would never be applied.
+// incarnation has an earlier start time than the old one. If its entry counted
+// as stale forever, its drain or its return would never be applied.
 test("an entry with an earlier start that stands is accepted", (context) => {
   context.mock.timers.enable({ apis: ["setTimeout"] });
   const directory = new RunnerDirectory();
@@ -83,8 +85,8 @@
   assert.deepEqual(directory.ready("s"), []);
 });
 
-// The running incarnation's next entry follows a stale one within about a second.
-// The stale one must not be accepted by its timer afterwards.
+// The running incarnation's next entry follows a stale one within about a
+// second. The stale one must not be accepted by its timer afterwards.
 test("a stale entry that is replaced is never accepted", (context) => {
   context.mock.timers.enable({ apis: ["setTimeout"] });
   const directory = new RunnerDirectory();
@@ -95,8 +97,9 @@
   assert.deepEqual(directory.ready("s").map(({ id }) => id), ["a~200"]);
 });
 
-// The store is down. A runner restarts under the same name and reports its start
-// time itself; a peer without this news sends its list of the same revision.
+// The store is down. A runner restarts under the same name and reports its
+// start time itself; a peer without this news sends its list of the same
+// revision.
 test("a start time reported by the runner applies before its entry", () => {
   const directory = new RunnerDirectory();
   directory.replace({ revision: 5, runners: [incarnation(100)] });
@@ -123,7 +126,7 @@
   ahead.applyChange(6, [{ ...all[3]!, draining: true }], ["r-7"]);
   ahead.replace({
     revision: 8,
-    runners: ahead.list.runners.map((each) => ({ ...each })),
+    runners: ahead.list.runners.map((entry) => ({ ...entry })),
   });
   const update = ahead.updateSince(lagging.revision);
   assert.deepEqual(update.runners.map(({ name }) => name), ["r-3"]);
@@ -133,8 +136,9 @@
   assert.deepEqual(lagging.list.runners, ahead.list.runners);
 });
 
-// A daemon was frozen while hundreds of runners were removed, and the names of the
-// first ones are no longer kept. With changes alone it would keep using them.
+// A daemon was frozen while hundreds of runners were removed, and the names of
+// the first ones are no longer kept. With changes alone it would keep using
+// them.
 test("a daemon that lags far behind is sent the whole list", () => {
   const ahead = new RunnerDirectory();
   const lagging = new RunnerDirectory();
--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -21,13 +21,17 @@
 export interface LimitUpdate {
   /** Id of the runner's incarnation. */
   readonly runner: string;
-  /** Requests per second; undefined once the runner states no limit any more. */
+  /**
+   * Requests per second; undefined once the runner states no limit any more.
+   */
   readonly perS: number | undefined;
   /** When the runner stated it, in monotonic ms. */
   readonly at: number;
 }
 
-/** Milliseconds after which an unchanged limit is sent to other daemons again. */
+/**
+ * Milliseconds after which an unchanged limit is sent to other daemons again.
+ */
 const REBROADCAST_MS = 5_000;
 /**
  * Milliseconds without a response of a limited runner after which its limit is
@@ -36,13 +40,15 @@
  */
 const ROTATION_MS = 15_000;
 /**
- * Milliseconds for which the end of a limit is included in snapshots, for daemons
- * that were partitioned when it ended.
+ * Milliseconds for which the end of a limit is included in snapshots, for
+ * daemons that were partitioned when it ended.
  */
 const ENDED_LIMIT_TTL_MS = 600_000;
 /** Milliseconds between two checks which daemons share the limits. */
 const VIEW_CHECK_MS = 1_000;
-/** Log lines per runner and interval: one for a limit's start, one for its end. */
+/**
+ * Log lines per runner and interval: one for a limit's start, one for its end.
+ */
 const MAX_LOG_LINES = 2;
 /** Interval in ms of the bound on log lines. */
 const LOG_INTERVAL_MS = 1_000;
@@ -65,14 +71,14 @@
 }
 
 /**
- * Enforces the rate limits that runners state, and this daemon's share of each. If
- * each daemon applied the whole limit alone, an overloaded runner would get as
- * much from every daemon as it accepts from all. Daemons therefore exchange the
- * stated limits, and a small limit is divided among only a few daemons.
+ * Enforces the rate limits that runners state, and this daemon's share of each.
+ * If each daemon applied the whole limit alone, an overloaded runner would get
+ * as much from every daemon as it accepts from all. Daemons therefore exchange
+ * the stated limits, and a small limit is divided among only a few daemons.
  *
  * @example
  * ```ts
- * if (limits.allowsRequest(runner.id, now)) limits.recordRequest(runner.id, now);
+ * if (limits.allowsRequest(id, now)) limits.recordRequest(id, now);
  * ```
  */
 export class RunnerLimits {
@@ -108,7 +114,9 @@
     return this.#limits.get(runner)?.perS;
   }
 
-  /** Whether this daemon has a share of a runner's limit, or there is no limit. */
+  /**
+   * Whether this daemon has a share of a runner's limit, or there is no limit.
+   */
   hasShare(runner: string, now: number): boolean {
     const limit = this.#limits.get(runner);
     if (limit?.perS === undefined) return true;
@@ -212,7 +220,9 @@
     return perS !== current.perS || at - current.at > REBROADCAST_MS / 2;
   }
 
-  /** Applies an update that originated here, and queues it for other daemons. */
+  /**
+   * Applies an update that originated here, and queues it for other daemons.
+   */
   #publish(update: LimitUpdate, now: number): void {
     this.#apply(update, now);
     this.#pending.add(update.runner);
@@ -249,7 +259,9 @@
     });
   }
 
-  /** This daemon's share; recomputed when the fleet view or rotation changes. */
+  /**
+   * This daemon's share; recomputed when the fleet view or rotation changes.
+   */
   #shareOf(runner: string, limit: Limit, now: number): Rate {
     this.#refreshView(now);
     const rotation = Math.floor(Math.max(0, now - limit.at) / ROTATION_MS);
@@ -279,8 +291,8 @@
 }
 
 /**
- * Bounds the log lines per runner, since a runner may state another limit in each
- * response, or a limit in every second one.
+ * Bounds the log lines per runner, since a runner may state another limit in
+ * each response, or a limit in every second one.
  */
 function mayLog(limit: Limit, now: number): boolean {
   if (now - limit.loggedAt >= LOG_INTERVAL_MS) {
--- a/packages/router/src/process/runner_limits_test.ts
+++ b/packages/router/src/process/runner_limits_test.ts
@@ -7,13 +7,13 @@
 const ALONE = { own: "a", names: ["a"], fleetSize: 1 };
 
 /** Limits of one daemon, and its log events. */
-function limitsWithLog(sharers = ALONE) {
+function limitsWithLog(view = ALONE) {
   const logged: { readonly name: string; readonly fields: Fields }[] = [];
   const log = {
     event: (name: string, fields: Fields) => void logged.push({ name, fields }),
     decision() {},
   };
-  return { limits: new RunnerLimits(log, () => sharers), logged };
+  return { limits: new RunnerLimits(log, () => view), logged };
 }
 
 /** Records the limit of a response to a request sent 1 ms before. */
@@ -28,7 +28,9 @@
   limits.recordStated("r", limit, { sentAt: now - 1, now });
 }
 
-/** Times at which a daemon with endless requests sends one, in steps of 20 ms. */
+/**
+ * Times at which a daemon with endless requests sends one, in steps of 20 ms.
+ */
 function sentBy(limits: RunnerLimits, from: number, to: number): number[] {
   const sent = [];
   for (let now = from; now < to; now += 20) {
@@ -82,8 +84,8 @@
   assert.deepEqual(logged[1]!.fields, { runner: "r", text: "-3" });
 });
 
-// Responses without a limit may still be in flight when a runner first states one.
-// They must not end the limit.
+// Responses without a limit may still be in flight when a runner first states
+// one. They must not end the limit.
 test("a response to a request sent earlier does not end a limit", () => {
   const { limits } = limitsWithLog();
   record(limits, 1.4, 100);
@@ -95,13 +97,13 @@
 
 test("an update of another daemon applies unless a newer one is known", () => {
   const { limits } = limitsWithLog();
-  const news = { runner: "r", perS: 1.4, at: 100 };
-  assert.deepEqual(limits.applyUpdates([news], 150), [news]);
-  assert.deepEqual(limits.applyUpdates([news], 160), []);
+  const update = { runner: "r", perS: 1.4, at: 100 };
+  assert.deepEqual(limits.applyUpdates([update], 150), [update]);
+  assert.deepEqual(limits.applyUpdates([update], 160), []);
   record(limits, undefined, 200);
-  assert.deepEqual(limits.applyUpdates([{ ...news, at: 190 }], 210), []);
+  assert.deepEqual(limits.applyUpdates([{ ...update, at: 190 }], 210), []);
   assert.equal(limits.of("r"), undefined);
-  limits.applyUpdates([{ ...news, at: 250 }], 260);
+  limits.applyUpdates([{ ...update, at: 250 }], 260);
   assert.equal(limits.of("r"), 1.4);
 });
 
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -34,10 +34,10 @@
 /** Longest ejection in ms, which bounds how late a recovery is noticed. */
 const MAX_EJECTION_MS = 4_000;
 /**
- * Milliseconds without any data on any request in flight after which a runner is
- * considered unresponsive. Runners send an event every 30 to 250 ms on a stream,
- * and plain services answer within 450 ms. While no stream has begun, the time
- * for prefilling the queued prompts is added.
+ * Milliseconds without any data on any request in flight after which a runner
+ * is considered unresponsive. Runners send an event every 30 to 250 ms on a
+ * stream, and plain services answer within 450 ms. While no stream has begun,
+ * the time for prefilling the queued prompts is added.
  */
 const SILENCE_TIMEOUT_MS = 900;
 /** Age in ms at which a load report expires. */
@@ -55,7 +55,9 @@
   /** Last reported response counts, by neighbour. */
   readonly #reportedCounts = new Map<string, ResponseCounts>();
   readonly #onChange: () => void;
-  /** Requests that wait for capacity of the runner, at this and other daemons. */
+  /**
+   * Requests that wait for capacity of the runner, at this and other daemons.
+   */
   readonly queue: RunnerQueue;
   #own = NO_LOAD;
   #total = NO_LOAD;
@@ -67,7 +69,9 @@
   /** When the runner last sent any data, or got work after having been idle. */
   #lastActivityAt = 0;
 
-  /** @param onChange called when this daemon's own load on the runner changes. */
+  /**
+   * @param onChange called when this daemon's own load on the runner changes.
+   */
   constructor(onChange: () => void = () => {}) {
     this.#onChange = onChange;
     this.queue = new RunnerQueue(onChange);
@@ -83,7 +87,9 @@
     return this.#total;
   }
 
-  /** Sum of this daemon's load and the loads reported by accepted neighbours. */
+  /**
+   * Sum of this daemon's load and the loads reported by accepted neighbours.
+   */
   sumFrom(accepts: NeighbourFilter): LoadTotals {
     let sum = this.#own;
     for (const [neighbour, load] of this.#neighbourLoads) {
@@ -142,9 +148,9 @@
   }
 
   /**
-   * Replaces the load and the waiting requests of other daemons, as summed up by
-   * a neighbour. A completed prefill for another daemon counts as activity of the
-   * runner.
+   * Replaces the load and the waiting requests of other daemons, as summed up
+   * by a neighbour. A completed prefill for another daemon counts as activity
+   * of the runner.
    */
   setNeighbourLoad(
     neighbour: string,
@@ -188,9 +194,10 @@
   }
 
   /**
-   * Responses since the neighbour's previous report. Its counts jump when daemons
-   * that it reports for join or leave. It is unknown when daemons that join had
-   * their responses, so the counts of a first report are only a baseline.
+   * Responses since the neighbour's previous report. Its counts jump when
+   * daemons that it reports for join or leave. It is unknown when daemons that
+   * join had their responses, so the counts of a first report are only a
+   * baseline.
    */
   #newResponses(neighbour: string, load: LoadTotals): ResponseCounts {
     const before = this.#reportedCounts.get(neighbour) ?? load;
@@ -216,7 +223,9 @@
     return Math.max(this.#total.inFlight, report.running + report.waiting);
   }
 
-  /** Recent fraction of complete responses, to all daemons, that were failures. */
+  /**
+   * Recent fraction of complete responses, to all daemons, that were failures.
+   */
   failureRate(now: number): number {
     return this.#failureRate.rate(now);
   }
@@ -237,7 +246,8 @@
   /**
    * Records that the runner did not answer or broke off. Consecutive failures
    * eject it for a while, since an unresponsive runner would hold each of its
-   * requests until a time-out. Ejections are short, so a false alarm costs little.
+   * requests until a time-out. Ejections are short, so a false alarm costs
+   * little.
    */
   recordFailure(now: number): void {
     this.#failures += 1;
@@ -263,10 +273,10 @@
 
   /**
    * Milliseconds for which a healthy runner may send nothing. A fixed time-out
-   * would reject runners that are busy with prefill: with one or two requests at
-   * each of 98 runners and a second of prompts ahead of them, a daemon left out 7
-   * runners at any moment, and the prompts that those had cached were prefilled
-   * again elsewhere.
+   * would reject runners that are busy with prefill: with one or two requests
+   * at each of 98 runners and a second of prompts ahead of them, a daemon left
+   * out 7 runners at any moment, and the prompts that those had cached were
+   * prefilled again elsewhere.
    */
   #silenceTimeoutMs(): number {
     const streaming = this.#inFlight.size > this.#prefilling.size;
--- a/packages/router/src/process/runner_loads.ts
+++ b/packages/router/src/process/runner_loads.ts
@@ -5,7 +5,9 @@
  */
 import { RunnerLoad } from "./runner_load.ts";
 
-/** Holds the load of each runner by runner id, and tracks which have changed. */
+/**
+ * Holds the load of each runner by runner id, and tracks which have changed.
+ */
 export class RunnerLoads {
   readonly #loads = new Map<string, RunnerLoad>();
   readonly #changed = new Set<string>();
@@ -39,7 +41,9 @@
     return count;
   }
 
-  /** Returns ids of runners on which the own load changed since the last call. */
+  /**
+   * Returns ids of runners on which the own load changed since the last call.
+   */
   takeChanged(): readonly string[] {
     const changed = [...this.#changed];
     this.#changed.clear();
--- a/packages/router/src/process/runner_order.ts
+++ b/packages/router/src/process/runner_order.ts
@@ -19,7 +19,9 @@
 
 /** Decides how many runners to order. */
 export interface ScalingPolicy {
-  /** Returns the orders for the current load; unchanged ones may be left out. */
+  /**
+   * Returns the orders for the current load; unchanged ones may be left out.
+   */
   desiredOrders(
     orders: readonly RunnerOrder[],
     now: number,
--- a/packages/router/src/process/runner_plan.ts
+++ b/packages/router/src/process/runner_plan.ts
@@ -22,7 +22,9 @@
   readonly preemptible: number;
   /** Regular runners in service. */
   readonly regular: number;
-  /** Whether preemptible runners are being reclaimed there or are unavailable. */
+  /**
+   * Whether preemptible runners are being reclaimed there or are unavailable.
+   */
   readonly depleted: boolean;
 }
 
@@ -36,15 +38,15 @@
 /**
  * Plans the cheapest set of runners that suffices even after the platform has
  * reclaimed all preemptible runners of one failure domain: each domain gets so
- * many preemptible runners that those of the other domains are enough. Where none
- * are available, the other domains get more, and regular runners cover what is
- * missing at the moment. Regular runners are removed only once others serve in
- * their place.
+ * many preemptible runners that those of the other domains are enough. Where
+ * none are available, the other domains get more, and regular runners cover
+ * what is missing at the moment. Regular runners are removed only once others
+ * serve in their place.
  *
  * @example
  * ```ts
  * const needed = { now: 8, peak: 20 };
- * planRunners(needed, bounds, domains); // 10 preemptible in each of three domains
+ * planRunners(needed, bounds, domains); // 10 preemptible in each of 3 domains
  * ```
  */
 export function planRunners(
@@ -58,8 +60,8 @@
   const preemptible = planPreemptible(perDomain, bounds, domains, {
     replaceable: Math.floor(spare / Math.max(1, domains.length)),
   });
-  const wanted = regularWanted(needed, perDomain, domains);
-  const regular = planRegular(wanted, bounds, domains, preemptible);
+  const target = regularWanted(needed, perDomain, domains);
+  const regular = planRegular(target, bounds, domains, preemptible);
   return domains.map(({ name }) => ({
     name,
     preemptible: preemptible.get(name) ?? 0,
@@ -83,8 +85,8 @@
 /**
  * Preemptible runners to order now, by failure domain.
  *
- * @param options how many regular runners a domain can give up while preemptible
- * ones start.
+ * @param options how many regular runners a domain can give up while
+ * preemptible ones start.
  */
 function planPreemptible(
   perDomain: number,
@@ -103,7 +105,7 @@
 interface RegularWanted {
   readonly runners: number;
   /** Whether to order new ones; otherwise only existing ones are kept. */
-  readonly more: boolean;
+  readonly grow: boolean;
 }
 
 function regularWanted(
@@ -114,15 +116,17 @@
   const serving = sum(domains, (domain) => domain.preemptible);
   const depleted = domains.some((domain) => domain.depleted);
   // Without preemptible runners, regular ones cover the whole need.
-  if (perDomain === 0) return { runners: needed.peak - serving, more: true };
+  if (perDomain === 0) return { runners: needed.peak - serving, grow: true };
   const total = perDomain * domains.length;
-  if (!depleted) return { runners: total - serving, more: false };
-  return { runners: Math.min(needed.now, total) - serving, more: true };
+  if (!depleted) return { runners: total - serving, grow: false };
+  return { runners: Math.min(needed.now, total) - serving, grow: true };
 }
 
-/** Regular runners by failure domain: existing ones first, then the cheapest. */
+/**
+ * Regular runners by failure domain: existing ones first, then the cheapest.
+ */
 function planRegular(
-  wanted: RegularWanted,
+  target: RegularWanted,
   { least, most }: ScalingBounds,
   domains: readonly DomainState[],
   preemptible: ReadonlyMap<string, number>,
@@ -131,7 +135,7 @@
     one.price - other.price || (one.name < other.name ? -1 : 1)
   );
   const plan = new Map<string, number>();
-  let missing = wanted.runners;
+  let missing = target.runners;
   const add = (name: string, runners: number) => {
     const before = plan.get(name) ?? 0;
     const room = most - (preemptible.get(name) ?? 0) - before;
@@ -145,7 +149,7 @@
   for (const { name, regular } of cheapFirst) {
     add(name, Math.min(regular - plan.get(name)!, missing));
   }
-  if (!wanted.more) return plan;
+  if (!target.grow) return plan;
   for (const { name } of cheapFirst) add(name, missing);
   return plan;
 }
--- a/packages/router/src/process/runner_plan_test.ts
+++ b/packages/router/src/process/runner_plan_test.ts
@@ -89,7 +89,9 @@
     depleted: fc.boolean(),
   });
   const domains = fc.array(state, { minLength: 1, maxLength: 6 })
-    .map((states) => states.map((each, at) => ({ name: `d-${at}`, ...each })));
+    .map((states) =>
+      states.map((domain, at) => ({ name: `d-${at}`, ...domain }))
+    );
   const bounds = fc.record({
     least: fc.nat(3),
     most: fc.integer({ min: 3, max: 24 }),
@@ -101,17 +103,17 @@
       fc.nat(80),
       bounds,
       domains,
-      (now, most, each, states) => {
+      (now, most, scaling, states) => {
         for (
           const { preemptible, regular } of planRunners(
             { now, peak: most },
-            each,
+            scaling,
             states,
           )
         ) {
           assert.ok(preemptible >= 0 && regular >= 0);
-          assert.ok(preemptible + regular >= each.least);
-          assert.ok(preemptible + regular <= each.most);
+          assert.ok(preemptible + regular >= scaling.least);
+          assert.ok(preemptible + regular <= scaling.most);
         }
       },
     ),
--- a/packages/router/src/process/runner_queue.ts
+++ b/packages/router/src/process/runner_queue.ts
@@ -11,9 +11,9 @@
   /** Arrival in monotonic ms of this daemon; the oldest request goes first. */
   readonly arrivedAt: number;
   /**
-   * Latest time, in monotonic ms of this daemon, at which the request can be sent
-   * and still start on time. Afterwards it goes behind all requests of its rank
-   * that can still start on time.
+   * Latest time, in monotonic ms of this daemon, at which the request can be
+   * sent and still start on time. Afterwards it goes behind all requests of its
+   * rank that can still start on time.
    */
   readonly startBy: number;
 }
@@ -35,9 +35,9 @@
 
 /**
  * Whether one request is sent before another one. In a burst that exceeds the
- * engines' capacity, oldest-first alone would make all requests late: each would
- * be sent after its own target has passed, and half of the responses would be of
- * little use to their callers.
+ * engines' capacity, oldest-first alone would make all requests late: each
+ * would be sent after its own target has passed, and half of the responses
+ * would be of little use to their callers.
  */
 export function precedes(
   one: QueueKey,
@@ -101,9 +101,9 @@
   }
 
   /**
-   * Sums up the requests at any daemon that go before a given one. Without this,
-   * all daemons with a waiting request would send it as soon as the runner has
-   * capacity: ten prompts at once, then none for seconds.
+   * Sums up the requests at any daemon that go before a given one. Without
+   * this, all daemons with a waiting request would send it as soon as the
+   * runner has capacity: ten prompts at once, then none for seconds.
    */
   workAhead(key: QueueKey, now: number): WorkAhead {
     let requests = 0;
--- a/packages/router/src/process/scaling.ts
+++ b/packages/router/src/process/scaling.ts
@@ -6,7 +6,9 @@
 
 /** Bounds on the number of a service's runners, and their prices. */
 export interface Scaling {
-  /** Minimum and maximum of runners in each failure domain, both kinds together. */
+  /**
+   * Minimum and maximum of runners in each failure domain, both kinds together.
+   */
   readonly least: number;
   readonly most: number;
   /** Milliseconds from an order until its runners are in service. */
--- a/packages/router/src/process/sliding_max.ts
+++ b/packages/router/src/process/sliding_max.ts
@@ -5,9 +5,9 @@
  */
 
 /**
- * Approximate maximum over a sliding window. The size of the fleet is reported by
- * neighbours and drops for some seconds when one of them is lost; limits divided
- * by the lower number would be allocated several times over.
+ * Approximate maximum over a sliding window. The size of the fleet is reported
+ * by neighbours and drops for some seconds when one of them is lost; limits
+ * divided by the lower number would be allocated several times over.
  */
 export class SlidingMax {
   readonly #spanMs: number;
--- a/packages/router/src/process/stale_entries.ts
+++ b/packages/router/src/process/stale_entries.ts
@@ -6,10 +6,10 @@
 import type { Runner } from "./runner.ts";
 
 /**
- * Milliseconds for which an entry of an earlier incarnation is ignored. A delayed
- * write is replaced by the running incarnation's next one within about a second.
- * An entry that stands for longer comes from a runner whose clock was set back
- * before its restart; without a bound, it would never be used.
+ * Milliseconds for which an entry of an earlier incarnation is ignored. A
+ * delayed write is replaced by the running incarnation's next one within about
+ * a second. An entry that stands for longer comes from a runner whose clock was
+ * set back before its restart; without a bound, it would never be used.
  */
 const HOLD_MS = 4_000;
 
@@ -21,7 +21,9 @@
   return entry.startedAtMs < known.startedAtMs;
 }
 
-/** Holds back stale entries, and accepts those that are not replaced in time. */
+/**
+ * Holds back stale entries, and accepts those that are not replaced in time.
+ */
 export class StaleEntries {
   readonly #accept: (runner: Runner) => void;
   readonly #timersByName = new Map<string, NodeJS.Timeout>();
--- a/packages/router/src/process/start_gate.ts
+++ b/packages/router/src/process/start_gate.ts
@@ -6,14 +6,17 @@
 
 /** Milliseconds to wait for the first neighbour. */
 const NEIGHBOUR_TIMEOUT_MS = 30;
-/** Milliseconds for a neighbour to deliver, from the start or from its offer. */
+/**
+ * Milliseconds for a neighbour to deliver, from the start or from its offer.
+ */
 const DELIVERY_TIMEOUT_MS = 150;
 
 /**
- * Delays the first read of the store while a neighbour may deliver the same data.
- * When all daemons start at once, two calls of each would overload the store in
- * the same second in which all callers reconnect. A daemon without neighbours, or
- * one that reads the store on behalf of others, waits only a moment.
+ * Delays the first read of the store while a neighbour may deliver the same
+ * data. When all daemons start at once, two calls of each would overload the
+ * store in the same second in which all callers reconnect. A daemon without
+ * neighbours, or one that reads the store on behalf of others, waits only a
+ * moment.
  */
 export class StartGate {
   readonly #opened: Promise<void>;
@@ -31,7 +34,8 @@
   /**
    * Starts the delay; resolves when the store is to be read, or need not be.
    *
-   * @param relies whether this daemon has neighbours that read the store for it.
+   * @param relies whether this daemon has neighbours that read the store for
+   * it.
    */
   wait(relies: () => boolean): Promise<void> {
     if (this.#isOpen) return this.#opened;
--- a/packages/router/src/process/start_gate_test.ts
+++ b/packages/router/src/process/start_gate_test.ts
@@ -33,8 +33,9 @@
   assert.ok(at <= 40, `${at} ms`);
 });
 
-// Neighbours may offer data that they cannot deliver, because their store is down
-// or the link breaks. This must not leave a daemon without a configuration.
+// Neighbours may offer data that they cannot deliver, because their store is
+// down or the link breaks. This must not leave a daemon without a
+// configuration.
 test("an unfulfilled offer delays the read of the store only briefly", async (t) => {
   const gate = new StartGate();
   const events = { 10: () => gate.offered(), 100: () => gate.offered() };
--- a/packages/router/src/process/stream_pace.ts
+++ b/packages/router/src/process/stream_pace.ts
@@ -7,8 +7,8 @@
 import { Decay } from "./decay.ts";
 
 /**
- * Half-life of observations in ms. A burst of prompts slows an engine's streams to
- * a fifth of their speed within a second.
+ * Half-life of observations in ms. A burst of prompts slows an engine's streams
+ * to a fifth of their speed within a second.
  */
 const HALF_LIFE_MS = 1_500;
 /**
@@ -57,7 +57,9 @@
   readonly #service = new DecayedMean();
   readonly #runners = new Map<string, DecayedMean>();
 
-  /** Records the time between two events of a stream, and the later's tokens. */
+  /**
+   * Records the time between two events of a stream, and the later's tokens.
+   */
   record(
     runner: string,
     observation: {
@@ -73,7 +75,9 @@
     own.record(ms, tokens, now);
   }
 
-  /** Estimated ms per output token of a runner; undefined without enough data. */
+  /**
+   * Estimated ms per output token of a runner; undefined without enough data.
+   */
   msPerToken(runner: string, now: number): number | undefined {
     const all = this.#service.sums(now);
     if (all.tokens < MIN_TOKENS) return undefined;
--- a/packages/router/src/process/token_bucket.ts
+++ b/packages/router/src/process/token_bucket.ts
@@ -34,9 +34,9 @@
 
   /** Tokens available now; negative after more were taken than available. */
   available(now: number): number {
-    const { perSecond, burst: most } = this.#rate;
+    const { perSecond, burst } = this.#rate;
     const elapsedS = Math.max(0, now - this.#refilledAt) / 1_000;
-    this.#tokens = Math.min(most, this.#tokens + elapsedS * perSecond);
+    this.#tokens = Math.min(burst, this.#tokens + elapsedS * perSecond);
     this.#refilledAt = now;
     return this.#tokens;
   }
