--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -77,7 +77,7 @@
       peers: () => this.#peers,
       relaysFrom: options.relaysFrom,
       controlBytesPerS: options.controlBytesPerS,
-      onNewerVersion: () => this.#gate.offered(),
+      onNewerVersion: () => this.#gate.recordOffer(),
     });
     this.#peers = new Peers(own, {
       network,
--- a/packages/router/src/process/start_gate.ts
+++ b/packages/router/src/process/start_gate.ts
@@ -50,7 +50,7 @@
   }
 
   /** Extends the delay: a neighbour has the data, and it was requested. */
-  offered(): void {
+  recordOffer(): void {
     if (this.#offered || this.#isOpen || this.#timer === undefined) return;
     this.#offered = true;
     clearTimeout(this.#timer);
--- a/packages/router/src/process/start_gate_test.ts
+++ b/packages/router/src/process/start_gate_test.ts
@@ -38,7 +38,10 @@
 // configuration.
 test("an unfulfilled offer delays the read of the store only briefly", async (t) => {
   const gate = new StartGate();
-  const events = { 10: () => gate.offered(), 100: () => gate.offered() };
+  const events = {
+    10: () => gate.recordOffer(),
+    100: () => gate.recordOffer(),
+  };
   const at = await openedAt(t, gate, { relies: true, events });
   assert.ok(at <= 170, `${at} ms`);
 });
