--- a/packages/router/src/connection/outbox.ts
+++ b/packages/router/src/connection/outbox.ts
@@ -106,7 +106,7 @@
   /** Adds usage counts. They do not trigger a message but go with the next one. */
   addUsage(usage: readonly UsageCount[]): void {
     for (const each of usage) {
-      const key = `${each.life} ${each.window}`;
+      const key = `${each.incarnation} ${each.window}`;
       const counts = new Map(this.#usage.get(key)?.counts);
       for (const [workspace, requests] of each.counts) {
         counts.set(workspace, requests);
--- a/packages/router/src/connection/peer_encoding.ts
+++ b/packages/router/src/connection/peer_encoding.ts
@@ -220,7 +220,9 @@
   return fields.slice(0, last + 1) as unknown as PackedOptionalFields;
 }
 
-function packUsage({ life, window, counts }: UsageCount): PackedUsage {
+function packUsage(
+  { incarnation: life, window, counts }: UsageCount,
+): PackedUsage {
   return [life, window, counts.flat()];
 }
 
@@ -231,7 +233,7 @@
     counts.push([String(packed[index]), requests]);
   }
   return {
-    life: String(life),
+    incarnation: String(life),
     window: checkCount(window, "usage.window"),
     counts,
   };
--- a/packages/router/src/process/usage_meter.ts
+++ b/packages/router/src/process/usage_meter.ts
@@ -7,7 +7,7 @@
 /** What one life of a daemon counted in one window. Counts only grow. */
 export interface UsageCount {
   /** Incarnation of the daemon. */
-  readonly life: string;
+  readonly incarnation: string;
   /** Number of the window since the epoch. */
   readonly window: number;
   /** Requests by workspace. */
@@ -101,7 +101,7 @@
    */
   take(told: readonly UsageCount[]): readonly UsageCount[] {
     return told.flatMap((each) => {
-      const tally = this.#tally(each.window, each.life);
+      const tally = this.#tally(each.window, each.incarnation);
       if (tally === undefined) return [];
       const counts = each.counts.filter(([workspace, requests]) =>
         raise(tally, workspace, requests)
--- a/packages/router/src/process/usage_meter_test.ts
+++ b/packages/router/src/process/usage_meter_test.ts
@@ -71,7 +71,7 @@
   const clock = { now: 100 * WINDOW_MS };
   const meter = meterOf("a", clock);
   for (const window of [1, 90, 102, 1_000_000]) {
-    meter.take([{ life: "b", window, counts: [["fitters", 1]] }]);
+    meter.take([{ incarnation: "b", window, counts: [["fitters", 1]] }]);
   }
   assert.deepEqual(meter.all(), []);
 });
