--- a/packages/router/src/process/usage_meter.ts
+++ b/packages/router/src/process/usage_meter.ts
@@ -88,7 +88,7 @@
       if (tally === undefined) return [];
       const counts = [...workspaces]
         .map((each) => [each, tally.get(each) ?? 0] as const);
-      return [{ life, window, counts }];
+      return [{ incarnation: life, window, counts }];
     });
     this.#untold.clear();
     return news;
@@ -113,7 +113,11 @@
   /** All that is known. */
   all(): readonly UsageCount[] {
     return [...this.#windows].flatMap(([window, lives]) =>
-      [...lives].map(([life, tally]) => ({ life, window, counts: [...tally] }))
+      [...lives].map(([life, tally]) => ({
+        incarnation: life,
+        window,
+        counts: [...tally],
+      }))
     );
   }
 
