--- a/packages/router/src/process/prefix_index.ts
+++ b/packages/router/src/process/prefix_index.ts
@@ -65,7 +65,11 @@
   }
 
   /** Records that a runner has prefilled a request's prompt. */
-  recordRead(runner: string, prompt: readonly PromptPart[], now: number): void {
+  recordPrefill(
+    runner: string,
+    prompt: readonly PromptPart[],
+    now: number,
+  ): void {
     this.#publish({ runner, parts: sharedParts(prompt), read: true }, now);
   }
 
--- a/packages/router/src/process/prefix_index_test.ts
+++ b/packages/router/src/process/prefix_index_test.ts
@@ -14,13 +14,17 @@
   index.recordSent("r-1", PROMPT, 0);
   assert.equal(index.cachedTokens("r-1", PROMPT, 10), 13_000);
   assert.equal(index.fetchableTokens("r-1", PROMPT, 10), 0);
-  index.recordRead("r-1", PROMPT, 20);
+  index.recordPrefill("r-1", PROMPT, 20);
   assert.equal(index.fetchableTokens("r-1", PROMPT, 30), 13_000);
 });
 
 test("a part counts only if all parts before it are cached", () => {
   const index = new PrefixIndex();
-  index.recordRead("r-1", [{ id: "b", tokens: 5 }, { id: "x", tokens: 1 }], 0);
+  index.recordPrefill(
+    "r-1",
+    [{ id: "b", tokens: 5 }, { id: "x", tokens: 1 }],
+    0,
+  );
   const prompt = [{ id: "a", tokens: 7 }, { id: "b", tokens: 5 }];
   assert.equal(index.cachedTokens("r-1", prompt, 1), 0);
 });
@@ -28,7 +32,7 @@
 test("updates of another daemon count like own ones and are not sent again", () => {
   const near = new PrefixIndex();
   const far = new PrefixIndex();
-  near.recordRead("r-1", PROMPT, 0);
+  near.recordPrefill("r-1", PROMPT, 0);
   for (const update of near.takeUpdates()) far.applyUpdate(update, 5);
   assert.equal(far.fetchableTokens("r-1", PROMPT, 6), 13_000);
   assert.deepEqual(far.takeUpdates(), []);
@@ -39,7 +43,7 @@
   const index = new PrefixIndex();
   index.recordSent("r-1", PROMPT, 0);
   assert.equal(index.cachedTokens("r-1", PROMPT, 6_000), 0);
-  index.recordRead("r-1", PROMPT, 6_000);
+  index.recordPrefill("r-1", PROMPT, 6_000);
   assert.equal(index.cachedTokens("r-1", PROMPT, 31_000), 13_000);
   assert.equal(index.cachedTokens("r-1", PROMPT, 40_000), 0);
 });
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -116,7 +116,7 @@
 test("a hot prompt spreads by fetching, not by reading it again", () => {
   const fleet = fleetOf(8);
   const [first] = placeAll(fleet, [longPrompt("a")]);
-  fleet.prefixes.recordRead(
+  fleet.prefixes.recordPrefill(
     first!.runner.id,
     longPrompt("a").prompt,
     fleet.now,
@@ -219,7 +219,7 @@
 test("a prompt waits for its home rather than being read twice", () => {
   const fleet = fleetOf(8);
   const [first] = placeAll(fleet, [longPrompt("a")]);
-  fleet.prefixes.recordRead(
+  fleet.prefixes.recordPrefill(
     first!.runner.id,
     longPrompt("a").prompt,
     fleet.now,
@@ -377,7 +377,7 @@
     const inFlight = kept.has(name) ? slots - 1 : 5;
     const share = { ...fleet.loads.of(id).own, inFlight };
     fleet.loads.of(id).setNeighbourLoad("elsewhere", share, { now: 0 });
-    fleet.prefixes.recordRead(id, tightStream("a").prompt, fleet.now);
+    fleet.prefixes.recordPrefill(id, tightStream("a").prompt, fleet.now);
   }
   const few = chooseRunner(fleet, { ...tightStream("a"), engine }, NONE)!;
   assert.equal(kept.has(few.runner.name), false);
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -198,7 +198,7 @@
     load.recordFirstEvent(placed);
     load.recordSuccess();
     const { prompt } = subject.head;
-    this.#daemon.prefixes.recordRead(
+    this.#daemon.prefixes.recordPrefill(
       attempt.runner.id,
       prompt,
       this.#daemon.now(),
