--- a/packages/router/src/process/cache_survey.ts
+++ b/packages/router/src/process/cache_survey.ts
@@ -96,7 +96,7 @@
       const { startedAtMs, parts } = await this.#cache.cachedParts(runner);
       // The runner may have restarted since it was listed.
       const id = runnerId(runner.name, startedAtMs ?? runner.startedAtMs);
-      this.#prefixes.recordHeld(id, parts, performance.now());
+      this.#prefixes.recordCached(id, parts, performance.now());
       this.#log.event("cache_surveyed", {
         runner: id,
         parts: parts.length,
--- a/packages/router/src/process/prefix_index.ts
+++ b/packages/router/src/process/prefix_index.ts
@@ -74,7 +74,11 @@
   }
 
   /** Records the parts that a runner reports as cached. */
-  recordHeld(runner: string, parts: readonly PromptPart[], now: number): void {
+  recordCached(
+    runner: string,
+    parts: readonly PromptPart[],
+    now: number,
+  ): void {
     this.#publish({ runner, parts, read: true }, now);
   }
 
