--- a/packages/router/src/connection/crash_ages.ts
+++ b/packages/router/src/connection/crash_ages.ts
@@ -40,7 +40,7 @@
 
 /** Puts news in ages, for a message that is sent now. */
 export function toAges(
-  { crashed, answers }: CrashUpdate,
+  { crashed, responses: answers }: CrashUpdate,
   now: number,
 ): CrashAges {
   const byRunner = groupBy(crashed, ({ runner }) => runner);
@@ -74,7 +74,7 @@
         endedAt: now - endedAgoMs,
       }))
     ),
-    answers: answers.map(({ fingerprint, agoMs }): CompleteResponse => ({
+    responses: answers.map(({ fingerprint, agoMs }): CompleteResponse => ({
       fingerprint,
       at: now - agoMs,
     })),
--- a/packages/router/src/connection/outbox.ts
+++ b/packages/router/src/connection/outbox.ts
@@ -92,7 +92,10 @@
     this.#contacts.push(news);
   }
 
-  addCrashes({ crashed, answers }: CrashUpdate, from?: string): void {
+  addCrashes(
+    { crashed, responses: answers }: CrashUpdate,
+    from?: string,
+  ): void {
     enqueue(this.#crashed, crashed, from);
     enqueue(this.#answers, answers, from);
   }
--- a/packages/router/src/connection/update_broadcaster.ts
+++ b/packages/router/src/connection/update_broadcaster.ts
@@ -48,7 +48,7 @@
 const NO_CHANGES: UpdateContents = {
   parts: [],
   contacts: { contacts: [], gone: [] },
-  crashes: { crashed: [], answers: [] },
+  crashes: { crashed: [], responses: [] },
   limits: [],
   usage: [],
   lease: undefined,
@@ -171,7 +171,7 @@
     // Usage goes up the tree only, to the daemons that may lead.
     if (overlay.role(name) === "child") this.#upstream.addUsage(usage);
     const count = changed.size + parts.length + crashes.crashed.length +
-      crashes.answers.length + limits.length;
+      crashes.responses.length + limits.length;
     if (!overlay.isRelay || count === 0) return false;
     const outboxes = overlay.role(name) === "child"
       ? [this.#downstream, this.#upstream]
--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -21,7 +21,7 @@
 export interface CrashUpdate {
   readonly crashed: readonly CrashedRun[];
   /** Completed runs of requests that have crashed runners as well. */
-  readonly answers: readonly CompleteResponse[];
+  readonly responses: readonly CompleteResponse[];
 }
 
 /** Why a request is not sent. */
@@ -137,10 +137,13 @@
    *
    * @returns the part that was new to this daemon, to be forwarded.
    */
-  applyUpdate({ crashed, answers }: CrashUpdate, now: number): CrashUpdate {
+  applyUpdate(
+    { crashed, responses: answers }: CrashUpdate,
+    now: number,
+  ): CrashUpdate {
     return {
       crashed: crashed.filter((run) => this.#add(run, now)),
-      answers: answers.filter((run) => this.#applyResponse(run)),
+      responses: answers.filter((run) => this.#applyResponse(run)),
     };
   }
 
@@ -178,7 +181,7 @@
         answers.push({ fingerprint, at: completedAt });
       }
     }
-    return { crashed, answers };
+    return { crashed, responses: answers };
   }
 
   /** @returns whether the run was new. */
--- a/packages/router/src/process/crash_record_test.ts
+++ b/packages/router/src/process/crash_record_test.ts
@@ -75,7 +75,7 @@
   const { record } = recordWithLog();
   for (const delay of [0, 100, 200]) {
     const reported = runAt(delay, { runner: "r" });
-    record.applyUpdate({ crashed: [reported], answers: [] }, 300);
+    record.applyUpdate({ crashed: [reported], responses: [] }, 300);
   }
   assert.equal(isQuarantined(record, "bad", 300), false);
 });
@@ -95,7 +95,7 @@
   for (const order of [[0, 1, 2], [2, 1, 0], [1, 2, 0]]) {
     const { record } = recordWithLog();
     for (const index of order) {
-      record.applyUpdate({ crashed: [runs[index]!], answers: [] }, 300);
+      record.applyUpdate({ crashed: [runs[index]!], responses: [] }, 300);
     }
     assert.equal(isQuarantined(record, "bad", 300), true);
   }
@@ -128,7 +128,7 @@
   recordConsecutive(observer, { count: 2, from: 100 });
   witness.applyUpdate(observer.takeUpdates(), 300);
   const reported = witness.takeUpdates();
-  assert.deepEqual(reported.answers, [{ fingerprint: "bad", at: 0 }]);
+  assert.deepEqual(reported.responses, [{ fingerprint: "bad", at: 0 }]);
   observer.applyUpdate(reported, 300);
   recordConsecutive(observer, { count: 1, from: 400 });
   assert.equal(isQuarantined(observer, "bad", 500), false);
@@ -186,7 +186,7 @@
   assert.ok(crashed.length <= 200, `${crashed.length} reported`);
   assert.equal(crashed[0]!.fingerprint, "bad");
   record.recordResponse("varied-0", 20_000);
-  assert.deepEqual(record.takeUpdates().answers, []);
+  assert.deepEqual(record.takeUpdates().responses, []);
 });
 
 test("a snapshot contains quarantined requests", () => {
