--- a/packages/router/src/connection/crash_ages.ts
+++ b/packages/router/src/connection/crash_ages.ts
@@ -40,7 +40,7 @@
 
 /** Puts news in ages, for a message that is sent now. */
 export function toAges(
-  { crashed, responses: answers }: CrashUpdate,
+  { crashed, responses }: CrashUpdate,
   now: number,
 ): CrashAges {
   const byRunner = groupBy(crashed, ({ runner }) => runner);
@@ -53,7 +53,7 @@
         endedAgoMs: ageOf(endedAt, now),
       })),
     })),
-    answers: answers.map(({ fingerprint, at }) => ({
+    answers: responses.map(({ fingerprint, at }) => ({
       fingerprint,
       agoMs: ageOf(at, now),
     })),
--- a/packages/router/src/connection/outbox.ts
+++ b/packages/router/src/connection/outbox.ts
@@ -40,7 +40,7 @@
 /** Requests at crashed runners, with the neighbours that reported them. */
 export interface SourcedCrashes {
   readonly crashed: readonly (CrashedRun & Sourced)[];
-  readonly answers: readonly (CompleteResponse & Sourced)[];
+  readonly responses: readonly (CompleteResponse & Sourced)[];
 }
 
 /** The changes to send in the next messages. */
@@ -93,11 +93,11 @@
   }
 
   addCrashes(
-    { crashed, responses: answers }: CrashUpdate,
+    { crashed, responses }: CrashUpdate,
     from?: string,
   ): void {
     enqueue(this.#crashed, crashed, from);
-    enqueue(this.#answers, answers, from);
+    enqueue(this.#answers, responses, from);
   }
 
   addLimits(limits: readonly LimitUpdate[], from?: string): void {
@@ -155,7 +155,7 @@
       },
       crashes: {
         crashed: this.#crashed.splice(0, MAX_CRASHES),
-        answers: this.#answers.splice(0, MAX_CRASHES),
+        responses: this.#answers.splice(0, MAX_CRASHES),
       },
       limits: [...this.#limits.values()].slice(0, MAX_LIMITS),
       usage: [...this.#usage.values()],
--- a/packages/router/src/connection/update_broadcaster.ts
+++ b/packages/router/src/connection/update_broadcaster.ts
@@ -274,7 +274,7 @@
     const parts = pending.parts.filter(isOthers);
     const crashes = {
       crashed: pending.crashes.crashed.filter(isOthers),
-      answers: pending.crashes.answers.filter(isOthers),
+      responses: pending.crashes.responses.filter(isOthers),
     };
     const limits = pending.limits.filter(isOthers);
     const contents = { ...pending, parts, crashes, limits, usage: [] };
--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -138,12 +138,12 @@
    * @returns the part that was new to this daemon, to be forwarded.
    */
   applyUpdate(
-    { crashed, responses: answers }: CrashUpdate,
+    { crashed, responses }: CrashUpdate,
     now: number,
   ): CrashUpdate {
     return {
       crashed: crashed.filter((run) => this.#add(run, now)),
-      responses: answers.filter((run) => this.#applyResponse(run)),
+      responses: responses.filter((run) => this.#applyResponse(run)),
     };
   }
 
@@ -151,7 +151,7 @@
   takeUpdates(): CrashUpdate {
     const update = {
       crashed: this.#crashUpdates,
-      answers: this.#responseUpdates,
+      responses: this.#responseUpdates,
     };
     this.#crashUpdates = [];
     this.#responseUpdates = [];
@@ -168,7 +168,7 @@
     const blamed = entries.filter(([, entry]) => isBlamed(entry));
     const others = entries.filter(([, entry]) => !isBlamed(entry));
     const crashed: CrashedRun[] = [];
-    const answers: CompleteResponse[] = [];
+    const responses: CompleteResponse[] = [];
     for (
       const [fingerprint, { runs, completedAt }] of [
         ...blamed,
@@ -178,10 +178,10 @@
       if (crashed.length + runs.length > MAX_SNAPSHOT_RUNS) break;
       crashed.push(...runs);
       if (completedAt !== undefined) {
-        answers.push({ fingerprint, at: completedAt });
+        responses.push({ fingerprint, at: completedAt });
       }
     }
-    return { crashed, responses: answers };
+    return { crashed, responses };
   }
 
   /** @returns whether the run was new. */
--- a/packages/router/src/process/crash_record_test.ts
+++ b/packages/router/src/process/crash_record_test.ts
@@ -138,12 +138,12 @@
   const { record } = recordWithLog();
   const update = {
     crashed: [runAt(0)],
-    answers: [{ fingerprint: "bad", at: 90 }],
+    responses: [{ fingerprint: "bad", at: 90 }],
   };
   assert.deepEqual(record.applyUpdate(update, 100), update);
   assert.deepEqual(record.applyUpdate(update, 100), {
     crashed: [],
-    answers: [],
+    responses: [],
   });
 });
 
