--- a/packages/router/src/request/admission.ts
+++ b/packages/router/src/request/admission.ts
@@ -17,7 +17,7 @@
 /** Share of a runner's slots and memory that the least urgent rank may use. */
 const FILL_SHARE = 0.6;
 /** Additional share for each more urgent rank. */
-const FILL_BY_RANK = 0.2;
+const FILL_SHARE_PER_RANK = 0.2;
 /**
  * Prefill in ms that may be ahead of a request of the least urgent rank when it
  * starts. Engines prefill admitted prompts in order, whatever their ranks, so
@@ -25,21 +25,21 @@
  */
 const MAX_BACKLOG_MS = 600;
 /** Factor by which the work limits grow for each more urgent rank. */
-const WORK_BY_RANK = 1.6;
+const WORK_FACTOR_PER_RANK = 1.6;
 
 /**
  * Number of ranks beyond which a more urgent request gets no higher limits:
  * three classes in each of two tiers of workspaces make six ranks, and 1.6 to
  * the fifth power is ten backlogs.
  */
-const MAX_STEPS = 2;
+const MAX_RANK_STEPS = 2;
 
 /**
  * Returns the factor by which a request's limits exceed those of the least
  * urgent rank.
  */
 export function urgencyFactor(ranksBelow: number): number {
-  return WORK_BY_RANK ** Math.min(MAX_STEPS, ranksBelow);
+  return WORK_FACTOR_PER_RANK ** Math.min(MAX_RANK_STEPS, ranksBelow);
 }
 
 /**
@@ -65,14 +65,15 @@
   const { workTokens, unreadTokens, inFlight, memoryTokens } = load.total;
   const ahead = load.queue.workAhead(demand.queueKey, fleet.now);
   const { engine, ranksBelow } = demand;
-  const above = Math.min(MAX_STEPS, ranksBelow);
-  const share = Math.min(1, FILL_SHARE + FILL_BY_RANK * above);
-  const memory = memoryTokens + demand.promptTokens + demand.answerTokens;
-  const more = urgencyFactor(ranksBelow);
-  return prefillMs(workTokens) > MAX_WORK_MS * more ||
-    prefillMs(unreadTokens + ahead.unreadTokens) > MAX_BACKLOG_MS * more ||
+  const steps = Math.min(MAX_RANK_STEPS, ranksBelow);
+  const share = Math.min(1, FILL_SHARE + FILL_SHARE_PER_RANK * steps);
+  const neededTokens = memoryTokens + demand.promptTokens +
+    demand.maxOutputTokens;
+  const factor = urgencyFactor(ranksBelow);
+  return prefillMs(workTokens) > MAX_WORK_MS * factor ||
+    prefillMs(unreadTokens + ahead.unreadTokens) > MAX_BACKLOG_MS * factor ||
     inFlight + ahead.requests >= share * engine!.slots ||
-    memory > share * engine!.memoryTokens;
+    neededTokens > share * engine!.memoryTokens;
 }
 
 /**
--- a/packages/router/src/request/admission_test.ts
+++ b/packages/router/src/request/admission_test.ts
@@ -23,20 +23,24 @@
   warmUpMs: 0,
 };
 
-function turnOf(rank: number, since: number, startBy = Infinity): QueueKey {
-  return { rank, arrivedAt: since, startBy };
+function queueKeyOf(
+  rank: number,
+  arrivedAt: number,
+  startBy = Infinity,
+): QueueKey {
+  return { rank, arrivedAt, startBy };
 }
 
 function demandOf(fields: Partial<Demand> = {}): Demand {
   return {
     prompt: [{ id: "part", tokens: 200 }, { id: "own", tokens: 300 }],
     promptTokens: 500,
-    answerTokens: 100,
-    expectedTokens: undefined,
+    maxOutputTokens: 100,
+    expectedOutputTokens: undefined,
     timeoutMs: 3_000,
     targetMs: 1_500,
     gapTargetMs: 400,
-    queueKey: turnOf(1, 0),
+    queueKey: queueKeyOf(1, 0),
     awaitedRunner: undefined,
     ranksBelow: 2,
     engine: {
@@ -71,32 +75,32 @@
 // is full, short requests wait for it at 16 daemons, and a stream ends. If all
 // daemons send at once, 15 requests find no slot, and the engine preempts the
 // least urgent requests in the middle of their streams.
-test("one slot that becomes free draws one of the requests that wait", () => {
+test("a slot that becomes free admits one of the waiting requests", () => {
   const daemons = 16;
-  const turns = Array.from(
+  const keys = Array.from(
     { length: daemons },
-    (_, index) => turnOf(1, index),
+    (_, index) => queueKeyOf(1, index),
   );
-  const admitted = turns.filter((turn) => {
+  const admitted = keys.filter((queueKey) => {
     const fleet = fleetWith(SLOTS - 1);
     const { queue } = fleet.loads.of("r");
-    for (const each of turns) {
-      queue.add({ ...each, requests: 1, unreadTokens: 300 });
+    for (const key of keys) {
+      queue.add({ ...key, requests: 1, unreadTokens: 300 });
     }
-    return !isOverloaded(fleet, demandOf({ queueKey: turn }), RUNNER);
+    return !isOverloaded(fleet, demandOf({ queueKey }), RUNNER);
   });
-  assert.deepEqual(admitted, [turns[0]]);
+  assert.deepEqual(admitted, [keys[0]]);
 });
 
-test("an urgent request is not held up by less urgent ones that wait", () => {
+test("an urgent request is not delayed by less urgent waiting ones", () => {
   const fleet = fleetWith(SLOTS - 1);
   const { queue } = fleet.loads.of("r");
-  for (let since = 0; since < 9; since++) {
-    queue.add({ ...turnOf(2, since), requests: 1, unreadTokens: 300 });
+  for (let arrivedAt = 0; arrivedAt < 9; arrivedAt++) {
+    queue.add({ ...queueKeyOf(2, arrivedAt), requests: 1, unreadTokens: 300 });
   }
-  const turn = turnOf(0, 50);
+  const queueKey = queueKeyOf(0, 50);
   assert.equal(
-    isOverloaded(fleet, demandOf({ queueKey: turn }), RUNNER),
+    isOverloaded(fleet, demandOf({ queueKey }), RUNNER),
     false,
   );
 });
@@ -105,18 +109,18 @@
 // than it can start in time. In order of arrival, each caller gets its first
 // token just after its target. Requests that can still start on time go before
 // late ones of the same rank only.
-test("who can still be on time goes before who cannot", () => {
+test("a request that can still start on time goes before a late one", () => {
   const fleet = { ...fleetWith(SLOTS - 1), now: 1_000 };
   const { queue } = fleet.loads.of("r");
-  const late = turnOf(1, 0, 900);
-  const onTime = turnOf(1, 500, 1_400);
-  for (const turn of [late, onTime]) {
-    queue.add({ ...turn, requests: 1, unreadTokens: 300 });
+  const late = queueKeyOf(1, 0, 900);
+  const onTime = queueKeyOf(1, 500, 1_400);
+  for (const key of [late, onTime]) {
+    queue.add({ ...key, requests: 1, unreadTokens: 300 });
   }
-  const admits = (turn: QueueKey) =>
-    !isOverloaded(fleet, demandOf({ queueKey: turn }), RUNNER);
+  const admits = (queueKey: QueueKey) =>
+    !isOverloaded(fleet, demandOf({ queueKey }), RUNNER);
   assert.equal(admits(late), false);
   assert.equal(admits(onTime), true);
-  queue.add({ ...turnOf(0, 0, 900), requests: 1, unreadTokens: 300 });
+  queue.add({ ...queueKeyOf(0, 0, 900), requests: 1, unreadTokens: 300 });
   assert.equal(admits(onTime), false);
 });
--- a/packages/router/src/request/attempt.ts
+++ b/packages/router/src/request/attempt.ts
@@ -32,14 +32,14 @@
 export type SendResult =
   /** A response to this request; its body follows. */
   | {
-    readonly kind: "answer";
+    readonly kind: "response";
     readonly status: number;
     readonly head: ResponseHead;
     readonly incoming: IncomingMessage;
   }
   /** The runner states that it has not run the request. */
   | {
-    readonly kind: "not-run";
+    readonly kind: "not-executed";
     readonly status: number;
     readonly head: ResponseHead;
   }
@@ -48,25 +48,25 @@
   /** The request may have run, but there is no response to it. */
   | { readonly kind: "broken"; readonly reason: string };
 
-function hasNoBody(send: OutgoingRequest): boolean {
-  return send.body.length === 0 &&
-    (send.method === "GET" || send.method === "HEAD");
+function hasNoBody(outgoing: OutgoingRequest): boolean {
+  return outgoing.body.length === 0 &&
+    (outgoing.method === "GET" || outgoing.method === "HEAD");
 }
 
 /** Sends a request once; {@linkcode cancel} aborts it at any time. */
 export class Attempt {
   readonly runner: Runner;
   readonly #dialect: Dialect;
-  readonly #send: OutgoingRequest;
-  readonly #outgoing: ClientRequest;
-  #left = false;
+  readonly #request: OutgoingRequest;
+  readonly #clientRequest: ClientRequest;
+  #mayHaveReachedRunner = false;
   #incoming: IncomingMessage | undefined;
-  #settle: (sent: SendResult) => void = () => {};
+  #settle: (result: SendResult) => void = () => {};
 
   constructor(
     runner: Runner,
-    send: OutgoingRequest,
-    tools: {
+    outgoing: OutgoingRequest,
+    options: {
       readonly dialect: Dialect;
       readonly connections: RunnerConnections;
       /** Maximum number of connections to one runner. */
@@ -76,25 +76,25 @@
     },
   ) {
     this.runner = runner;
-    this.#dialect = tools.dialect;
-    this.#send = send;
-    const length = hasNoBody(send)
+    this.#dialect = options.dialect;
+    this.#request = outgoing;
+    const length = hasNoBody(outgoing)
       ? []
-      : ["Content-Length", String(send.body.length)];
-    this.#outgoing = request({
-      agent: tools.connections.agent(runner, tools.maxConnections),
+      : ["Content-Length", String(outgoing.body.length)];
+    this.#clientRequest = request({
+      agent: options.connections.agent(runner, options.maxConnections),
       host: runner.address,
       port: runner.port,
-      method: send.method,
-      path: send.target,
-      headers: [...send.headers, ...length],
+      method: outgoing.method,
+      path: outgoing.target,
+      headers: [...outgoing.headers, ...length],
     });
-    this.#watchConnection(tools.onConnect);
+    this.#watchConnection(options.onConnect);
   }
 
   /** Whether any byte of the request may have reached the runner. */
   get mayHaveReachedRunner(): boolean {
-    return this.#left;
+    return this.#mayHaveReachedRunner;
   }
 
   /** Whether the runner has begun to respond. */
@@ -106,13 +106,13 @@
   send(): Promise<SendResult> {
     return new Promise((resolve) => {
       this.#settle = resolve;
-      this.#outgoing.on(
+      this.#clientRequest.on(
         "response",
-        (incoming) => resolve(this.#read(incoming)),
+        (incoming) => resolve(this.#classify(incoming)),
       );
-      this.#outgoing.on("error", (error) => this.#failed(error));
-      this.#outgoing.on("close", () => this.#fail("closed"));
-      this.#outgoing.end(this.#send.body);
+      this.#clientRequest.on("error", (error) => this.#handleError(error));
+      this.#clientRequest.on("close", () => this.#fail("closed"));
+      this.#clientRequest.end(this.#request.body);
     });
   }
 
@@ -121,19 +121,19 @@
    */
   cancel(reason: string): void {
     this.#fail(reason);
-    this.#outgoing.destroy();
+    this.#clientRequest.destroy();
   }
 
   #watchConnection(onConnect: () => void): void {
     const timer = setTimeout(
-      () => this.#outgoing.destroy(new Error("connect timeout")),
+      () => this.#clientRequest.destroy(new Error("connect timeout")),
       CONNECT_TIMEOUT_MS,
     );
-    this.#outgoing.once("close", () => clearTimeout(timer));
-    this.#outgoing.once("socket", (socket) => {
+    this.#clientRequest.once("close", () => clearTimeout(timer));
+    this.#clientRequest.once("socket", (socket) => {
       const connected = () => {
         clearTimeout(timer);
-        this.#left = true;
+        this.#mayHaveReachedRunner = true;
       };
       if (!socket.connecting) return connected();
       onConnect();
@@ -147,32 +147,35 @@
    * reset for the end of a response without a length, so a partial body would
    * pass for a complete one.
    */
-  #failed(error: Error): void {
+  #handleError(error: Error): void {
     this.#fail(error.message);
     this.#incoming?.destroy(error);
   }
 
   #fail(reason: string): void {
-    this.#settle({ kind: this.#left ? "broken" : "unsent", reason });
+    this.#settle({
+      kind: this.#mayHaveReachedRunner ? "broken" : "unsent",
+      reason,
+    });
   }
 
-  #read(incoming: IncomingMessage): SendResult {
+  #classify(incoming: IncomingMessage): SendResult {
     const status = incoming.statusCode!;
     const head = this.#dialect.parseResponse(status, incoming.rawHeaders);
-    if (head.id !== undefined && head.id !== this.#send.id) {
+    if (head.id !== undefined && head.id !== this.#request.id) {
       // A late duplicate response to an earlier request. The response to this
       // one may still follow, but nothing on this connection can be attributed
       // to this request any more.
       incoming.on("error", () => {});
-      this.#outgoing.destroy();
-      return { kind: "broken", reason: "answer to another request" };
+      this.#clientRequest.destroy();
+      return { kind: "broken", reason: "response to another request" };
     }
     if (head.notExecuted) {
       incoming.on("error", () => {});
       incoming.resume();
-      return { kind: "not-run", status, head };
+      return { kind: "not-executed", status, head };
     }
     this.#incoming = incoming;
-    return { kind: "answer", status, head, incoming };
+    return { kind: "response", status, head, incoming };
   }
 }
--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -24,12 +24,12 @@
  * Number of target latencies without a first event after which a stream is
  * retried on another runner.
  */
-const STREAM_SILENCE = 2;
+const FIRST_EVENT_TIMEOUT_TARGETS = 2;
 /**
  * Number of target latencies without a response after which an idempotent
  * request is retried on another runner.
  */
-const WHOLE_SILENCE = 1;
+const RESPONSE_TIMEOUT_TARGETS = 1;
 
 /** Result of one attempt. */
 export type AttemptResult =
@@ -38,7 +38,7 @@
    * Another runner may be tried; `fallback` produces the outcome if none is.
    */
   | {
-    readonly kind: "again";
+    readonly kind: "retry";
     readonly reason: string;
     readonly fallback: () => Outcome;
   };
@@ -48,20 +48,20 @@
   readonly #daemon: Daemon;
   readonly #caller: Caller;
   readonly #progress: Progress;
-  readonly #own: LocalOutcomes;
+  readonly #outcomes: LocalOutcomes;
   readonly #relay: ResponseRelay;
   #attempt: Attempt | undefined;
 
   constructor(daemon: Daemon, caller: Caller, parts: {
     readonly progress: Progress;
-    readonly own: LocalOutcomes;
+    readonly outcomes: LocalOutcomes;
   }) {
     this.#daemon = daemon;
     this.#caller = caller;
     this.#progress = parts.progress;
-    this.#own = parts.own;
+    this.#outcomes = parts.outcomes;
     this.#relay = new ResponseRelay(daemon, caller, {
-      endedByUs: () => parts.progress.abandoned,
+      cancelledLocally: () => parts.progress.abandoned,
     });
   }
 
@@ -80,51 +80,53 @@
   /** Sends the request to one runner and relays the response. */
   async execute(
     choice: RunnerChoice,
-    subject: RoutedRequest,
+    routed: RoutedRequest,
     body: Buffer,
   ): Promise<AttemptResult> {
-    const { head: call } = subject;
+    const { head } = routed;
     const { runner } = choice;
-    const { fingerprint, remainingMs: leftMs } = this.#progress;
+    const { fingerprint, remainingMs } = this.#progress;
     const load = this.#daemon.loads.of(runner.id);
     const placed: PlacedRequest = {
       unreadTokens: choice.prefillTokens,
-      memoryTokens: call.promptTokens + call.maxOutputTokens,
+      memoryTokens: head.promptTokens + head.maxOutputTokens,
       tight: choice.tight,
     };
     const sentAt = this.#daemon.now();
     this.#progress.triedRunners.add(runner.id);
-    logRunnerChosen(this.#daemon, subject, { choice, fingerprint, leftMs });
+    logRunnerChosen(this.#daemon, routed, { choice, fingerprint, remainingMs });
     load.place(placed, sentAt);
-    this.#daemon.prefixes.recordSent(runner.id, call.prompt, sentAt);
-    const attempt = createAttempt(this.#daemon, subject, {
+    this.#daemon.prefixes.recordSent(runner.id, head.prompt, sentAt);
+    const attempt = createAttempt(this.#daemon, routed, {
       request: this.#caller.request,
       choice,
       body,
-      leftMs,
+      remainingMs,
       lastEventId: this.#relay.lastEventId,
     });
     this.#attempt = attempt;
-    const silence = this.#watchSilence(subject, attempt);
+    const inactivity = this.#watchInactivity(routed, attempt);
     const unwatch = this.#daemon.crashes.watch(
       fingerprint,
       () => this.#withdraw(attempt),
     );
     try {
-      const sent = await attempt.send();
+      const result = await attempt.send();
       if (attempt.mayHaveReachedRunner) this.#progress.attempts += 1;
-      const beganAt = sent.kind === "answer" ? this.#daemon.now() : sentAt;
-      return await this.#take(subject, sent, {
+      const startedAt = result.kind === "response"
+        ? this.#daemon.now()
+        : sentAt;
+      return await this.#handle(routed, result, {
         load,
         placed,
         attempt,
-        inactivity: silence,
+        inactivity,
         sentAt,
-        run: { fingerprint, startedAt: beganAt },
+        run: { fingerprint, startedAt },
       });
     } finally {
       unwatch();
-      silence.stop();
+      inactivity.stop();
       load.release(placed);
     }
   }
@@ -143,54 +145,61 @@
    * Gives up on a runner that stays silent where another one may continue:
    * callers leave a silent stream after two seconds or more.
    */
-  #watchSilence({ route }: RoutedRequest, attempt: Attempt): InactivityTimer {
-    const last = route.maxAttempts <= this.#progress.attempts + 1;
-    if (route.repetition === "never" || last) {
+  #watchInactivity(
+    { route }: RoutedRequest,
+    attempt: Attempt,
+  ): InactivityTimer {
+    const isLast = route.maxAttempts <= this.#progress.attempts + 1;
+    if (route.repetition === "never" || isLast) {
       return new InactivityTimer(() => {});
     }
-    const silence = new InactivityTimer(() => attempt.cancel("silent"));
-    const spans = route.streaming ? STREAM_SILENCE : WHOLE_SILENCE;
-    silence.restart(spans * route.targetMs);
-    return silence;
+    const inactivity = new InactivityTimer(() =>
+      attempt.cancel("runner inactive")
+    );
+    const targets = route.streaming
+      ? FIRST_EVENT_TIMEOUT_TARGETS
+      : RESPONSE_TIMEOUT_TARGETS;
+    inactivity.restart(targets * route.targetMs);
+    return inactivity;
   }
 
-  async #take(
-    subject: RoutedRequest,
-    sent: SendResult,
-    parts: AttemptContext,
+  async #handle(
+    routed: RoutedRequest,
+    result: SendResult,
+    context: AttemptContext,
   ): Promise<AttemptResult> {
-    const { load } = parts;
+    const { load } = context;
     const now = this.#daemon.now();
-    if (sent.kind === "answer" || sent.kind === "not-run") {
+    if (result.kind === "response" || result.kind === "not-executed") {
       load.recordActivity(now);
-      this.#hearLimit(sent.head, parts);
+      this.#recordLimit(result.head, context);
     }
-    switch (sent.kind) {
+    switch (result.kind) {
       case "unsent":
         if (!this.#progress.abandoned) load.recordFailure(now);
-        return again(
-          sent.reason,
-          () => this.#own.refusal("runner_unreachable"),
+        return retry(
+          result.reason,
+          () => this.#outcomes.refusal("runner_unreachable"),
         );
       case "broken":
-        return this.#broke(sent.reason, parts);
-      case "not-run":
-        if (sent.head.load !== undefined) {
-          load.recordReport(sent.head.load, now);
+        return this.#handleBrokenConnection(result.reason, context);
+      case "not-executed":
+        if (result.head.load !== undefined) {
+          load.recordReport(result.head.load, now);
         }
-        if (sent.head.misdirected) load.recordFailure(now);
-        return again(
+        if (result.head.misdirected) load.recordFailure(now);
+        return retry(
           "refused by runner",
-          () => this.#own.refusal("runner_full"),
+          () => this.#outcomes.refusal("runner_full"),
         );
-      case "answer":
+      case "response":
         this.#progress.mayHaveRun = true;
-        if (sent.head.load !== undefined) {
-          load.recordReport(sent.head.load, now);
+        if (result.head.load !== undefined) {
+          load.recordReport(result.head.load, now);
         }
-        return this.#ended(
-          subject,
-          await this.#relay.relay(subject, sent, parts),
+        return this.#finish(
+          routed,
+          await this.#relay.relay(routed, result, context),
         );
     }
   }
@@ -199,15 +208,15 @@
    * Records the rate limit that a response states. Only a response with the
    * runner's own seal shows that the runner no longer states one.
    */
-  #hearLimit(head: ResponseHead, { attempt, sentAt }: AttemptContext): void {
-    const silent = head.limit === undefined && !head.sealed;
-    if (silent || head.misdirected) return;
+  #recordLimit(head: ResponseHead, { attempt, sentAt }: AttemptContext): void {
+    const statesNothing = head.limit === undefined && !head.sealed;
+    if (statesNothing || head.misdirected) return;
     const times = { sentAt, now: this.#daemon.now() };
     this.#daemon.limits.recordStated(attempt.runner.id, head.limit, times);
   }
 
   /** Handles a connection that broke before the head of a response. */
-  #broke(
+  #handleBrokenConnection(
     reason: string,
     { attempt, load, run }: AttemptContext,
   ): AttemptResult {
@@ -221,39 +230,39 @@
       load.recordFailure(this.#daemon.now());
       this.#daemon.reportBrokenConnection(attempt.runner, run);
     }
-    return this.#repeat(reason);
+    return this.#retryOrTimeOut(reason);
   }
 
-  #ended(subject: RoutedRequest, passed: RelayResult): AttemptResult {
-    if (passed.kind === "broken") return this.#repeat(passed.reason);
-    const { fingerprint, abandoned: over } = this.#progress;
+  #finish(routed: RoutedRequest, relayed: RelayResult): AttemptResult {
+    if (relayed.kind === "broken") return this.#retryOrTimeOut(relayed.reason);
+    const { fingerprint, abandoned } = this.#progress;
     this.#daemon.crashes.recordResponse(fingerprint, this.#daemon.now());
-    const { status } = passed;
+    const { status } = relayed;
     const outcome: Outcome = { kind: "answered", status };
-    if (passed.kind === "answered") return { kind: "done", outcome };
-    const answer = () => {
-      passed.answer();
+    if (relayed.kind === "answered") return { kind: "done", outcome };
+    const respond = () => {
+      relayed.respond();
       return outcome;
     };
     // The runner returned a server error, which stands if no other attempt does
     // better.
-    const mayRepeat = subject.route.repetition !== "never" && !over;
-    if (mayRepeat) return again(`status ${status}`, answer);
-    return { kind: "done", outcome: answer() };
+    const mayRetry = routed.route.repetition !== "never" && !abandoned;
+    if (mayRetry) return retry(`status ${status}`, respond);
+    return { kind: "done", outcome: respond() };
   }
 
   /**
    * Ends an attempt that may have run: with a time-out, or with another attempt
    * where the route allows it.
    */
-  #repeat(reason: string): AttemptResult {
+  #retryOrTimeOut(reason: string): AttemptResult {
     if (this.#progress.expired) {
-      return { kind: "done", outcome: this.#own.timeout() };
+      return { kind: "done", outcome: this.#outcomes.timeout() };
     }
-    return again(reason, () => this.#own.failure(reason));
+    return retry(reason, () => this.#outcomes.failure(reason));
   }
 }
 
-function again(reason: string, fallback: () => Outcome): AttemptResult {
-  return { kind: "again", reason, fallback };
+function retry(reason: string, fallback: () => Outcome): AttemptResult {
+  return { kind: "retry", reason, fallback };
 }
--- a/packages/router/src/request/caller.ts
+++ b/packages/router/src/request/caller.ts
@@ -27,7 +27,7 @@
  * Headers not relayed from a runner's response; the daemon sets the length of
  * the body itself.
  */
-const OWN_ANSWER_HEADERS: ReadonlySet<string> = new Set(["content-length"]);
+const RECOMPUTED_HEADERS: ReadonlySet<string> = new Set(["content-length"]);
 
 /**
  * Whether a runner's response states where its body ends. One that does not may
@@ -44,7 +44,7 @@
 export class Caller {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
-  readonly #leaving: () => boolean;
+  readonly #closesConnections: () => boolean;
 
   /**
    * @param closesConnections whether connections close after their responses.
@@ -52,11 +52,11 @@
   constructor(
     request: IncomingMessage,
     response: ServerResponse,
-    leaving: () => boolean,
+    closesConnections: () => boolean,
   ) {
     this.request = request;
     this.response = response;
-    this.#leaving = leaving;
+    this.#closesConnections = closesConnections;
   }
 
   get headersSent(): boolean {
@@ -77,7 +77,7 @@
       const seconds = (refusal.retryAfterMs / MS_PER_SECOND).toFixed(2);
       headers.push("Retry-After", seconds);
     }
-    this.#head(refusal.status, headers, {
+    this.#writeHead(refusal.status, headers, {
       length: body.length,
       close: refusal.close ?? false,
     });
@@ -88,7 +88,7 @@
   respond(status: number, headers: RawHeaders, body: Buffer): void {
     if (this.headersSent || this.disconnected) return;
     const framed = isFramed(headers);
-    this.#head(status, endToEndHeaders(headers, OWN_ANSWER_HEADERS), {
+    this.#writeHead(status, endToEndHeaders(headers, RECOMPUTED_HEADERS), {
       length: framed ? body.length : undefined,
       close: !framed,
     });
@@ -99,7 +99,7 @@
   /** Relays the head of a runner's stream. */
   beginStream(status: number, headers: RawHeaders): void {
     if (this.headersSent || this.disconnected) return;
-    this.#head(status, endToEndHeaders(headers, OWN_ANSWER_HEADERS), {
+    this.#writeHead(status, endToEndHeaders(headers, RECOMPUTED_HEADERS), {
       length: undefined,
       close: !isFramed(headers),
     });
@@ -118,7 +118,7 @@
     this.response.destroy();
   }
 
-  #head(
+  #writeHead(
     status: number,
     headers: string[],
     options: { readonly length: number | undefined; readonly close: boolean },
@@ -126,7 +126,7 @@
     if (options.length !== undefined && status !== 204 && status !== 304) {
       headers.push("Content-Length", String(options.length));
     }
-    if (options.close || this.#leaving()) {
+    if (options.close || this.#closesConnections()) {
       headers.push("Connection", "close");
       this.response.shouldKeepAlive = false;
     }
--- a/packages/router/src/request/capacity_wait.ts
+++ b/packages/router/src/request/capacity_wait.ts
@@ -6,11 +6,11 @@
 import type { RunnerLoad } from "../process/runner_load.ts";
 import type { QueueKey, WaitingEntry } from "../process/runner_queue.ts";
 
-interface Place {
+interface QueueEntry {
   readonly runner: string;
   readonly load: RunnerLoad;
-  readonly waiting: WaitingEntry;
-  readonly since: number;
+  readonly entry: WaitingEntry;
+  readonly joinedAt: number;
 }
 
 /**
@@ -23,11 +23,11 @@
  * s back to back, while its streams get one token per 40 ms and time out.
  */
 export class CapacityWait {
-  readonly #turn: QueueKey;
-  #place: Place | undefined;
+  readonly #key: QueueKey;
+  #entry: QueueEntry | undefined;
 
-  constructor(turn: QueueKey) {
-    this.#turn = turn;
+  constructor(key: QueueKey) {
+    this.#key = key;
   }
 
   /**
@@ -38,15 +38,15 @@
   moveTo(load: RunnerLoad, options: {
     /** Id of the runner. */
     readonly runner: string;
-    readonly unreadTokens: number;
+    readonly prefillTokens: number;
     readonly now: number;
   }): boolean {
-    if (this.#place?.load === load) return false;
+    if (this.#entry?.load === load) return false;
     this.end();
-    const { runner, unreadTokens, now } = options;
-    const waiting = { ...this.#turn, requests: 1, unreadTokens };
-    this.#place = { runner, load, waiting, since: now };
-    load.queue.add(waiting);
+    const { runner, prefillTokens, now } = options;
+    const entry = { ...this.#key, requests: 1, unreadTokens: prefillTokens };
+    this.#entry = { runner, load, entry, joinedAt: now };
+    load.queue.add(entry);
     return true;
   }
 
@@ -60,19 +60,20 @@
     /** Milliseconds within which a change reaches all daemons. */
     readonly propagationMs: number;
   }): boolean {
-    if (this.#place === undefined) return true;
-    const { now, propagationMs: settleMs } = options;
-    return this.#place.load === load && now - this.#place.since > settleMs;
+    if (this.#entry === undefined) return true;
+    const { now, propagationMs } = options;
+    return this.#entry.load === load &&
+      now - this.#entry.joinedAt > propagationMs;
   }
 
   /** Id of the runner whose queue the request is in. */
   get runnerId(): string | undefined {
-    return this.#place?.runner;
+    return this.#entry?.runner;
   }
 
   /** Leaves the queue. */
   end(): void {
-    this.#place?.load.queue.remove(this.#place.waiting);
-    this.#place = undefined;
+    this.#entry?.load.queue.remove(this.#entry.entry);
+    this.#entry = undefined;
   }
 }
--- a/packages/router/src/request/capacity_wait_test.ts
+++ b/packages/router/src/request/capacity_wait_test.ts
@@ -8,31 +8,31 @@
 const DAEMONS = 8;
 const PROMPT_TOKENS = 15_000;
 /** Prefill rate of an engine. */
-const READ_TOKENS_PER_MS = 50;
+const PREFILL_TOKENS_PER_MS = 50;
 const STEP_MS = 20;
-const SHARE_EVERY_MS = 60;
+const EXCHANGE_INTERVAL_MS = 60;
 /** Prefill backlog at which daemons stop sending, in tokens. */
-const FULL_TOKENS = 20_000;
+const MAX_BACKLOG_TOKENS = 20_000;
 
 /** One daemon with requests that wait for the runner. */
 interface Daemon {
   readonly name: string;
   readonly loads: RunnerLoads;
-  readonly held: { readonly since: number; readonly wait: CapacityWait }[];
+  readonly pending: { readonly since: number; readonly wait: CapacityWait }[];
 }
 
 function daemonWith(name: string, count: number, first: number): Daemon {
-  const held = Array.from({ length: count }, (_, index) => {
+  const pending = Array.from({ length: count }, (_, index) => {
     const since = first + index;
     return {
       since,
       wait: new CapacityWait({ rank: 0, arrivedAt: since, startBy: Infinity }),
     };
   });
-  return { name, loads: new RunnerLoads(), held };
+  return { name, loads: new RunnerLoads(), pending };
 }
 
-function share(daemons: readonly Daemon[]): void {
+function exchangeLoads(daemons: readonly Daemon[]): void {
   for (const from of daemons) {
     const { own, queue } = from.loads.of("r");
     for (const to of daemons) {
@@ -46,21 +46,21 @@
 }
 
 /** Sends the waiting requests of one daemon for which there is capacity. */
-function sendWhatFits(daemon: Daemon, options: {
+function sendWithinCapacity(daemon: Daemon, options: {
   readonly now: number;
-  readonly settleMs: number;
+  readonly propagationMs: number;
   readonly sent: { readonly daemon: Daemon; readonly placed: PlacedRequest }[];
 }): void {
-  const { now, settleMs, sent } = options;
+  const { now, propagationMs, sent } = options;
   const load = daemon.loads.of("r");
-  for (const request of [...daemon.held]) {
-    const turn = { rank: 0, arrivedAt: request.since, startBy: Infinity };
+  for (const request of [...daemon.pending]) {
+    const key = { rank: 0, arrivedAt: request.since, startBy: Infinity };
     const ahead = load.total.unreadTokens +
-      load.queue.workAhead(turn, now).unreadTokens;
-    const room = ahead <= FULL_TOKENS;
-    if (room && request.wait.maySend(load, { now, propagationMs: settleMs })) {
+      load.queue.workAhead(key, now).unreadTokens;
+    const hasCapacity = ahead <= MAX_BACKLOG_TOKENS;
+    if (hasCapacity && request.wait.maySend(load, { now, propagationMs })) {
       request.wait.end();
-      daemon.held.splice(daemon.held.indexOf(request), 1);
+      daemon.pending.splice(daemon.pending.indexOf(request), 1);
       const placed = {
         unreadTokens: PROMPT_TOKENS,
         memoryTokens: PROMPT_TOKENS,
@@ -72,7 +72,7 @@
     }
     request.wait.moveTo(load, {
       runner: "r",
-      unreadTokens: PROMPT_TOKENS,
+      prefillTokens: PROMPT_TOKENS,
       now,
     });
   }
@@ -82,21 +82,23 @@
  * Simulates daemons until all prompts are prefilled; returns the largest
  * backlog.
  */
-function play(settleMs: number): { mostTokens: number; endedAt: number } {
+function simulate(
+  propagationMs: number,
+): { maxBacklogTokens: number; endedAt: number } {
   const daemons = Array.from(
     { length: DAEMONS },
     (_, index) => daemonWith(`d-${index}`, 4, index * 4),
   );
-  const unread: { readonly daemon: Daemon; readonly placed: PlacedRequest }[] =
+  const backlog: { readonly daemon: Daemon; readonly placed: PlacedRequest }[] =
     [];
-  let budget = 0;
-  let mostTokens = 0;
+  let prefillable = 0;
+  let maxBacklogTokens = 0;
   // All requests have waited for another runner, and see this one free at once.
-  for (const { held, loads } of daemons) {
-    for (const { wait } of held) {
+  for (const { pending, loads } of daemons) {
+    for (const { wait } of pending) {
       wait.moveTo(new RunnerLoads().of("elsewhere"), {
         runner: "elsewhere",
-        unreadTokens: 0,
+        prefillTokens: 0,
         now: -1,
       });
     }
@@ -104,21 +106,28 @@
   }
   for (let now = 0; now < 60_000; now += STEP_MS) {
     for (const daemon of daemons) {
-      sendWhatFits(daemon, { now, settleMs, sent: unread });
+      sendWithinCapacity(daemon, { now, propagationMs, sent: backlog });
     }
-    if (now % SHARE_EVERY_MS === SHARE_EVERY_MS - STEP_MS) share(daemons);
-    mostTokens = Math.max(mostTokens, unread.length * PROMPT_TOKENS);
-    budget += STEP_MS * READ_TOKENS_PER_MS;
-    while (unread.length > 0 && budget >= PROMPT_TOKENS) {
-      const { daemon, placed } = unread.shift()!;
+    if (now % EXCHANGE_INTERVAL_MS === EXCHANGE_INTERVAL_MS - STEP_MS) {
+      exchangeLoads(daemons);
+    }
+    maxBacklogTokens = Math.max(
+      maxBacklogTokens,
+      backlog.length * PROMPT_TOKENS,
+    );
+    prefillable += STEP_MS * PREFILL_TOKENS_PER_MS;
+    while (backlog.length > 0 && prefillable >= PROMPT_TOKENS) {
+      const { daemon, placed } = backlog.shift()!;
       daemon.loads.of("r").release(placed);
-      budget -= PROMPT_TOKENS;
+      prefillable -= PROMPT_TOKENS;
+    }
+    if (backlog.length === 0) prefillable = 0;
+    const waiting = daemons.some(({ pending }) => pending.length > 0);
+    if (!waiting && backlog.length === 0) {
+      return { maxBacklogTokens, endedAt: now };
     }
-    if (unread.length === 0) budget = 0;
-    const left = daemons.some(({ held }) => held.length > 0);
-    if (!left && unread.length === 0) return { mostTokens, endedAt: now };
   }
-  return { mostTokens, endedAt: Infinity };
+  return { maxBacklogTokens, endedAt: Infinity };
 }
 
 // Guards against all daemons sending to one free runner at the same time. Long
@@ -126,19 +135,22 @@
 // runner becomes free. If all send at once, the runner prefills 32 prompts for
 // ten seconds back to back: its streams get a token per 40 ms and time out, and
 // the work on them is lost.
-test("requests that wait at several daemons go to a free runner in turn", () => {
-  const { mostTokens, endedAt } = play(1.5 * SHARE_EVERY_MS);
-  assert.ok(mostTokens <= 4 * PROMPT_TOKENS, `${mostTokens} tokens at once`);
-  const reading = DAEMONS * 4 * PROMPT_TOKENS / READ_TOKENS_PER_MS;
-  assert.ok(endedAt < 1.25 * reading, `ended after ${endedAt} ms`);
+test("requests waiting at several daemons go to a free runner in turn", () => {
+  const { maxBacklogTokens, endedAt } = simulate(1.5 * EXCHANGE_INTERVAL_MS);
+  assert.ok(
+    maxBacklogTokens <= 4 * PROMPT_TOKENS,
+    `${maxBacklogTokens} tokens of backlog`,
+  );
+  const prefillMs = DAEMONS * 4 * PROMPT_TOKENS / PREFILL_TOKENS_PER_MS;
+  assert.ok(endedAt < 1.25 * prefillMs, `ended after ${endedAt} ms`);
 });
 
-test("the oldest of the most urgent goes first, whatever daemon it is at", () => {
+test("the oldest of the most urgent requests goes first at any daemon", () => {
   const load = new RunnerLoads().of("r");
-  const ahead = (turn: Omit<QueueKey, "startBy">) =>
-    load.queue.workAhead({ ...turn, startBy: Infinity }, 0);
-  const aheadTokens = (turn: Omit<QueueKey, "startBy">) =>
-    ahead(turn).unreadTokens;
+  const ahead = (key: Omit<QueueKey, "startBy">) =>
+    load.queue.workAhead({ ...key, startBy: Infinity }, 0);
+  const aheadTokens = (key: Omit<QueueKey, "startBy">) =>
+    ahead(key).unreadTokens;
   load.queue.add({
     rank: 1,
     arrivedAt: 5,
@@ -177,7 +189,7 @@
   const load = new RunnerLoads().of("r");
   const wait = new CapacityWait({ rank: 0, arrivedAt: 0, startBy: Infinity });
   assert.equal(wait.maySend(load, { now: 0, propagationMs: 90 }), true);
-  wait.moveTo(load, { runner: "r", unreadTokens: 5, now: 0 });
+  wait.moveTo(load, { runner: "r", prefillTokens: 5, now: 0 });
   assert.equal(wait.maySend(load, { now: 90, propagationMs: 90 }), false);
   assert.equal(wait.maySend(load, { now: 91, propagationMs: 90 }), true);
   wait.end();
--- a/packages/router/src/request/completion_check.ts
+++ b/packages/router/src/request/completion_check.ts
@@ -42,13 +42,13 @@
  */
 export function finishesInTime(expected: ExpectedResponse): boolean {
   const {
-    remainingMs: leftMs,
-    prefillTokens: unreadTokens,
-    outputTokens: answerTokens,
+    remainingMs,
+    prefillTokens,
+    outputTokens,
     msPerToken,
     ranksBelow,
   } = expected;
   if (msPerToken === undefined) return true;
-  const neededMs = prefillMs(unreadTokens) + answerTokens * msPerToken;
-  return neededMs <= leftMs * urgencyFactor(ranksBelow);
+  const neededMs = prefillMs(prefillTokens) + outputTokens * msPerToken;
+  return neededMs <= remainingMs * urgencyFactor(ranksBelow);
 }
--- a/packages/router/src/request/create_attempt.ts
+++ b/packages/router/src/request/create_attempt.ts
@@ -16,13 +16,13 @@
  */
 export function createAttempt(
   daemon: Daemon,
-  subject: RoutedRequest,
+  routed: RoutedRequest,
   options: {
     readonly request: IncomingMessage;
     readonly choice: RunnerChoice;
     readonly body: Buffer;
     /** Milliseconds until the caller gets its final response at the latest. */
-    readonly leftMs: number;
+    readonly remainingMs: number;
     /**
      * Last event that the caller has received, if the attempt continues a
      * stream.
@@ -30,19 +30,19 @@
     readonly lastEventId: number | undefined;
   },
 ): Attempt {
-  const { request, choice, body, leftMs, lastEventId } = options;
-  const { head: call, service, workspace } = subject;
+  const { request, choice, body, remainingMs, lastEventId } = options;
+  const { head, service, workspace } = routed;
   const { runner, fetchFrom } = choice;
   const headers = daemon.dialect.runnerHeaders(request.rawHeaders, {
     runnerName: runner.name,
-    deadlineMs: Math.max(1, Math.floor(leftMs)),
+    deadlineMs: Math.max(1, Math.floor(remainingMs)),
     workspace: workspace?.name,
-    rank: service.engine === undefined ? undefined : subject.preemptionRank,
+    rank: service.engine === undefined ? undefined : routed.preemptionRank,
     fetchFrom: fetchFrom && `${fetchFrom.address}:${fetchFrom.port}`,
     lastEventId,
   });
   return new Attempt(runner, {
-    id: call.id,
+    id: head.id,
     method: request.method!,
     target: request.url!,
     headers,
--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -66,7 +66,7 @@
    */
   limitWaits(service: string): LimitQueue;
   /** Records that a runner has begun to run a request. */
-  requestStarted(subject: { readonly workspace: Workspace | undefined }): void;
+  requestStarted(routed: { readonly workspace: Workspace | undefined }): void;
   /** Returns the budget for retries to a service. */
   retryBudget(service: string): RetryBudget;
 }
--- a/packages/router/src/request/demand.ts
+++ b/packages/router/src/request/demand.ts
@@ -14,9 +14,9 @@
 export interface Demand {
   readonly prompt: readonly PromptPart[];
   readonly promptTokens: number;
-  readonly answerTokens: number;
+  readonly maxOutputTokens: number;
   /** Tokens that the caller expects in the response, if it states them. */
-  readonly expectedTokens: number | undefined;
+  readonly expectedOutputTokens: number | undefined;
   /** Maximum milliseconds from the request to its final response. */
   readonly timeoutMs: number;
   readonly targetMs: number;
@@ -55,9 +55,9 @@
  * tokens, and nearly all requests that hit their time-out of 8 s were among
  * them.
  */
-const LONG_ANSWER_SHARE = 0.75;
+const LONG_OUTPUT_SHARE = 0.75;
 /** Margin for the steps between chunks, as a factor. */
-const GAP_ROOM = 1.25;
+const GAP_MARGIN = 1.25;
 /**
  * Prefill in ms that streams with tight gap targets tolerate without a late
  * event: four chunks, so that an event of five tokens takes 170 ms of its 200.
@@ -73,7 +73,7 @@
 export function isTight(demand: Demand): boolean {
   const { engine, gapTargetMs } = demand;
   if (engine === undefined || gapTargetMs === undefined) return false;
-  return gapTargetMs <= GAP_ROOM * engine.eventTokens * CHUNK_STEP_MS;
+  return gapTargetMs <= GAP_MARGIN * engine.eventTokens * CHUNK_STEP_MS;
 }
 
 /**
@@ -83,7 +83,7 @@
  * between runners.
  */
 export function hasLongOutput(demand: Demand): boolean {
-  const { expectedTokens, timeoutMs } = demand;
-  if (expectedTokens === undefined) return false;
-  return expectedTokens * CHUNK_STEP_MS > LONG_ANSWER_SHARE * timeoutMs;
+  const { expectedOutputTokens, timeoutMs } = demand;
+  if (expectedOutputTokens === undefined) return false;
+  return expectedOutputTokens * CHUNK_STEP_MS > LONG_OUTPUT_SHARE * timeoutMs;
 }
--- a/packages/router/src/request/event_splitter.ts
+++ b/packages/router/src/request/event_splitter.ts
@@ -11,12 +11,12 @@
 
 /** Returns the index after the blank line that ends the first event, or -1. */
 function endOfEvent(bytes: Buffer, from: number): number {
-  let at = bytes.indexOf(LF, from);
-  while (at !== -1) {
-    const next = bytes[at + 1];
-    if (next === LF) return at + 2;
-    if (next === CR && bytes[at + 2] === LF) return at + 3;
-    at = bytes.indexOf(LF, at + 1);
+  let index = bytes.indexOf(LF, from);
+  while (index !== -1) {
+    const next = bytes[index + 1];
+    if (next === LF) return index + 2;
+    if (next === CR && bytes[index + 2] === LF) return index + 3;
+    index = bytes.indexOf(LF, index + 1);
   }
   return -1;
 }
--- a/packages/router/src/request/event_splitter_test.ts
+++ b/packages/router/src/request/event_splitter_test.ts
@@ -6,9 +6,9 @@
 
 // A runner stops in the middle of an event. The caller must get complete events
 // only, wherever the bytes are split on the way.
-test("only whole events come out, however the bytes are cut", () => {
+test("only complete events are returned, however the bytes are split", () => {
   const text = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata";
-  const whole = text.slice(0, text.indexOf("id: 3"));
+  const complete = text.slice(0, text.indexOf("id: 3"));
   fc.assert(fc.property(
     fc.array(fc.nat({ max: text.length }), { maxLength: 8 }),
     (cuts) => {
@@ -26,7 +26,7 @@
         }
         start = end;
       }
-      assert.equal(out, whole);
+      assert.equal(out, complete);
       assert.equal(events, 2);
       assert.equal(splitter.pending, true);
     },
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -21,48 +21,48 @@
 import { readBody } from "./read_body.ts";
 
 /** Minimum time left, in ms, for another attempt. */
-const LEAST_TIME_MS = 30;
+const MIN_ATTEMPT_TIME_MS = 30;
 /** Maximum number of runners tried in turn when none of them can be reached. */
-const MAX_UNSENT = 3;
+const MAX_UNREACHABLE_RUNNERS = 3;
 
 /** Handles one request: selects runners, sends attempts and retries. */
 export class Exchange {
   readonly #daemon: Daemon;
   readonly #caller: Caller;
   readonly #progress: Progress;
-  readonly #own: LocalOutcomes;
-  readonly #tries: AttemptExecutor;
+  readonly #outcomes: LocalOutcomes;
+  readonly #attempts: AttemptExecutor;
   /** Whether the request body is still being received. */
-  #reading = false;
+  #receivingBody = false;
 
   constructor(daemon: Daemon, caller: Caller) {
     this.#daemon = daemon;
     this.#caller = caller;
     this.#progress = new Progress(daemon, caller);
-    this.#own = new LocalOutcomes(daemon, caller, this.#progress);
-    this.#tries = new AttemptExecutor(daemon, caller, {
+    this.#outcomes = new LocalOutcomes(daemon, caller, this.#progress);
+    this.#attempts = new AttemptExecutor(daemon, caller, {
       progress: this.#progress,
-      own: this.#own,
+      outcomes: this.#outcomes,
     });
   }
 
   /** Resolves when the caller has its final response or has disconnected. */
   async run(): Promise<void> {
-    const call = this.#daemon.dialect.parseRequest(
+    const head = this.#daemon.dialect.parseRequest(
       this.#caller.request.rawHeaders,
     );
-    const found = routeRequest(this.#daemon, this.#caller.request, call);
-    if ("status" in found) {
-      return this.#end(call, { kind: "refused", refusal: found });
+    const routed = routeRequest(this.#daemon, this.#caller.request, head);
+    if ("status" in routed) {
+      return this.#finish(head, { kind: "refused", refusal: routed });
     }
-    const timer = this.#startTimer(found);
+    const timer = this.#startTimer(routed);
     this.#caller.response.once(
       "close",
-      () => this.#tries.cancel("caller left"),
+      () => this.#attempts.cancel("caller disconnected"),
     );
     try {
-      const outcome = await this.#serve(found);
-      this.#end(call, outcome, found);
+      const outcome = await this.#serve(routed);
+      this.#finish(head, outcome, routed);
     } finally {
       clearTimeout(timer);
     }
@@ -72,43 +72,43 @@
    * Starts the request's time-out. The caller gets its final response when the
    * time-out expires, not some time after it.
    */
-  #startTimer({ head: call, route }: RoutedRequest): NodeJS.Timeout {
-    const span = Math.min(route.timeoutMs, call.deadlineMs ?? Infinity);
-    this.#progress.expiresAt = this.#progress.startedAt + span;
+  #startTimer({ head, route }: RoutedRequest): NodeJS.Timeout {
+    const timeoutMs = Math.min(route.timeoutMs, head.deadlineMs ?? Infinity);
+    this.#progress.expiresAt = this.#progress.startedAt + timeoutMs;
     return setTimeout(() => {
       this.#progress.expired = true;
-      this.#tries.cancel("timeout");
-      if (!this.#reading) return;
+      this.#attempts.cancel("timeout");
+      if (!this.#receivingBody) return;
       this.#caller.refuse({ status: 408, code: "body_timeout", close: true });
-    }, span);
+    }, timeoutMs);
   }
 
-  async #serve(subject: RoutedRequest): Promise<Outcome> {
+  async #serve(routed: RoutedRequest): Promise<Outcome> {
     const limits = this.#daemon.routingTable()!.limits;
-    this.#reading = true;
-    const whole = await readBody(this.#caller.request, limits.maxBodyBytes);
-    this.#reading = false;
-    if (whole.kind === "broken") return { kind: "left" };
-    if (whole.kind === "too-large") {
+    this.#receivingBody = true;
+    const received = await readBody(this.#caller.request, limits.maxBodyBytes);
+    this.#receivingBody = false;
+    if (received.kind === "broken") return { kind: "left" };
+    if (received.kind === "too-large") {
       const refusal = { status: 413, code: "body_too_large", close: true };
       return { kind: "refused", refusal };
     }
-    this.#progress.fingerprint = this.#fingerprintOf(subject, whole.body);
-    this.#daemon.retryBudget(subject.service.name).recordRequest(
+    this.#progress.fingerprint = this.#fingerprintOf(routed, received.body);
+    this.#daemon.retryBudget(routed.service.name).recordRequest(
       this.#daemon.now(),
     );
     const quarantine = this.#quarantine();
-    if (quarantine !== undefined) return this.#refuse(subject, quarantine);
-    return await this.#tryRunners(subject, whole.body);
+    if (quarantine !== undefined) return this.#refuse(routed, quarantine);
+    return await this.#attemptOnRunners(routed, received.body);
   }
 
   #fingerprintOf(
-    { head: call, workspace }: RoutedRequest,
+    { head, workspace }: RoutedRequest,
     body: Buffer,
   ): string {
     const { method, url } = this.#caller.request;
     return fingerprintOf({
-      host: call.host,
+      host: head.host,
       method: method!,
       target: url!,
       workspace: workspace?.name,
@@ -116,53 +116,58 @@
     });
   }
 
-  async #tryRunners(subject: RoutedRequest, body: Buffer): Promise<Outcome> {
+  async #attemptOnRunners(
+    routed: RoutedRequest,
+    body: Buffer,
+  ): Promise<Outcome> {
     const progress = this.#progress;
     let fallback: (() => Outcome) | undefined;
-    const search = new RunnerSearch(this.#daemon, subject, {
+    const search = new RunnerSearch(this.#daemon, routed, {
       receivedAt: progress.startedAt,
       expiresAt: progress.expiresAt,
       isAbandoned: () => progress.abandoned || this.#quarantine() !== undefined,
     });
     for (;;) {
       if (this.#caller.disconnected) return { kind: "left" };
-      const over = progress.expired || progress.remainingMs < LEAST_TIME_MS;
-      if (over) return fallback?.() ?? this.#own.timeout();
+      const outOfTime = progress.expired ||
+        progress.remainingMs < MIN_ATTEMPT_TIME_MS;
+      if (outOfTime) return fallback?.() ?? this.#outcomes.timeout();
       const choice = await search.find({
         tried: progress.triedRunners,
         noRunnerReached: progress.attempts === 0,
       });
       const quarantine = this.#quarantine();
       if (quarantine !== undefined) {
-        return fallback?.() ?? this.#refuse(subject, quarantine);
+        return fallback?.() ?? this.#refuse(routed, quarantine);
+      }
+      if (choice === "overloaded") {
+        return fallback?.() ?? this.#outcomes.overload();
       }
-      if (choice === "overloaded") return fallback?.() ?? this.#own.overload();
       if (choice === undefined) {
-        return fallback?.() ?? this.#own.refusal("no_runner");
+        return fallback?.() ?? this.#outcomes.refusal("no_runner");
       }
-      const tried = await this.#tries.execute(choice, subject, body);
-      if (tried.kind === "done") return tried.outcome;
-      const again = !progress.expired && this.#mayTryAgain(subject);
-      this.#daemon.log.decision("attempt_failed", subject.head.id, {
+      const result = await this.#attempts.execute(choice, routed, body);
+      if (result.kind === "done") return result.outcome;
+      const retry = !progress.expired && this.#mayRetry(routed);
+      this.#daemon.log.decision("attempt_failed", routed.head.id, {
         fingerprint: progress.fingerprint,
         runner: choice.runner.id,
-        reason: tried.reason,
+        reason: result.reason,
         attempt: progress.attempts,
-        again,
+        again: retry,
       });
-      if (progress.expired) return this.#own.timeout();
-      fallback = tried.fallback;
-      if (!again) return fallback();
+      if (progress.expired) return this.#outcomes.timeout();
+      fallback = result.fallback;
+      if (!retry) return fallback();
     }
   }
 
-  #mayTryAgain({ route, service }: RoutedRequest): boolean {
-    const { abandoned: over, attempts, mayHaveRun, triedRunners: tried } =
-      this.#progress;
-    if (over || attempts >= route.maxAttempts) return false;
+  #mayRetry({ route, service }: RoutedRequest): boolean {
+    const { abandoned, attempts, mayHaveRun, triedRunners } = this.#progress;
+    if (abandoned || attempts >= route.maxAttempts) return false;
     if (mayHaveRun && route.repetition === "never") return false;
     // Attempts that never reached a runner do not count as retries.
-    if (attempts === 0) return tried.size < MAX_UNSENT;
+    if (attempts === 0) return triedRunners.size < MAX_UNREACHABLE_RUNNERS;
     return this.#daemon.retryBudget(service.name).take(this.#daemon.now());
   }
 
@@ -172,33 +177,38 @@
     return this.#daemon.crashes.quarantine(fingerprint, this.#daemon.now());
   }
 
-  #refuse({ head: call }: RoutedRequest, quarantine: Quarantine): Outcome {
+  #refuse({ head }: RoutedRequest, quarantine: Quarantine): Outcome {
     const { fingerprint } = this.#progress;
-    logQuarantine(this.#daemon, call.id, { quarantine, fingerprint });
-    return this.#own.quarantine(quarantine);
+    logQuarantine(this.#daemon, head.id, { quarantine, fingerprint });
+    return this.#outcomes.quarantine(quarantine);
   }
 
-  #end(call: RequestHead, ended: Outcome, subject?: RoutedRequest): void {
-    const gone = this.#caller.disconnected && ended.kind !== "answered";
-    const outcome: Outcome = gone ? { kind: "left" } : ended;
+  #finish(
+    head: RequestHead,
+    determined: Outcome,
+    routed?: RoutedRequest,
+  ): void {
+    const disconnected = this.#caller.disconnected &&
+      determined.kind !== "answered";
+    const outcome: Outcome = disconnected ? { kind: "left" } : determined;
     if (outcome.kind === "refused") this.#caller.refuse(outcome.refusal);
     if (outcome.kind === "broken") this.#caller.abort();
     const { startedAt, attempts } = this.#progress;
     const elapsedMs = this.#daemon.now() - startedAt;
     const result = outcomeName(outcome);
     this.#daemon.metrics.ended(
-      subject?.service.name ?? "none",
+      routed?.service.name ?? "none",
       result,
       elapsedMs,
     );
-    this.#daemon.log.decision("request_ended", call.id, {
-      route: subject?.route.name,
+    this.#daemon.log.decision("request_ended", head.id, {
+      route: routed?.route.name,
       outcome: result,
       reason: outcome.kind === "broken" ? outcome.reason : undefined,
       attempts,
-      events: this.#tries.eventCount,
+      events: this.#attempts.eventCount,
       elapsed_ms: Math.round(elapsedMs),
-      config: subject?.version ?? this.#daemon.routingTable()?.version,
+      config: routed?.version ?? this.#daemon.routingTable()?.version,
     });
   }
 }
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -14,7 +14,7 @@
  */
 export function logOverload(
   daemon: Daemon,
-  subject: RoutedRequest,
+  routed: RoutedRequest,
   overload: {
     readonly choice: RunnerChoice;
     readonly waitedMs: number;
@@ -23,22 +23,22 @@
   },
 ): void {
   const { choice, waitedMs, inTime } = overload;
-  const pace = daemon.pace(subject.service.name)
+  const pace = daemon.pace(routed.service.name)
     .msPerToken(choice.runner.id, daemon.now());
-  const { total: all } = daemon.loads.of(choice.runner.id);
-  daemon.log.decision("overload_found", subject.head.id, {
-    service: subject.service.name,
+  const { total } = daemon.loads.of(choice.runner.id);
+  daemon.log.decision("overload_found", routed.head.id, {
+    service: routed.service.name,
     runner: choice.runner.id,
-    rank: subject.rank,
+    rank: routed.rank,
     candidates: choice.candidates,
-    in_flight: all.inFlight,
-    backlog_tokens: all.unreadTokens,
-    work_tokens: all.workTokens,
-    memory_tokens: all.memoryTokens,
+    in_flight: total.inFlight,
+    backlog_tokens: total.unreadTokens,
+    work_tokens: total.workTokens,
+    memory_tokens: total.memoryTokens,
     waited_ms: Math.round(waitedMs),
     in_time: inTime,
     ms_per_token: pace === undefined ? undefined : Math.round(pace),
-    expected_tokens: subject.head.expectedOutputTokens,
+    expected_tokens: routed.head.expectedOutputTokens,
     runners_age_ms: Math.round(daemon.runnersAgeMs()),
   });
 }
@@ -46,19 +46,19 @@
 /** Logs that all runners that are left are at their rate limits. */
 export function logLimitsReached(
   daemon: Daemon,
-  subject: RoutedRequest,
+  routed: RoutedRequest,
   limits: {
     readonly limited: number;
     readonly waitedMs: number;
     /** Whether this daemon has a share of any of these limits. */
-    readonly hasPart: boolean;
+    readonly hasShare: boolean;
   },
 ): void {
-  daemon.log.decision("limits_reached", subject.head.id, {
-    service: subject.service.name,
-    rank: subject.rank,
+  daemon.log.decision("limits_reached", routed.head.id, {
+    service: routed.service.name,
+    rank: routed.rank,
     limited: limits.limited,
-    has_part: limits.hasPart,
+    has_part: limits.hasShare,
     waited_ms: Math.round(limits.waitedMs),
     runners_age_ms: Math.round(daemon.runnersAgeMs()),
   });
@@ -67,20 +67,21 @@
 /** Logs that a request waits for a runner, and the work ahead of it. */
 export function logCapacityWait(
   daemon: Daemon,
-  subject: RoutedRequest,
-  wait: { readonly choice: RunnerChoice; readonly turn: QueueKey },
+  routed: RoutedRequest,
+  wait: { readonly choice: RunnerChoice; readonly queueKey: QueueKey },
 ): void {
-  const { runner, candidates, prefillTokens: unreadTokens } = wait.choice;
+  const { runner, candidates, prefillTokens } = wait.choice;
   const load = daemon.loads.of(runner.id);
-  daemon.log.decision("room_awaited", subject.head.id, {
-    service: subject.service.name,
+  daemon.log.decision("room_awaited", routed.head.id, {
+    service: routed.service.name,
     runner: runner.id,
-    rank: subject.rank,
+    rank: routed.rank,
     candidates,
     in_flight: load.total.inFlight,
     backlog_tokens: load.total.unreadTokens,
-    ahead_tokens: load.queue.workAhead(wait.turn, daemon.now()).unreadTokens,
-    unread_tokens: unreadTokens,
+    ahead_tokens:
+      load.queue.workAhead(wait.queueKey, daemon.now()).unreadTokens,
+    unread_tokens: prefillTokens,
     runners_age_ms: Math.round(daemon.runnersAgeMs()),
   });
 }
@@ -103,18 +104,18 @@
 /** Logs the selected runner and its known state. */
 export function logRunnerChosen(
   daemon: Daemon,
-  subject: RoutedRequest,
+  routed: RoutedRequest,
   chosen: {
     readonly choice: RunnerChoice;
     /** The same for each attempt of the request. */
     readonly fingerprint: string;
-    readonly leftMs: number;
+    readonly remainingMs: number;
   },
 ): void {
-  const { head: call, route, service, version } = subject;
-  const { choice, fingerprint, leftMs } = chosen;
+  const { head, route, service, version } = routed;
+  const { choice, fingerprint, remainingMs } = chosen;
   const load = daemon.loads.of(choice.runner.id);
-  daemon.log.decision("runner_chosen", call.id, {
+  daemon.log.decision("runner_chosen", head.id, {
     fingerprint,
     route: route.name,
     service: service.name,
@@ -129,10 +130,10 @@
     backlog_tokens: load.total.unreadTokens,
     unread_tokens: choice.prefillTokens,
     fetch_from: choice.fetchFrom?.id,
-    prompt_tokens: call.promptTokens,
-    shared_part: call.prompt.at(-2)?.id,
-    rank: subject.rank,
+    prompt_tokens: head.promptTokens,
+    shared_part: head.prompt.at(-2)?.id,
+    rank: routed.rank,
     runners_age_ms: Math.round(daemon.runnersAgeMs()),
-    left_ms: Math.round(leftMs),
+    left_ms: Math.round(remainingMs),
   });
 }
--- a/packages/router/src/request/fingerprint.ts
+++ b/packages/router/src/request/fingerprint.ts
@@ -10,7 +10,7 @@
  * Length of a fingerprint in bytes; among a billion requests, two hardly ever
  * share one.
  */
-const BYTES = 9;
+const FINGERPRINT_BYTES = 9;
 
 /** The parts of a request that are the same in all its attempts. */
 export interface FingerprintInput {
@@ -33,9 +33,9 @@
  * // "q2wQJ6dZ1vXh"
  * ```
  */
-export function fingerprintOf(asked: FingerprintInput): string {
-  const { host, method, target, workspace, body } = asked;
+export function fingerprintOf(input: FingerprintInput): string {
+  const { host, method, target, workspace, body } = input;
   const head = JSON.stringify([host, method, target, workspace ?? null]);
   return createHash("sha256").update(head).update(body).digest()
-    .subarray(0, BYTES).toString("base64url");
+    .subarray(0, FINGERPRINT_BYTES).toString("base64url");
 }
--- a/packages/router/src/request/fingerprint_test.ts
+++ b/packages/router/src/request/fingerprint_test.ts
@@ -4,7 +4,7 @@
 import { fingerprintOf } from "./fingerprint.ts";
 import type { FingerprintInput } from "./fingerprint.ts";
 
-function asked(fields: Partial<FingerprintInput> = {}): FingerprintInput {
+function inputOf(fields: Partial<FingerprintInput> = {}): FingerprintInput {
   return {
     host: "a.example",
     method: "POST",
@@ -15,11 +15,11 @@
   };
 }
 
-test("tries of one request have one fingerprint", () => {
-  assert.equal(fingerprintOf(asked()), fingerprintOf(asked()));
+test("attempts of one request have the same fingerprint", () => {
+  assert.equal(fingerprintOf(inputOf()), fingerprintOf(inputOf()));
 });
 
-const OTHERS: readonly Partial<FingerprintInput>[] = [
+const VARIANTS: readonly Partial<FingerprintInput>[] = [
   { host: "b.example" },
   { method: "PUT" },
   { target: "/chat/?page=2" },
@@ -29,7 +29,9 @@
   { target: "/chat/", body: Buffer.from("?page=1hello") },
 ];
 
-test("requests that differ in anything have other fingerprints", () => {
-  const known = new Set([asked(), ...OTHERS.map(asked)].map(fingerprintOf));
-  assert.equal(known.size, 1 + OTHERS.length);
+test("requests that differ in any part have different fingerprints", () => {
+  const fingerprints = new Set(
+    [inputOf(), ...VARIANTS.map(inputOf)].map(fingerprintOf),
+  );
+  assert.equal(fingerprints.size, 1 + VARIANTS.length);
 });
--- a/packages/router/src/request/headers.ts
+++ b/packages/router/src/request/headers.ts
@@ -19,7 +19,7 @@
 ]);
 
 /** Returns the names that `connection` lists as hop-by-hop. */
-function namedInConnection(headers: RawHeaders): ReadonlySet<string> {
+function connectionHeaderNames(headers: RawHeaders): ReadonlySet<string> {
   const names = new Set<string>();
   for (let i = 0; i + 1 < headers.length; i += 2) {
     if (headers[i]!.toLowerCase() !== "connection") continue;
@@ -38,7 +38,7 @@
   headers: RawHeaders,
   dropped: ReadonlySet<string>,
 ): string[] {
-  const named = namedInConnection(headers);
+  const named = connectionHeaderNames(headers);
   const kept: string[] = [];
   for (let i = 0; i + 1 < headers.length; i += 2) {
     const name = headers[i]!.toLowerCase();
--- a/packages/router/src/request/inactivity_timer.ts
+++ b/packages/router/src/request/inactivity_timer.ts
@@ -6,27 +6,27 @@
 
 /** Calls back when it has not been restarted within the last time-out. */
 export class InactivityTimer {
-  readonly #onSilent: () => void;
+  readonly #onInactive: () => void;
   #timer: NodeJS.Timeout | undefined;
   #deadline = 0;
 
-  constructor(onSilent: () => void) {
-    this.#onSilent = onSilent;
+  constructor(onInactive: () => void) {
+    this.#onInactive = onInactive;
   }
 
   /** Restarts the timer with a time-out that begins now. */
-  restart(ms: number): void {
-    this.#deadline = performance.now() + ms;
-    this.#timer ??= setTimeout(() => this.#check(), ms);
+  restart(timeoutMs: number): void {
+    this.#deadline = performance.now() + timeoutMs;
+    this.#timer ??= setTimeout(() => this.#checkDeadline(), timeoutMs);
   }
 
   stop(): void {
     clearTimeout(this.#timer);
   }
 
-  #check(): void {
-    const left = this.#deadline - performance.now();
-    if (left <= 0) return this.#onSilent();
-    this.#timer = setTimeout(() => this.#check(), left);
+  #checkDeadline(): void {
+    const remainingMs = this.#deadline - performance.now();
+    if (remainingMs <= 0) return this.#onInactive();
+    this.#timer = setTimeout(() => this.#checkDeadline(), remainingMs);
   }
 }
--- a/packages/router/src/request/local_outcomes.ts
+++ b/packages/router/src/request/local_outcomes.ts
@@ -35,8 +35,8 @@
 
   /** No runner had capacity for the request. */
   overload(): Outcome {
-    const { remainingMs: leftMs } = this.#progress;
-    const refusal = overloadRefusal(leftMs, this.#daemon.random());
+    const { remainingMs } = this.#progress;
+    const refusal = overloadRefusal(remainingMs, this.#daemon.random());
     return { kind: "refused", refusal };
   }
 
--- a/packages/router/src/request/placement.ts
+++ b/packages/router/src/request/placement.ts
@@ -35,7 +35,7 @@
  * Number of requests by which a runner in another failure domain must be less
  * loaded to be selected.
  */
-const DOMAIN_PENALTY = 0.7;
+const REMOTE_DOMAIN_PENALTY = 0.7;
 
 /**
  * Relative cost that a runner of a plain service has in addition when all its
@@ -44,7 +44,7 @@
  * fails 4 of 10 requests is selected only when the others have seven times its
  * load.
  */
-const FAILED_WEIGHT = 16;
+const FAILURE_RATE_WEIGHT = 16;
 
 /**
  * Returns the prompt part that most determines how much of its cache a runner
@@ -54,20 +54,20 @@
   return prompt.at(-2) ?? prompt[0];
 }
 
-function usable(
+function eligibleRunners(
   fleet: RunnerFleet,
   excluded: ReadonlySet<string>,
 ): readonly Runner[] {
   const { limits, now } = fleet;
-  const left = fleet.runners.filter(({ id }) =>
+  const untried = fleet.runners.filter(({ id }) =>
     !excluded.has(id) && (!limits.hasLimits || limits.allowsRequest(id, now))
   );
-  const sound = left.filter(({ id }) =>
+  const healthy = untried.filter(({ id }) =>
     !fleet.loads.of(id).isEjected(fleet.now)
   );
   // If all runners appear to be down, this daemon is probably partitioned or
   // mistaken.
-  return sound.length > 0 ? sound : left;
+  return healthy.length > 0 ? healthy : untried;
 }
 
 function leastLoaded(
@@ -76,13 +76,14 @@
 ): RunnerChoice {
   const cost = (runner: Runner) => {
     const load = fleet.loads.of(runner.id);
-    const far = runner.failureDomain === fleet.failureDomain
+    const domainPenalty = runner.failureDomain === fleet.failureDomain
       ? 0
-      : DOMAIN_PENALTY;
+      : REMOTE_DOMAIN_PENALTY;
     const requests = load.requestCount(fleet.now);
-    const slow = runner.warmUpMs > 0 ? WARM_UP_FACTOR : 1;
-    const vain = 1 + FAILED_WEIGHT * load.failureRate(fleet.now);
-    return slow * vain * (1 + requests + far + load.failures) /
+    const slowdown = runner.warmUpMs > 0 ? WARM_UP_FACTOR : 1;
+    const failureFactor = 1 + FAILURE_RATE_WEIGHT * load.failureRate(fleet.now);
+    return slowdown * failureFactor *
+      (1 + requests + domainPenalty + load.failures) /
       Math.max(1, runner.slots);
   };
   let best = runners[0]!;
@@ -110,10 +111,10 @@
   runner: Runner,
 ): boolean {
   return !isOverloaded(fleet, demand, runner) &&
-    isBearable(fleet, demand, runner);
+    toleratesPrefill(fleet, demand, runner);
 }
 
-function isBearable(
+function toleratesPrefill(
   fleet: RunnerFleet,
   demand: Demand,
   runner: Runner,
@@ -122,32 +123,34 @@
     !delaysTightStreams(fleet, demand, runner);
 }
 
-function byPrefix(
+function lowestCost(
   fleet: RunnerFleet,
   demand: Demand,
   runners: readonly Runner[],
 ): RunnerChoice {
   const pools = poolsOf(fleet.runners);
   const tight = isTight(demand);
-  const part = sharedPart(demand.prompt)!;
+  const sharedPrefix = sharedPart(demand.prompt)!;
   const names = new Set(runners.map(({ name }) => name));
-  const home = pools.home(part.id, { tight, usable: names });
+  const home = pools.home(sharedPrefix.id, { tight, usable: names });
   const holdings = findPrefixHoldings(fleet, demand, runners);
-  const bearable = runners.filter((each) => isBearable(fleet, demand, each));
+  const tolerant = runners.filter((runner) =>
+    toleratesPrefill(fleet, demand, runner)
+  );
   let best: CostEstimate | undefined;
-  for (const runner of bearable.length > 0 ? bearable : runners) {
-    const quote = estimateCost(fleet, demand, {
+  for (const runner of tolerant.length > 0 ? tolerant : runners) {
+    const estimate = estimateCost(fleet, demand, {
       runner,
       atHome: runner.name === home,
-      kept: pools.reserved.has(runner.name),
+      reserved: pools.reserved.has(runner.name),
       holdings,
     });
-    if (best === undefined || quote.costMs < best.costMs) best = quote;
+    if (best === undefined || estimate.costMs < best.costMs) best = estimate;
   }
-  const { runner, prefillTokens: unreadTokens, fetchFrom } = best!;
+  const { runner, prefillTokens, fetchFrom } = best!;
   return {
     runner,
-    prefillTokens: unreadTokens,
+    prefillTokens,
     fetchFrom,
     tight,
     overloaded: !hasCapacity(fleet, demand, runner),
@@ -174,10 +177,10 @@
   demand: Demand,
   excluded: ReadonlySet<string>,
 ): RunnerChoice | undefined {
-  const runners = usable(fleet, excluded);
+  const runners = eligibleRunners(fleet, excluded);
   if (runners.length === 0) return undefined;
   if (demand.engine === undefined || demand.prompt.length === 0) {
     return leastLoaded(fleet, runners);
   }
-  return byPrefix(fleet, demand, runners);
+  return lowestCost(fleet, demand, runners);
 }
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -38,15 +38,15 @@
   };
 }
 
-function longPrompt(subject: string): Demand {
+function longPrompt(topic: string): Demand {
   return {
-    prompt: [{ id: subject, tokens: 13_000 }, {
-      id: `${subject}-own`,
+    prompt: [{ id: topic, tokens: 13_000 }, {
+      id: `${topic}-own`,
       tokens: 3_000,
     }],
     promptTokens: 16_000,
-    answerTokens: 200,
-    expectedTokens: undefined,
+    maxOutputTokens: 200,
+    expectedOutputTokens: undefined,
     timeoutMs: 8_000,
     targetMs: 1_500,
     gapTargetMs: 800,
@@ -57,11 +57,11 @@
   };
 }
 
-function tightStream(subject: string): Demand {
+function tightStream(topic: string): Demand {
   return {
-    ...longPrompt(subject),
-    prompt: [{ id: subject, tokens: 300 }, {
-      id: `${subject}-own`,
+    ...longPrompt(topic),
+    prompt: [{ id: topic, tokens: 300 }, {
+      id: `${topic}-own`,
       tokens: 800,
     }],
     promptTokens: 1_100,
@@ -84,7 +84,7 @@
     const choice = chooseRunner(fleet, demand, NONE)!;
     fleet.loads.of(choice.runner.id).place({
       unreadTokens: choice.prefillTokens,
-      memoryTokens: demand.promptTokens + demand.answerTokens,
+      memoryTokens: demand.promptTokens + demand.maxOutputTokens,
       tight: choice.tight,
     }, fleet.now);
     fleet.prefixes.recordSent(choice.runner.id, demand.prompt, fleet.now);
@@ -92,10 +92,10 @@
   });
 }
 
-test("daemons that know nothing of each other choose the same home", () => {
-  const chosen = ["a", "b", "c"].map((subject) => {
+test("daemons select the same home runner without coordination", () => {
+  const chosen = ["a", "b", "c"].map((topic) => {
     const homes = [fleetOf(8), fleetOf(8)].map((fleet) =>
-      chooseRunner(fleet, longPrompt(subject), NONE)!.runner.id
+      chooseRunner(fleet, longPrompt(topic), NONE)!.runner.id
     );
     assert.equal(homes[0], homes[1]);
     return homes[0];
@@ -103,7 +103,7 @@
   assert.ok(new Set(chosen).size > 1);
 });
 
-test("a second request finds the runner that reads its prompt", () => {
+test("a second request goes to the runner that prefills its prompt", () => {
   const fleet = fleetOf(8);
   const [first, second] = placeAll(fleet, [longPrompt("a"), longPrompt("a")]);
   assert.equal(second!.runner.id, first!.runner.id);
@@ -113,7 +113,7 @@
 // Guards against a queue at one runner when many requests share a prompt. On
 // its home runner alone, the last of them would wait seconds. Other runners
 // must take some of them, and fetch the prompt instead of prefilling it.
-test("a hot prompt spreads by fetching, not by reading it again", () => {
+test("a hot prompt spreads by fetches, not by duplicate prefill", () => {
   const fleet = fleetOf(8);
   const [first] = placeAll(fleet, [longPrompt("a")]);
   fleet.prefixes.recordPrefill(
@@ -128,7 +128,7 @@
   const used = new Set(rest.map(({ runner }) => runner.id));
   assert.ok(used.size >= 3, `${used.size} runners`);
   assert.ok(
-    rest.every(({ prefillTokens: unreadTokens }) => unreadTokens <= 3_000),
+    rest.every(({ prefillTokens }) => prefillTokens <= 3_000),
   );
   assert.ok(rest.some(({ fetchFrom }) => fetchFrom !== undefined));
 });
@@ -136,14 +136,14 @@
 // Chunks of long prompts delay every token of the streams in the same batch.
 // Replies with gaps of 200 ms at most must not run where long prompts are
 // prefilled.
-test("long prompts and tight streams do not meet while there is room", () => {
+test("long prompts and tight streams use separate runners below capacity", () => {
   const fleet = fleetOf(8);
-  const subjects = Array.from({ length: 12 }, (_, index) => `s-${index}`);
+  const topics = Array.from({ length: 12 }, (_, index) => `s-${index}`);
   const choices = placeAll(
     fleet,
-    subjects.flatMap((subject) => [
-      longPrompt(subject),
-      tightStream(subject),
+    topics.flatMap((topic) => [
+      longPrompt(topic),
+      tightStream(topic),
     ]),
   );
   const long = choices.filter(({ tight }) => !tight);
@@ -156,7 +156,7 @@
 /** Offers 500 long prompts at once; returns how many started. */
 function startBurst(
   fleet: RunnerFleet,
-  options: { readonly read: boolean },
+  options: { readonly prefilled: boolean },
 ): number {
   let started = 0;
   for (let offered = 0; offered < 500; offered += 1) {
@@ -166,12 +166,12 @@
     started += 1;
     const placed = {
       unreadTokens: choice.prefillTokens,
-      memoryTokens: demand.promptTokens + demand.answerTokens,
+      memoryTokens: demand.promptTokens + demand.maxOutputTokens,
       tight: choice.tight,
     };
     const load = fleet.loads.of(choice.runner.id);
     load.place(placed, fleet.now);
-    if (options.read) load.recordFirstEvent(placed);
+    if (options.prefilled) load.recordFirstEvent(placed);
   }
   return started;
 }
@@ -179,9 +179,9 @@
 // A burst of long prompts fills every runner. With more of them, streams would
 // get one token per step and none would finish in time; an urgent request is
 // still admitted.
-test("a burst of the least urgent leaves room for the urgent", () => {
+test("a burst of least urgent requests leaves capacity for urgent ones", () => {
   const fleet = fleetOf(4);
-  const started = startBurst(fleet, { read: true });
+  const started = startBurst(fleet, { prefilled: true });
   assert.ok(started > 20 && started < 100, `${started} started`);
   assert.equal(chooseRunner(fleet, longPrompt("x"), NONE)!.overloaded, true);
   assert.equal(chooseRunner(fleet, tightStream("y"), NONE)!.overloaded, false);
@@ -189,9 +189,9 @@
 
 // Engines prefill admitted prompts in order, whatever their tiers. Behind a
 // queue of long ones, an urgent request waits for seconds.
-test("little reading is ahead of an urgent request, whatever the burst", () => {
+test("little prefill is ahead of an urgent request in any burst", () => {
   const fleet = fleetOf(4);
-  startBurst(fleet, { read: false });
+  startBurst(fleet, { prefilled: false });
   const urgent = chooseRunner(fleet, tightStream("y"), NONE)!;
   const { unreadTokens } = fleet.loads.of(urgent.runner.id).total;
   assert.ok(unreadTokens / 50 < 1_000, `${unreadTokens} tokens ahead`);
@@ -201,22 +201,26 @@
 // are full, the long prompts must wait or be refused: on the runners of the
 // replies, each later reply would wait for seconds, and callers give up after
 // two.
-test("a burst of long prompts does not spill over tight streams", () => {
+test("a burst of long prompts does not spill over to tight streams", () => {
   const fleet = fleetOf(8);
-  const replies = Array.from({ length: 12 }, (_, index) => `t-${index}`);
-  const kept = new Set(
-    placeAll(fleet, replies.map(tightStream)).map(({ runner }) => runner.id),
+  const topics = Array.from({ length: 12 }, (_, index) => `t-${index}`);
+  const replyRunners = new Set(
+    placeAll(fleet, topics.map(tightStream)).map(({ runner }) => runner.id),
+  );
+  const before = [...replyRunners].map((id) =>
+    fleet.loads.of(id).total.unreadTokens
+  );
+  assert.ok(startBurst(fleet, { prefilled: false }) < 100);
+  const after = [...replyRunners].map((id) =>
+    fleet.loads.of(id).total.unreadTokens
   );
-  const before = [...kept].map((id) => fleet.loads.of(id).total.unreadTokens);
-  assert.ok(startBurst(fleet, { read: false }) < 100);
-  const after = [...kept].map((id) => fleet.loads.of(id).total.unreadTokens);
   assert.deepEqual(after, before);
 });
 
 // A prompt's home runner prefills another prompt while a second runner is free.
 // Prefilled there, the prompt costs all engines another 300 ms, in a burst for
 // every second request; on its home runner it waits for 200.
-test("a prompt waits for its home rather than being read twice", () => {
+test("a prompt waits for its home runner rather than being prefilled twice", () => {
   const fleet = fleetOf(8);
   const [first] = placeAll(fleet, [longPrompt("a")]);
   fleet.prefixes.recordPrefill(
@@ -224,36 +228,39 @@
     longPrompt("a").prompt,
     fleet.now,
   );
-  const home = fleet.loads.of(first!.runner.id);
-  home.place(
+  const homeLoad = fleet.loads.of(first!.runner.id);
+  homeLoad.place(
     { unreadTokens: 20_000, memoryTokens: 20_000, tight: false },
     fleet.now,
   );
-  const without = {
+  const withoutFetch = {
     ...longPrompt("a"),
     engine: { ...ENGINE, fetchMsPerToken: undefined },
   };
-  const second = chooseRunner(fleet, without, NONE)!;
+  const second = chooseRunner(fleet, withoutFetch, NONE)!;
   assert.equal(second.runner.id, first!.runner.id);
   assert.equal(second.overloaded, true);
 });
 
 test("a lost runner moves only its own prompts", () => {
   const all = fleetOf(8);
-  const subjects = Array.from({ length: 60 }, (_, index) => `s-${index}`);
-  const homeOf = (fleet: RunnerFleet, subject: string) =>
-    chooseRunner(fleet, longPrompt(subject), NONE)!.runner.id;
-  const before = subjects.map((subject) => homeOf(all, subject));
+  const topics = Array.from({ length: 60 }, (_, index) => `s-${index}`);
+  const homeOf = (fleet: RunnerFleet, topic: string) =>
+    chooseRunner(fleet, longPrompt(topic), NONE)!.runner.id;
+  const before = topics.map((topic) => homeOf(all, topic));
   const lost = before[0]!;
-  const left = { ...all, runners: all.runners.filter(({ id }) => id !== lost) };
-  const moved = subjects.filter((subject, index) =>
-    before[index] !== lost && homeOf(left, subject) !== before[index]
+  const remaining = {
+    ...all,
+    runners: all.runners.filter(({ id }) => id !== lost),
+  };
+  const moved = topics.filter((topic, index) =>
+    before[index] !== lost && homeOf(remaining, topic) !== before[index]
   );
   // A runner may move to the other of the two pools, and its prompts with it.
   assert.ok(moved.length <= 25, `${moved.length} moved`);
 });
 
-test("plain requests go to the least loaded, near ones first", () => {
+test("plain requests go to the least loaded runner, the local domain first", () => {
   const fleet = fleetOf(4);
   const near = chooseRunner(fleet, plain(), NONE)!.runner;
   assert.equal(near.failureDomain, "d-0");
@@ -271,7 +278,7 @@
 // Every runner appears to be down, most likely because this daemon is
 // partitioned. Sending nothing until the ejections end would prolong the
 // outage.
-test("when all runners rest, one is tried all the same", () => {
+test("when all runners are ejected, one is still selected", () => {
   const fleet = fleetOf(2);
   for (const { id } of fleet.runners) {
     fleet.loads.of(id).recordFailure(fleet.now);
@@ -288,7 +295,7 @@
 // runner that has begun with a prompt has two seconds of prefill ahead of it,
 // and another one is idle. Prefilled there too, the prompt takes the time of
 // four requests that would only have to prefill their own parts.
-test("a prompt that a runner is about to read is not read by another one", () => {
+test("a prompt about to be prefilled on a runner is not prefilled elsewhere", () => {
   const fleet = fleetOf(8);
   const [first] = placeAll(fleet, [longPrompt("a")]);
   fleet.loads.of(first!.runner.id).place(
@@ -298,42 +305,46 @@
   const second = chooseRunner(fleet, longPrompt("a"), NONE)!;
   assert.equal(second.runner.id, first!.runner.id);
   const other = chooseRunner(fleet, longPrompt("b"), NONE)!;
-  assert.notEqual(other.runner.id, first!.runner.id, "nobody reads this one");
+  assert.notEqual(
+    other.runner.id,
+    first!.runner.id,
+    "no runner prefills this prompt",
+  );
 });
 
 // Guards against long responses that are cut off in the middle. Where prompts
 // are prefilled back to back, each token takes 40 ms, so 300 of them do not
 // arrive in 8 s; on the runners of tight streams, which prefill little, they
 // do.
-test("long answers go where little is read", () => {
+test("long responses go to runners with little prefill", () => {
   const fleet = fleetOf(8);
-  const subjects = Array.from({ length: 12 }, (_, index) => `s-${index}`);
-  const runnersOf = (demandOf: (subject: string) => Demand) =>
+  const topics = Array.from({ length: 12 }, (_, index) => `s-${index}`);
+  const runnersOf = (demandOf: (topic: string) => Demand) =>
     new Set(
-      subjects.map((subject) =>
-        chooseRunner(fleet, demandOf(subject), NONE)!.runner.id
+      topics.map((topic) =>
+        chooseRunner(fleet, demandOf(topic), NONE)!.runner.id
       ),
     );
-  const brief = (subject: string): Demand => ({
-    ...longPrompt(subject),
-    prompt: [{ id: subject, tokens: 2_000 }, { id: "own", tokens: 1_000 }],
+  const mediumPrompt = (topic: string): Demand => ({
+    ...longPrompt(topic),
+    prompt: [{ id: topic, tokens: 2_000 }, { id: "own", tokens: 1_000 }],
     promptTokens: 3_000,
   });
-  const calm = runnersOf(tightStream);
-  const short = runnersOf(brief);
-  const long = runnersOf((subject) => ({
-    ...brief(subject),
-    expectedTokens: 300,
+  const tight = runnersOf(tightStream);
+  const short = runnersOf(mediumPrompt);
+  const long = runnersOf((topic) => ({
+    ...mediumPrompt(topic),
+    expectedOutputTokens: 300,
   }));
-  assert.equal(calm.size, 2, "runners that are kept for tight streams");
-  assert.ok([...short].every((id) => !calm.has(id)));
-  assert.ok([...long].every((id) => calm.has(id)));
+  assert.equal(tight.size, 2, "runners reserved for tight streams");
+  assert.ok([...short].every((id) => !tight.has(id)));
+  assert.ok([...long].every((id) => tight.has(id)));
 });
 
 // A plain service has three runners, and one of them begins to fail 4 of 10
 // requests at once. It appears idle, so it would get more than its share, and
 // callers whose requests may not be retried would get its failures.
-test("a runner that fails some requests at once is sent few", () => {
+test("a runner that fails some requests at once gets few of them", () => {
   const steps = 4_000;
   const fleet = fleetOf(3);
   const busy: { readonly id: string; readonly endsAt: number }[] = [];
@@ -368,19 +379,19 @@
 // runners reserved for them, while two thirds of the slots elsewhere are free.
 // Further streams must start there at once instead of waiting for a stream to
 // end; where there are many slots they stay on their reserved runners.
-test("urgent streams go elsewhere when their runners are out of slots", () => {
+test("urgent streams go elsewhere when reserved runners are out of slots", () => {
   const slots = 16;
   const engine = { ...ENGINE, slots };
   const fleet = fleetOf(8);
-  const { reserved: kept } = poolsOf(fleet.runners);
+  const { reserved } = poolsOf(fleet.runners);
   for (const { id, name } of fleet.runners) {
-    const inFlight = kept.has(name) ? slots - 1 : 5;
+    const inFlight = reserved.has(name) ? slots - 1 : 5;
     const share = { ...fleet.loads.of(id).own, inFlight };
     fleet.loads.of(id).setNeighbourLoad("elsewhere", share, { now: 0 });
     fleet.prefixes.recordPrefill(id, tightStream("a").prompt, fleet.now);
   }
   const few = chooseRunner(fleet, { ...tightStream("a"), engine }, NONE)!;
-  assert.equal(kept.has(few.runner.name), false);
+  assert.equal(reserved.has(few.runner.name), false);
   const many = chooseRunner(fleet, tightStream("a"), NONE)!;
-  assert.equal(kept.has(many.runner.name), true);
+  assert.equal(reserved.has(many.runner.name), true);
 });
--- a/packages/router/src/request/refusals.ts
+++ b/packages/router/src/request/refusals.ts
@@ -6,14 +6,14 @@
 import type { Refusal } from "./caller.ts";
 
 /** Minimum retry delay in ms; random jitter adds up to as much again. */
-const RETRY_AFTER_MS = 250;
+const MIN_RETRY_DELAY_MS = 250;
 /**
  * Share of its remaining time that a caller stays away at most when told to
  * retry later.
  */
-const RETURN_SHARE = 0.33;
+const MAX_RETRY_DELAY_SHARE = 0.33;
 
-const UNAVAILABLE = 503;
+const SERVICE_UNAVAILABLE = 503;
 
 /**
  * Refuses a request that another daemon, or this one in a moment, can probably
@@ -21,9 +21,9 @@
  *
  * @param jitter random number in [0, 1).
  */
-export function unavailableRefusal(code: string, point: number): Refusal {
-  const retryAfterMs = RETRY_AFTER_MS * (1 + point);
-  return { status: UNAVAILABLE, code, retryAfterMs };
+export function unavailableRefusal(code: string, jitter: number): Refusal {
+  const retryAfterMs = MIN_RETRY_DELAY_MS * (1 + jitter);
+  return { status: SERVICE_UNAVAILABLE, code, retryAfterMs };
 }
 
 /**
@@ -32,8 +32,12 @@
  *
  * @param remainingMs milliseconds until the quarantine ends.
  */
-export function quarantineRefusal(leftMs: number): Refusal {
-  return { status: UNAVAILABLE, code: "quarantined", retryAfterMs: leftMs };
+export function quarantineRefusal(remainingMs: number): Refusal {
+  return {
+    status: SERVICE_UNAVAILABLE,
+    code: "quarantined",
+    retryAfterMs: remainingMs,
+  };
 }
 
 /**
@@ -44,7 +48,7 @@
  * @param remainingMs milliseconds that the caller has left.
  * @param jitter random number in [0, 1).
  */
-export function overloadRefusal(leftMs: number, point: number): Refusal {
-  const retryAfterMs = leftMs * RETURN_SHARE * (1 - point / 2);
-  return { status: UNAVAILABLE, code: "overloaded", retryAfterMs };
+export function overloadRefusal(remainingMs: number, jitter: number): Refusal {
+  const retryAfterMs = remainingMs * MAX_RETRY_DELAY_SHARE * (1 - jitter / 2);
+  return { status: SERVICE_UNAVAILABLE, code: "overloaded", retryAfterMs };
 }
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -16,17 +16,17 @@
 /**
  * Maximum size in bytes of a response that is buffered before it is relayed.
  */
-const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
+const MAX_BUFFERED_BYTES = 16 * 1024 * 1024;
 /**
  * Number of gap targets without an event after which a stream continues on
  * another runner.
  */
-const GAP_SILENCE = 4;
-const FIRST_ERROR = 400;
-const FIRST_SERVER_ERROR = 500;
+const GAP_TIMEOUT_TARGETS = 4;
+const MIN_ERROR_STATUS = 400;
+const MIN_SERVER_ERROR_STATUS = 500;
 
 /** A response that a runner has begun. */
-export type RunnerResponse = Extract<SendResult, { readonly kind: "answer" }>;
+export type RunnerResponse = Extract<SendResult, { readonly kind: "response" }>;
 
 /** The state of one attempt. */
 export interface AttemptContext {
@@ -49,7 +49,7 @@
   | {
     readonly kind: "failed";
     readonly status: number;
-    readonly answer: () => void;
+    readonly respond: () => void;
   };
 
 /**
@@ -63,17 +63,17 @@
   /**
    * Whether this daemon ended the attempt, so that the runner is not to blame.
    */
-  readonly #endedByUs: () => boolean;
+  readonly #cancelledLocally: () => boolean;
   #stream: StreamRelay | undefined;
 
   constructor(
     daemon: Daemon,
     caller: Caller,
-    options: { readonly endedByUs: () => boolean },
+    options: { readonly cancelledLocally: () => boolean },
   ) {
     this.#daemon = daemon;
     this.#caller = caller;
-    this.#endedByUs = options.endedByUs;
+    this.#cancelledLocally = options.cancelledLocally;
   }
 
   /** Id of the last stream event that the caller has. */
@@ -90,68 +90,79 @@
 
   /** Relays a response; a successful one must carry the runner's seal. */
   relay(
-    subject: RoutedRequest,
-    sent: RunnerResponse,
-    parts: AttemptContext,
+    routed: RoutedRequest,
+    response: RunnerResponse,
+    context: AttemptContext,
   ): Promise<RelayResult> {
-    const { status, head } = sent;
-    const success = status < FIRST_ERROR;
+    const { status, head } = response;
+    const success = status < MIN_ERROR_STATUS;
     if (success && (!head.sealed || head.encoded)) {
-      parts.attempt.cancel("not the runner's own answer");
-      parts.load.recordFailure(this.#daemon.now());
-      return Promise.resolve({ kind: "broken", reason: "answer without seal" });
+      context.attempt.cancel("response without seal");
+      context.load.recordFailure(this.#daemon.now());
+      return Promise.resolve({
+        kind: "broken",
+        reason: "response without seal",
+      });
     }
-    if (subject.route.streaming && success) {
-      return this.#passStream(subject, sent, parts);
+    if (routed.route.streaming && success) {
+      return this.#relayStream(routed, response, context);
     }
-    return this.#passWhole(subject, sent, parts);
+    return this.#relayBuffered(routed, response, context);
   }
 
-  async #passWhole(
-    subject: RoutedRequest,
-    sent: RunnerResponse,
-    parts: AttemptContext,
+  async #relayBuffered(
+    routed: RoutedRequest,
+    response: RunnerResponse,
+    context: AttemptContext,
   ): Promise<RelayResult> {
-    const { status, incoming } = sent;
-    if (sent.head.sealed) this.#daemon.requestStarted(subject);
-    const whole = await readBody(incoming, MAX_ANSWER_BYTES);
-    if (whole.kind !== "whole") {
-      return this.#brokeOff(parts, "answer broke off", whole.kind);
+    const { status, incoming } = response;
+    if (response.head.sealed) this.#daemon.requestStarted(routed);
+    const received = await readBody(incoming, MAX_BUFFERED_BYTES);
+    if (received.kind !== "whole") {
+      return this.#handleInterruption(
+        context,
+        "response interrupted",
+        received.kind,
+      );
     }
-    parts.load.recordSuccess();
-    const failed = status >= FIRST_SERVER_ERROR;
-    parts.load.recordResponse(failed, this.#daemon.now());
-    const answer = () =>
-      this.#caller.respond(status, incoming.rawHeaders, whole.body);
-    if (failed) return { kind: "failed", status, answer };
-    answer();
+    context.load.recordSuccess();
+    const failed = status >= MIN_SERVER_ERROR_STATUS;
+    context.load.recordResponse(failed, this.#daemon.now());
+    const respond = () =>
+      this.#caller.respond(status, incoming.rawHeaders, received.body);
+    if (failed) return { kind: "failed", status, respond };
+    respond();
     return { kind: "answered", status };
   }
 
-  async #passStream(
-    subject: RoutedRequest,
-    sent: RunnerResponse,
-    parts: AttemptContext,
+  async #relayStream(
+    routed: RoutedRequest,
+    response: RunnerResponse,
+    context: AttemptContext,
   ): Promise<RelayResult> {
-    const { route } = subject;
-    const { status, incoming } = sent;
-    const stream = this.#streamOf(subject);
-    const pace = this.#paceOf(subject, parts);
-    let begun = false;
-    const end = await stream.relay(incoming, () => {
+    const { route } = routed;
+    const { status, incoming } = response;
+    const relay = this.#streamRelay(routed);
+    const recordPace = this.#paceRecorder(routed, context);
+    let started = false;
+    const end = await relay.relay(incoming, () => {
       const now = this.#daemon.now();
-      parts.load.recordActivity(now);
-      pace(now);
-      if (!begun) {
-        begun = true;
-        this.#begin(subject, sent, parts);
+      context.load.recordActivity(now);
+      recordPace(now);
+      if (!started) {
+        started = true;
+        this.#handleFirstEvent(routed, response, context);
       }
-      parts.inactivity.restart(
-        GAP_SILENCE * (route.gapTargetMs ?? route.targetMs),
+      context.inactivity.restart(
+        GAP_TIMEOUT_TARGETS * (route.gapTargetMs ?? route.targetMs),
       );
     });
     if (end.kind !== "complete") {
-      return this.#brokeOff(parts, "stream broke off", end.reason);
+      return this.#handleInterruption(
+        context,
+        "stream interrupted",
+        end.reason,
+      );
     }
     this.#caller.beginStream(status, incoming.rawHeaders);
     this.#caller.endStream();
@@ -159,28 +170,28 @@
   }
 
   /** Returns a function that records the times of a stream's events. */
-  #paceOf(
-    subject: RoutedRequest,
-    parts: AttemptContext,
+  #paceRecorder(
+    routed: RoutedRequest,
+    context: AttemptContext,
   ): (now: number) => void {
-    const { service } = subject;
+    const { service } = routed;
     if (service.engine === undefined) return () => {};
     const { eventTokens: tokens } = service.engine;
     const pace = this.#daemon.pace(service.name);
-    const { id } = parts.attempt.runner;
-    let before: number | undefined;
+    const { id } = context.attempt.runner;
+    let previous: number | undefined;
     return (now) => {
-      if (before !== undefined) {
-        pace.record(id, { ms: now - before, tokens, now });
+      if (previous !== undefined) {
+        pace.record(id, { ms: now - previous, tokens, now });
       }
-      before = now;
+      previous = now;
     };
   }
 
-  #streamOf(subject: RoutedRequest): StreamRelay {
+  #streamRelay(routed: RoutedRequest): StreamRelay {
     this.#stream ??= new StreamRelay(this.#caller.response, {
       dialect: this.#daemon.dialect,
-      lastEventId: subject.head.lastEventId,
+      lastEventId: routed.head.lastEventId,
     });
     return this.#stream;
   }
@@ -188,29 +199,33 @@
   /**
    * Handles the first event, which shows that the prompt has been prefilled.
    */
-  #begin(
-    subject: RoutedRequest,
-    sent: RunnerResponse,
-    parts: AttemptContext,
+  #handleFirstEvent(
+    routed: RoutedRequest,
+    response: RunnerResponse,
+    context: AttemptContext,
   ): void {
-    const { load, placed, attempt } = parts;
-    this.#daemon.requestStarted(subject);
+    const { load, placed, attempt } = context;
+    this.#daemon.requestStarted(routed);
     load.recordFirstEvent(placed);
     load.recordSuccess();
-    const { prompt } = subject.head;
+    const { prompt } = routed.head;
     this.#daemon.prefixes.recordPrefill(
       attempt.runner.id,
       prompt,
       this.#daemon.now(),
     );
-    this.#caller.beginStream(sent.status, sent.incoming.rawHeaders);
+    this.#caller.beginStream(response.status, response.incoming.rawHeaders);
   }
 
-  #brokeOff(parts: AttemptContext, cause: string, reason: string): RelayResult {
-    parts.attempt.cancel(cause);
-    if (!this.#endedByUs()) {
-      parts.load.recordFailure(this.#daemon.now());
-      this.#daemon.reportBrokenConnection(parts.attempt.runner, parts.run);
+  #handleInterruption(
+    context: AttemptContext,
+    cause: string,
+    reason: string,
+  ): RelayResult {
+    context.attempt.cancel(cause);
+    if (!this.#cancelledLocally()) {
+      context.load.recordFailure(this.#daemon.now());
+      this.#daemon.reportBrokenConnection(context.attempt.runner, context.run);
     }
     return { kind: "broken", reason };
   }
--- a/packages/router/src/request/routed_request.ts
+++ b/packages/router/src/request/routed_request.ts
@@ -16,7 +16,7 @@
  * Retry delay in ms for requests that this daemon cannot serve because its
  * configuration is incomplete.
  */
-const KNOWN_LATER_MS = 1_000;
+const CONFIGURATION_RETRY_MS = 1_000;
 
 /** A request whose route has been found. */
 export interface RoutedRequest {
@@ -39,30 +39,38 @@
 export function routeRequest(
   daemon: Daemon,
   request: IncomingMessage,
-  call: RequestHead,
+  head: RequestHead,
 ): RoutedRequest | Refusal {
   const table = daemon.routingTable();
   if (daemon.closed) {
     return { status: 503, code: "leaving", retryAfterMs: 0, close: true };
   }
   if (table === undefined) {
-    return { status: 503, code: "not_ready", retryAfterMs: KNOWN_LATER_MS };
+    return {
+      status: 503,
+      code: "not_ready",
+      retryAfterMs: CONFIGURATION_RETRY_MS,
+    };
   }
   if (headerBytes(request.rawHeaders) > table.limits.maxHeaderBytes) {
     return { status: 431, code: "header_too_large", close: true };
   }
-  const route = table.route(call.host, request.url ?? "/");
+  const route = table.route(head.host, request.url ?? "/");
   if (route === undefined) return { status: 404, code: "no_route" };
-  const workspace = authenticate(table, route, call);
+  const workspace = authenticate(table, route, head);
   if (workspace === "unknown") return { status: 401, code: "unknown_key" };
   const name = destinationAt(route, daemon.random());
   const service = name === undefined ? undefined : table.service(name);
   if (service === undefined) {
-    return { status: 503, code: "no_service", retryAfterMs: KNOWN_LATER_MS };
+    return {
+      status: 503,
+      code: "no_service",
+      retryAfterMs: CONFIGURATION_RETRY_MS,
+    };
   }
   const rank = table.rank(route, workspace);
   return {
-    head: call,
+    head,
     route,
     service,
     workspace,
@@ -76,11 +84,11 @@
 function authenticate(
   table: RoutingTable,
   route: Route,
-  call: RequestHead,
+  head: RequestHead,
 ): Workspace | undefined | "unknown" {
-  const workspace = call.key === undefined
+  const workspace = head.key === undefined
     ? undefined
-    : table.workspace(call.key);
+    : table.workspace(head.key);
   if (workspace !== undefined) return workspace;
   if (route.anonymous || !table.hasWorkspaces) return undefined;
   return "unknown";
--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -16,48 +16,48 @@
  * million with 5 and 1.5 million with 10; with 10, urgent short requests wait
  * too long for their home runners, and 25 of 245 got no response.
  */
-const WORK_WEIGHT = 5;
+const PREFILL_WEIGHT = 5;
 /**
  * Additional weight of a ms of prefill where another runner has prefilled the
  * same tokens or is about to. Engines are at their prefill limit in a burst, so
  * duplicate prefill delays all other requests: on 98 engines, 7.8 of 48 million
  * tokens were prefilled again without this weight, 6.8 with 4 and 5.2 with 8.
  */
-const AGAIN_WEIGHT = 8;
+const DUPLICATE_PREFILL_WEIGHT = 8;
 /**
  * Milliseconds by which the wait for a prompt's home runner may exceed the wait
  * for another runner.
  */
-const AWAY_MS = 30;
+const AWAY_FROM_HOME_MS = 30;
 /**
  * Milliseconds of additional wait for the home runner of a prompt that no
  * runner is known to have cached. After a restart of all daemons nothing is
  * recorded, but most prompts are still cached on their home runners.
  */
-const AWAY_UNKNOWN_MS = 200;
+const AWAY_FROM_HOME_UNCACHED_MS = 200;
 /**
  * Cost in ms of a fetch from another runner, besides the transfer time: a
  * second copy takes memory from other prompts. On 23 engines, 0.878 of the
  * total request value was served with 40, 0.834 with 120 and 0.857 with 0,
  * which copied twice as much.
  */
-const FETCH_MS = 40;
+const FETCH_PENALTY_MS = 40;
 /**
  * Cost in ms of placing a stream with a tight gap target among long prompts.
  */
-const AMONG_LONG_MS = 150;
+const TIGHT_AMONG_LONG_MS = 150;
 /**
  * Cost in ms of placing a long prompt on a runner reserved for tight streams.
  */
-const AMONG_TIGHT_MS = 100;
+const LONG_AMONG_TIGHT_MS = 100;
 /**
  * Cost in ms of placing a long response where prompts are prefilled back to
  * back: it would not finish in time. On a runner reserved for tight streams it
  * does, provided that its prompt delays none of them.
  */
-const LONG_ANSWER_MS = 300;
+const LONG_OUTPUT_MS = 300;
 /** Cost of each delayed tight stream, in ms of runner time. */
-const TIGHT_STREAM_MS = 100;
+const DELAYED_TIGHT_STREAM_MS = 100;
 /**
  * Cost in ms of a runner whose slots are all in use. It scales with the square
  * of the used share, so that it matters only near the limit. It exceeds the
@@ -67,18 +67,18 @@
  * value served was 0.461 and 0.392 without this cost, 0.483 and 0.475 with it;
  * it changes nothing on engines of 64 and 128 slots.
  */
-const CROWD_MS = 200;
+const FULL_SLOTS_MS = 200;
 /** Slowdown in ms that each request in flight on a runner adds. */
-const BESIDE_MS = 4;
+const BATCH_SLOWDOWN_MS = 4;
 /** Assumed slowdown factor of a runner that is warming up. */
 export const WARM_UP_FACTOR = 2;
 /**
  * Milliseconds by which the wait for the awaited runner may exceed the wait for
  * another one. Each change of runner restarts the wait.
  */
-const STAY_MS = 100;
+const STAY_BONUS_MS = 100;
 /** Cost in ms of each failure since the last success. */
-const FAILURE_MS = 300;
+const FAILURE_PENALTY_MS = 300;
 
 /** Estimated cost of placing a request on a runner. */
 export interface CostEstimate {
@@ -119,73 +119,82 @@
   runners: readonly Runner[],
 ): PrefixHoldings {
   let holder: PrefixHolder | undefined;
-  let promisedTokens = 0;
+  let maxCachedTokens = 0;
   for (const runner of runners) {
     const { id } = runner;
-    const promised = cachedTokens(fleet, demand, runner);
-    if (promised === 0) continue;
-    promisedTokens = Math.max(promisedTokens, promised);
+    const cached = cachedTokens(fleet, demand, runner);
+    if (cached === 0) continue;
+    maxCachedTokens = Math.max(maxCachedTokens, cached);
     const tokens = fleet.prefixes.fetchableTokens(id, demand.prompt, fleet.now);
     if (tokens > (holder?.tokens ?? 0)) holder = { runner, tokens };
   }
-  return { holder, maxCachedTokens: promisedTokens };
+  return { holder, maxCachedTokens };
 }
 
 /**
  * Returns the cost in ms, to the request or to others, of the wrong kind of
  * runner.
  */
-function misplacedMs(demand: Demand, kept: boolean): number {
-  if (isTight(demand)) return kept ? 0 : AMONG_LONG_MS;
-  if (hasLongOutput(demand)) return kept ? 0 : LONG_ANSWER_MS;
-  return kept ? AMONG_TIGHT_MS : 0;
+function wrongPoolCostMs(demand: Demand, reserved: boolean): number {
+  if (isTight(demand)) return reserved ? 0 : TIGHT_AMONG_LONG_MS;
+  if (hasLongOutput(demand)) return reserved ? 0 : LONG_OUTPUT_MS;
+  return reserved ? LONG_AMONG_TIGHT_MS : 0;
 }
 
 /** Estimates the cost of placing a request on a runner. */
 export function estimateCost(
   fleet: RunnerFleet,
   demand: Demand,
-  place: {
+  options: {
     readonly runner: Runner;
     /** Whether rendezvous hashing makes the runner the prompt's home. */
     readonly atHome: boolean;
-    readonly kept: boolean;
+    readonly reserved: boolean;
     readonly holdings: PrefixHoldings;
   },
 ): CostEstimate {
-  const { runner, atHome, kept, holdings } = place;
-  const { holder, maxCachedTokens: promisedTokens } = holdings;
+  const { runner, atHome, reserved, holdings } = options;
+  const { holder, maxCachedTokens } = holdings;
   const load = fleet.loads.of(runner.id);
   const cached = cachedTokens(fleet, demand, runner);
-  const missing = holder === undefined ? 0 : holder.tokens - cached;
+  const missingTokens = holder === undefined ? 0 : holder.tokens - cached;
   const fetchMsPerToken = demand.engine!.fetchMsPerToken ?? Infinity;
-  const fetchMs = missing * fetchMsPerToken;
-  const fetches = missing > 0 && fetchMs < prefillMs(missing);
-  const held = cached + (fetches ? missing : 0);
-  const unreadTokens = Math.max(0, demand.promptTokens - held);
-  const againMs = prefillMs(Math.max(0, promisedTokens - held));
+  const fetchMs = missingTokens * fetchMsPerToken;
+  const fetch = missingTokens > 0 && fetchMs < prefillMs(missingTokens);
+  const availableTokens = cached + (fetch ? missingTokens : 0);
+  const prefillTokens = Math.max(0, demand.promptTokens - availableTokens);
+  const duplicatePrefillMs = prefillMs(
+    Math.max(0, maxCachedTokens - availableTokens),
+  );
   const tight = isTight(demand);
   const waitMs = prefillMs(
     load.total.unreadTokens +
       load.queue.workAhead(demand.queueKey, fleet.now).unreadTokens,
   );
-  const ownMs = prefillMs(unreadTokens) + (fetches ? fetchMs + FETCH_MS : 0);
-  const away = atHome ? 0 : holder === undefined ? AWAY_UNKNOWN_MS : AWAY_MS;
-  const misplaced = misplacedMs(demand, kept);
-  const harm = !tight && waitMs + ownMs > MAX_TIGHT_PREFILL_MS
-    ? TIGHT_STREAM_MS * load.total.tight
+  const ownPrefillMs = prefillMs(prefillTokens) +
+    (fetch ? fetchMs + FETCH_PENALTY_MS : 0);
+  const awayMs = atHome
+    ? 0
+    : holder === undefined
+    ? AWAY_FROM_HOME_UNCACHED_MS
+    : AWAY_FROM_HOME_MS;
+  const wrongPoolMs = wrongPoolCostMs(demand, reserved);
+  const tightDelayMs = !tight && waitMs + ownPrefillMs > MAX_TIGHT_PREFILL_MS
+    ? DELAYED_TIGHT_STREAM_MS * load.total.tight
     : 0;
-  const fill = load.total.inFlight / demand.engine!.slots;
-  const batch = load.total.inFlight * BESIDE_MS + CROWD_MS * fill ** 2;
-  const slow = runner.warmUpMs > 0 ? WARM_UP_FACTOR : 1;
-  const stays = demand.awaitedRunner === runner.id ? STAY_MS : 0;
-  const costMs = slow * (waitMs + WORK_WEIGHT * ownMs) +
-    AGAIN_WEIGHT * againMs + away + misplaced + harm + batch +
-    FAILURE_MS * load.failures - stays;
+  const usedShare = load.total.inFlight / demand.engine!.slots;
+  const batchMs = load.total.inFlight * BATCH_SLOWDOWN_MS +
+    FULL_SLOTS_MS * usedShare ** 2;
+  const slowdown = runner.warmUpMs > 0 ? WARM_UP_FACTOR : 1;
+  const stayBonusMs = demand.awaitedRunner === runner.id ? STAY_BONUS_MS : 0;
+  const costMs = slowdown * (waitMs + PREFILL_WEIGHT * ownPrefillMs) +
+    DUPLICATE_PREFILL_WEIGHT * duplicatePrefillMs + awayMs + wrongPoolMs +
+    tightDelayMs + batchMs +
+    FAILURE_PENALTY_MS * load.failures - stayBonusMs;
   return {
     runner,
-    prefillTokens: unreadTokens,
-    fetchFrom: fetches ? holder!.runner : undefined,
+    prefillTokens,
+    fetchFrom: fetch ? holder!.runner : undefined,
     costMs,
   };
 }
--- a/packages/router/src/request/runner_pools.ts
+++ b/packages/router/src/request/runner_pools.ts
@@ -52,8 +52,8 @@
   }
 }
 
-const ofList = new WeakMap<readonly Runner[], RunnerPools>();
-const ofNames = new Map<string, RunnerPools>();
+const poolsByList = new WeakMap<readonly Runner[], RunnerPools>();
+const poolsByNames = new Map<string, RunnerPools>();
 
 /**
  * Returns the pools of a list of runners, computed once for each set of names.
@@ -63,17 +63,17 @@
  * time in the seconds after a loss of all daemons, when all callers reconnect.
  */
 export function poolsOf(runners: readonly Runner[]): RunnerPools {
-  const before = ofList.get(runners);
-  if (before !== undefined) return before;
+  const cached = poolsByList.get(runners);
+  if (cached !== undefined) return cached;
   const names = runners.map(({ name }) => name).sort();
   const key = names.join("\n");
-  const pools = ofNames.get(key) ?? remembered(key, new RunnerPools(names));
-  ofList.set(runners, pools);
+  const pools = poolsByNames.get(key) ?? remember(key, new RunnerPools(names));
+  poolsByList.set(runners, pools);
   return pools;
 }
 
-function remembered(key: string, pools: RunnerPools): RunnerPools {
-  if (ofNames.size >= MAX_POOLS) ofNames.clear();
-  ofNames.set(key, pools);
+function remember(key: string, pools: RunnerPools): RunnerPools {
+  if (poolsByNames.size >= MAX_POOLS) poolsByNames.clear();
+  poolsByNames.set(key, pools);
   return pools;
 }
--- a/packages/router/src/request/runner_pools_test.ts
+++ b/packages/router/src/request/runner_pools_test.ts
@@ -28,25 +28,25 @@
 // while all daemons have lost power and their callers reconnect at the same
 // time. Computing the pools for each list takes half of a daemon's share of a
 // core, and its callers wait.
-test("pools are worked out once while no runner comes or goes", () => {
+test("pools are computed once while no runner is added or removed", () => {
   const runners = runnersOf(998);
   const pools = poolsOf(runners);
-  const warmer = [...runners];
-  warmer[7] = runnerOf(7, { warmUpMs: 900, id: "i-7~2" });
-  assert.equal(poolsOf(warmer), pools);
+  const updated = [...runners];
+  updated[7] = runnerOf(7, { warmUpMs: 900, id: "i-7~2" });
+  assert.equal(poolsOf(updated), pools);
   assert.equal(poolsOf([...runners].reverse()), pools);
   assert.notEqual(poolsOf(runners.slice(1)), pools);
 });
 
-test("a prompt whose home goes is at home at one of the other runners", () => {
+test("a prompt whose home runner is lost gets another one in the same pool", () => {
   const runners = runnersOf(20);
   const usable = new Set(runners.map(({ name }) => name));
   for (const tight of [true, false]) {
     const pools = poolsOf(runners);
     const home = pools.home("part", { tight, usable })!;
     assert.equal(pools.reserved.has(home), tight);
-    const left = new Set([...usable].filter((name) => name !== home));
-    const next = pools.home("part", { tight, usable: left })!;
+    const remaining = new Set([...usable].filter((name) => name !== home));
+    const next = pools.home("part", { tight, usable: remaining })!;
     assert.notEqual(next, home);
     assert.equal(pools.reserved.has(next), tight);
     assert.equal(pools.home("part", { tight, usable: new Set() }), undefined);
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -24,26 +24,26 @@
  * capacity. The rest is for the response: a long one takes 3 s of the 8 s that
  * its callers have.
  */
-const HOLD_SHARE = 0.4;
+const MAX_WAIT_SHARE = 0.4;
 /**
  * Share of a request's target latency after which it can no longer start on
  * time. The rest is for the runner to prefill its prompt alongside the prompts
  * that it already has.
  */
-const START_SHARE = 0.7;
+const START_BY_SHARE = 0.7;
 /**
  * Interval in ms at which a waiting request is evaluated against all runners
  * again. One evaluation takes 55 us with 98 runners, a check of a single runner
  * 0.2 us: 50 waiting requests evaluated every 20 ms would take 14% of a core;
  * every 200 ms they take 1.4%.
  */
-const REVIEW_MS = 200;
+const REVIEW_INTERVAL_MS = 200;
 /**
  * Minimum review interval as a multiple of the propagation time. A request that
  * changed runners more often would restart its wait each time and never be
  * sent.
  */
-const REVIEW_SETTLES = 2;
+const REVIEW_PROPAGATION_FACTOR = 2;
 /**
  * Minimum review interval in ms for each request that waits at this daemon,
  * which limits a daemon to 40 reviews a second. Without it, in a burst on 98
@@ -52,24 +52,27 @@
  * changes a second, and daemons with a third of a core still sent requests a
  * second after their callers had disconnected.
  */
-const REVIEW_PER_WAIT_MS = 25;
+const REVIEW_MS_PER_WAITING_REQUEST = 25;
 
 /**
  * Interval in ms between reviews of a request that can no longer start on time.
  * It gets leftover capacity and must not take processor time from other
  * requests.
  */
-const LATE_REVIEW_MS = 1_000;
+const LATE_REVIEW_INTERVAL_MS = 1_000;
 
 /**
  * Returns the interval in ms at which a waiting request is evaluated against
  * all runners.
  */
-export function reviewIntervalMs(waiting: number, settleMs: number): number {
+export function reviewIntervalMs(
+  waitingCount: number,
+  propagationMs: number,
+): number {
   return Math.max(
-    REVIEW_MS,
-    REVIEW_SETTLES * settleMs,
-    REVIEW_PER_WAIT_MS * waiting,
+    REVIEW_INTERVAL_MS,
+    REVIEW_PROPAGATION_FACTOR * propagationMs,
+    REVIEW_MS_PER_WAITING_REQUEST * waitingCount,
   );
 }
 
@@ -86,19 +89,19 @@
 /** Selects runners for one request, one for each attempt. */
 export class RunnerSearch {
   readonly #daemon: Daemon;
-  readonly #subject: RoutedRequest;
+  readonly #routed: RoutedRequest;
   readonly #limits: SearchLimits;
-  readonly #turn: QueueKey;
+  readonly #queueKey: QueueKey;
 
-  constructor(daemon: Daemon, subject: RoutedRequest, limits: SearchLimits) {
+  constructor(daemon: Daemon, routed: RoutedRequest, limits: SearchLimits) {
     this.#daemon = daemon;
-    this.#subject = subject;
+    this.#routed = routed;
     this.#limits = limits;
-    const { targetMs } = subject.route;
-    this.#turn = {
-      rank: subject.rank,
+    const { targetMs } = routed.route;
+    this.#queueKey = {
+      rank: routed.rank,
       arrivedAt: limits.receivedAt,
-      startBy: limits.receivedAt + START_SHARE * targetMs,
+      startBy: limits.receivedAt + START_BY_SHARE * targetMs,
     };
   }
 
@@ -115,51 +118,52 @@
     readonly tried: ReadonlySet<string>;
     readonly noRunnerReached: boolean;
   }): Promise<RunnerChoice | undefined | "overloaded"> {
-    const { tried, noRunnerReached: reachedNone } = options;
-    if (!reachedNone) return this.#taken(this.#choose(tried));
-    const wait = new CapacityWait(this.#turn);
+    const { tried, noRunnerReached } = options;
+    if (!noRunnerReached) return this.#countRequest(this.#choose(tried));
+    const wait = new CapacityWait(this.#queueKey);
     try {
-      return await this.#findRoom(wait, tried);
+      return await this.#findCapacity(wait, tried);
     } finally {
       wait.end();
-      this.#limitWaits.remove(this.#turn);
+      this.#limitQueue.remove(this.#queueKey);
     }
   }
 
-  async #findRoom(
+  async #findCapacity(
     wait: CapacityWait,
     tried: ReadonlySet<string>,
   ): Promise<RunnerChoice | undefined | "overloaded"> {
-    const { receivedAt: since, expiresAt } = this.#limits;
+    const { receivedAt, expiresAt } = this.#limits;
     const startedAt = this.#daemon.now();
-    const left = expiresAt - startedAt;
-    const { patienceMs } = this.#subject.route;
-    const until = startedAt + HOLD_SHARE * Math.min(left, patienceMs);
+    const remainingMs = expiresAt - startedAt;
+    const { patienceMs } = this.#routed.route;
+    const waitUntil = startedAt +
+      MAX_WAIT_SHARE * Math.min(remainingMs, patienceMs);
     for (;;) {
       const choice = this.#choose(tried, wait.runnerId);
-      if (choice === undefined || this.#yields(choice)) {
-        const limited = this.#limitedLeft(tried);
+      if (choice === undefined || this.#mustYield(choice)) {
+        const limited = this.#limitedRunners(tried);
         if (limited.length === 0) return undefined;
-        if (!this.#mayAwait(limited, until)) return "overloaded";
-        this.#limitWaits.add(this.#turn);
+        if (!this.#mayWaitForLimit(limited, waitUntil)) return "overloaded";
+        this.#limitQueue.add(this.#queueKey);
         await this.#daemon.pulse.next();
         continue;
       }
       const now = this.#daemon.now();
-      const inTime = this.#endsInTime(choice, expiresAt - now);
+      const inTime = this.#finishesInTime(choice, expiresAt - now);
       if (inTime && !choice.overloaded && this.#maySend(wait, choice.runner)) {
-        return this.#taken(choice);
+        return this.#countRequest(choice);
       }
-      if (!inTime || now > until || this.#limits.isAbandoned()) {
-        logOverload(this.#daemon, this.#subject, {
+      if (!inTime || now > waitUntil || this.#limits.isAbandoned()) {
+        logOverload(this.#daemon, this.#routed, {
           choice,
-          waitedMs: now - since,
+          waitedMs: now - receivedAt,
           inTime,
         });
         return "overloaded";
       }
-      this.#waitAt(wait, choice);
-      await this.#watchRoom(wait, choice.runner, until);
+      this.#joinQueue(wait, choice);
+      await this.#awaitCapacity(wait, choice.runner, waitUntil);
     }
   }
 
@@ -167,43 +171,43 @@
    * Counts the request before anything else runs: all requests that wait for a
    * runner check at the same moment whether it accepts another one.
    */
-  #taken(choice: RunnerChoice | undefined): RunnerChoice | undefined {
+  #countRequest(choice: RunnerChoice | undefined): RunnerChoice | undefined {
     if (choice === undefined) return undefined;
     this.#daemon.limits.recordRequest(choice.runner.id, this.#daemon.now());
     return choice;
   }
 
-  get #limitWaits(): LimitQueue {
-    return this.#daemon.limitWaits(this.#subject.service.name);
+  get #limitQueue(): LimitQueue {
+    return this.#daemon.limitWaits(this.#routed.service.name);
   }
 
   /**
    * Whether the runner is rate-limited and another waiting request goes first.
    */
-  #yields({ runner }: RunnerChoice): boolean {
+  #mustYield({ runner }: RunnerChoice): boolean {
     const limited = this.#daemon.limits.of(runner.id) !== undefined;
     return limited &&
-      !this.#limitWaits.isFirst(this.#turn, this.#daemon.now());
+      !this.#limitQueue.isFirst(this.#queueKey, this.#daemon.now());
   }
 
   /** Returns the runners that were not tried and are at their rate limits. */
-  #limitedLeft(tried: ReadonlySet<string>): readonly Runner[] {
-    const { runners, limits } = this.#daemon.fleet(this.#subject.service.name);
+  #limitedRunners(tried: ReadonlySet<string>): readonly Runner[] {
+    const { runners, limits } = this.#daemon.fleet(this.#routed.service.name);
     return runners.filter(({ id }) =>
       !tried.has(id) && limits.of(id) !== undefined
     );
   }
 
   /** Whether one of the runners may accept the request before its wait ends. */
-  #mayAwait(limited: readonly Runner[], until: number): boolean {
+  #mayWaitForLimit(limited: readonly Runner[], waitUntil: number): boolean {
     const now = this.#daemon.now();
     const { limits } = this.#daemon;
-    const hope = limited.some(({ id }) => limits.hasShare(id, now));
-    if (hope && now <= until && !this.#limits.isAbandoned()) return true;
-    logLimitsReached(this.#daemon, this.#subject, {
+    const mayWait = limited.some(({ id }) => limits.hasShare(id, now));
+    if (mayWait && now <= waitUntil && !this.#limits.isAbandoned()) return true;
+    logLimitsReached(this.#daemon, this.#routed, {
       limited: limited.length,
       waitedMs: now - this.#limits.receivedAt,
-      hasPart: hope,
+      hasShare: mayWait,
     });
     return false;
   }
@@ -213,58 +217,61 @@
    * does not is prefilled and generated in vain, and slows down those that
    * would.
    */
-  #endsInTime(choice: RunnerChoice, leftMs: number): boolean {
-    const { head: call, service, ranksBelow } = this.#subject;
+  #finishesInTime(choice: RunnerChoice, remainingMs: number): boolean {
+    const { head, service, ranksBelow } = this.#routed;
     if (service.engine === undefined) return true;
     const msPerToken = this.#daemon.pace(service.name)
       .msPerToken(choice.runner.id, this.#daemon.now());
     return finishesInTime({
-      remainingMs: leftMs,
+      remainingMs,
       prefillTokens: choice.prefillTokens,
       outputTokens: Math.min(
-        call.maxOutputTokens,
-        call.expectedOutputTokens ?? 0,
+        head.maxOutputTokens,
+        head.expectedOutputTokens ?? 0,
       ),
       ranksBelow,
       msPerToken,
     });
   }
 
-  #waitAt(wait: CapacityWait, choice: RunnerChoice): void {
-    const { runner, prefillTokens: unreadTokens } = choice;
-    const begun = wait.moveTo(this.#daemon.loads.of(runner.id), {
+  #joinQueue(wait: CapacityWait, choice: RunnerChoice): void {
+    const { runner, prefillTokens } = choice;
+    const joined = wait.moveTo(this.#daemon.loads.of(runner.id), {
       runner: runner.id,
-      unreadTokens,
+      prefillTokens,
       now: this.#daemon.now(),
     });
-    if (!begun) return;
-    logCapacityWait(this.#daemon, this.#subject, { choice, turn: this.#turn });
+    if (!joined) return;
+    logCapacityWait(this.#daemon, this.#routed, {
+      choice,
+      queueKey: this.#queueKey,
+    });
   }
 
   /**
    * Checks one runner until it has capacity and the entry in its queue has
    * propagated, or until the next review is due.
    */
-  async #watchRoom(
+  async #awaitCapacity(
     wait: CapacityWait,
     runner: Runner,
-    until: number,
+    waitUntil: number,
   ): Promise<void> {
     const { pulse, loads } = this.#daemon;
-    const settleMs = this.#daemon.propagationMs();
-    const late = this.#daemon.now() > this.#turn.startBy;
-    const spanMs = Math.max(
-      reviewIntervalMs(loads.waitingCount, settleMs),
-      late ? LATE_REVIEW_MS : 0,
+    const propagationMs = this.#daemon.propagationMs();
+    const late = this.#daemon.now() > this.#queueKey.startBy;
+    const intervalMs = Math.max(
+      reviewIntervalMs(loads.waitingCount, propagationMs),
+      late ? LATE_REVIEW_INTERVAL_MS : 0,
     );
-    const reviewAt = Math.min(until, this.#daemon.now() + spanMs);
+    const reviewAt = Math.min(waitUntil, this.#daemon.now() + intervalMs);
     const demand = this.#demand();
     do {
       await pulse.next();
       if (this.#limits.isAbandoned()) return;
-      const fleet = this.#daemon.fleet(this.#subject.service.name);
-      const room = hasCapacity(fleet, demand, runner);
-      if (room && this.#maySend(wait, runner)) return;
+      const fleet = this.#daemon.fleet(this.#routed.service.name);
+      const capacity = hasCapacity(fleet, demand, runner);
+      if (capacity && this.#maySend(wait, runner)) return;
     } while (this.#daemon.now() < reviewAt);
   }
 
@@ -277,24 +284,24 @@
 
   #choose(
     tried: ReadonlySet<string>,
-    waitsFor?: string,
+    awaitedRunner?: string,
   ): RunnerChoice | undefined {
-    const fleet = this.#daemon.fleet(this.#subject.service.name);
-    return chooseRunner(fleet, this.#demand(waitsFor), tried);
+    const fleet = this.#daemon.fleet(this.#routed.service.name);
+    return chooseRunner(fleet, this.#demand(awaitedRunner), tried);
   }
 
-  #demand(waitsFor?: string): Demand {
-    const { head: call, route, service, ranksBelow } = this.#subject;
+  #demand(awaitedRunner?: string): Demand {
+    const { head, route, service, ranksBelow } = this.#routed;
     return {
-      prompt: call.prompt,
-      promptTokens: call.promptTokens,
-      answerTokens: call.maxOutputTokens,
-      expectedTokens: call.expectedOutputTokens,
+      prompt: head.prompt,
+      promptTokens: head.promptTokens,
+      maxOutputTokens: head.maxOutputTokens,
+      expectedOutputTokens: head.expectedOutputTokens,
       timeoutMs: route.timeoutMs,
       targetMs: route.targetMs,
       gapTargetMs: route.gapTargetMs,
-      queueKey: this.#turn,
-      awaitedRunner: waitsFor,
+      queueKey: this.#queueKey,
+      awaitedRunner,
       ranksBelow,
       engine: service.engine,
     };
--- a/packages/router/src/request/runner_search_test.ts
+++ b/packages/router/src/request/runner_search_test.ts
@@ -6,15 +6,15 @@
 // burst, dozens of requests wait at every daemon. If each evaluates all runners
 // several times a second and changes runners, every change is sent to all
 // daemons, which process changes and respond to no caller in time.
-test("a daemon reviews no more waits a second, however many there are", () => {
-  const rate = (waiting: number) =>
-    1_000 * waiting / reviewIntervalMs(waiting, 110);
+test("the review rate of a daemon is bounded, however many requests wait", () => {
+  const rate = (waitingCount: number) =>
+    1_000 * waitingCount / reviewIntervalMs(waitingCount, 110);
   assert.ok(rate(4) < 20);
   assert.ok(rate(50) <= 40);
   assert.equal(rate(500), rate(50));
 });
 
-test("few waits are reviewed as soon as all daemons know of them", () => {
+test("few waiting requests are reviewed as soon as changes have propagated", () => {
   assert.equal(reviewIntervalMs(1, 110), 220);
   assert.equal(reviewIntervalMs(1, 40), 200);
 });
--- a/packages/router/src/request/stream_body.ts
+++ b/packages/router/src/request/stream_body.ts
@@ -6,16 +6,18 @@
 import { Buffer } from "node:buffer";
 import type { ServerResponse } from "node:http";
 
-const HEX = 16;
+const HEX_RADIX = 16;
 const CRLF = "\r\n";
 
 /** Returns one chunk of a chunked body, with its length and line ends. */
-function chunkOf(bytes: Buffer): Buffer {
-  const head = bytes.length.toString(HEX) + CRLF;
-  const chunk = Buffer.allocUnsafe(head.length + bytes.length + CRLF.length);
-  chunk.write(head, 0, "latin1");
-  bytes.copy(chunk, head.length);
-  chunk.write(CRLF, head.length + bytes.length, "latin1");
+function encodeChunk(bytes: Buffer): Buffer {
+  const sizeLine = bytes.length.toString(HEX_RADIX) + CRLF;
+  const chunk = Buffer.allocUnsafe(
+    sizeLine.length + bytes.length + CRLF.length,
+  );
+  chunk.write(sizeLine, 0, "latin1");
+  bytes.copy(chunk, sizeLine.length);
+  chunk.write(CRLF, sizeLine.length + bytes.length, "latin1");
   return chunk;
 }
 
@@ -29,7 +31,7 @@
  */
 export class StreamBody {
   readonly #response: ServerResponse;
-  #headIsOut = false;
+  #headFlushed = false;
 
   /**
    * @param response a response whose head is written before the first event.
@@ -45,14 +47,14 @@
    */
   write(event: Buffer): boolean {
     const { socket } = this.#response;
-    if (socket === null || !this.#isDirect()) {
+    if (socket === null || !this.#mayWriteDirectly()) {
       return this.#response.write(event);
     }
-    if (!this.#headIsOut) {
-      this.#headIsOut = true;
+    if (!this.#headFlushed) {
+      this.#headFlushed = true;
       this.#response.flushHeaders();
     }
-    return socket.write(chunkOf(event));
+    return socket.write(encodeChunk(event));
   }
 
   /** Calls back once the caller has read the buffered data. */
@@ -66,7 +68,7 @@
    * while an earlier response is still being written to it, nor where the
    * response is not chunked or has no body.
    */
-  #isDirect(): boolean {
+  #mayWriteDirectly(): boolean {
     const { req, headersSent, chunkedEncoding } = this.#response;
     return headersSent && chunkedEncoding && req.method !== "HEAD";
   }
--- a/packages/router/src/request/stream_body_test.ts
+++ b/packages/router/src/request/stream_body_test.ts
@@ -34,19 +34,19 @@
   const socket: Socket = connect((server.address() as AddressInfo).port);
   socket.setEncoding("latin1");
   socket.write(sent);
-  let read = "";
-  for await (const part of socket) read += part;
-  return read;
+  let received = "";
+  for await (const part of socket) received += part;
+  return received;
 }
 
-test("events reach the caller as the chunks of one whole body", async (t) => {
-  const read = await exchange(
+test("events reach the caller as the chunks of one complete body", async (t) => {
+  const received = await exchange(
     t,
     "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
     streamEvents,
   );
-  const [head = "", body] = read.split("\r\n\r\n", 1)
-    .concat(read.slice(read.indexOf("\r\n\r\n") + 4));
+  const [head = "", body] = received.split("\r\n\r\n", 1)
+    .concat(received.slice(received.indexOf("\r\n\r\n") + 4));
   assert.match(head, /Transfer-Encoding: chunked/);
   assert.equal(
     body,
@@ -54,28 +54,28 @@
   );
 });
 
-test("an answer to HEAD has no body", async (t) => {
-  const read = await exchange(
+test("a response to HEAD has no body", async (t) => {
+  const received = await exchange(
     t,
     "HEAD / HTTP/1.1\r\nHost: a\r\n\r\n",
     streamEvents,
   );
-  assert.match(read, /\r\n\r\n$/);
-  assert.doesNotMatch(read, /id: 1/);
+  assert.match(received, /\r\n\r\n$/);
+  assert.doesNotMatch(received, /id: 1/);
 });
 
-test("a caller of HTTP/1.0 gets events without chunks", async (t) => {
-  const read = await exchange(t, "GET / HTTP/1.0\r\n\r\n", streamEvents);
-  assert.match(read, /\r\n\r\nid: 1\n\nid: 2\ndata: two\n\n$/);
+test("an HTTP/1.0 caller gets events without chunked encoding", async (t) => {
+  const received = await exchange(t, "GET / HTTP/1.0\r\n\r\n", streamEvents);
+  assert.match(received, /\r\n\r\nid: 1\n\nid: 2\ndata: two\n\n$/);
 });
 
 // A caller sends two requests on one connection, and the events of the second
 // one are available first. Written directly to the connection, they would end
 // up in the first response.
-test("events wait for the answer before them on the same connection", async (t) => {
+test("events wait for the previous response on the same connection", async (t) => {
   const request = (target: string) =>
     `GET ${target} HTTP/1.1\r\nHost: a\r\n\r\n`;
-  const read = await exchange(
+  const received = await exchange(
     t,
     request("/slow") + request("/stream"),
     (response, target) => {
@@ -83,6 +83,6 @@
       setTimeout(() => response.end("first"), 20);
     },
   );
-  assert.ok(read.indexOf("first") < read.indexOf("id: 1"), read);
-  assert.match(read, /5\r\nfirst\r\n0|first/);
+  assert.ok(received.indexOf("first") < received.indexOf("id: 1"), received);
+  assert.match(received, /5\r\nfirst\r\n0|first/);
 });
--- a/packages/router/src/request/stream_relay.ts
+++ b/packages/router/src/request/stream_relay.ts
@@ -23,8 +23,8 @@
   readonly #body: StreamBody;
   readonly #dialect: Dialect;
   /** Initially the last event that the caller states to have received. */
-  #lastId: number | undefined;
-  #events = 0;
+  #lastEventId: number | undefined;
+  #eventCount = 0;
 
   constructor(
     response: ServerResponse,
@@ -35,17 +35,17 @@
   ) {
     this.#body = new StreamBody(response);
     this.#dialect = options.dialect;
-    this.#lastId = options.lastEventId;
+    this.#lastEventId = options.lastEventId;
   }
 
   /** Id of the last event relayed. */
   get lastEventId(): number | undefined {
-    return this.#lastId;
+    return this.#lastEventId;
   }
 
   /** Number of events relayed. */
   get eventCount(): number {
-    return this.#events;
+    return this.#eventCount;
   }
 
   /**
@@ -60,7 +60,7 @@
       incoming.on("data", (chunk: Buffer) => {
         for (const event of splitter.push(chunk)) {
           onEvent();
-          if (!this.#pass(event)) this.#pause(incoming);
+          if (!this.#write(event)) this.#pause(incoming);
         }
       });
       incoming.on("end", () => {
@@ -73,13 +73,15 @@
     });
   }
 
-  #pass(event: Buffer): boolean {
+  #write(event: Buffer): boolean {
     const id = this.#dialect.eventId(event.toString("latin1"));
     if (id !== undefined) {
-      if (this.#lastId !== undefined && id <= this.#lastId) return true;
-      this.#lastId = id;
+      if (this.#lastEventId !== undefined && id <= this.#lastEventId) {
+        return true;
+      }
+      this.#lastEventId = id;
     }
-    this.#events += 1;
+    this.#eventCount += 1;
     return this.#body.write(event);
   }
 
