--- a/packages/router/src/process/autoscaler.ts
+++ b/packages/router/src/process/autoscaler.ts
@@ -24,7 +24,7 @@
  * after the platform has reclaimed them there.
  */
 const RECLAIMED_DEPLETION_MS = 6_000;
-/** The same in ms after the platform has answered that none are left. */
+/** The same, in ms, after the platform has responded that none are left. */
 const UNAVAILABLE_DEPLETION_MS = 3_000;
 
 /** Properties of a service that determine the number of its runners. */
--- a/packages/router/src/process/autoscaler_test.ts
+++ b/packages/router/src/process/autoscaler_test.ts
@@ -67,8 +67,8 @@
    */
   run(from: number, to: number): void {
     for (let now = from; now <= to; now += 200) {
-      const wanted = this.scaler.desiredOrders(this.orders, now);
-      if (wanted.length > 0) this.orders = wanted;
+      const desired = this.scaler.desiredOrders(this.orders, now);
+      if (desired.length > 0) this.orders = desired;
     }
   }
 
--- a/packages/router/src/process/failure_rate.ts
+++ b/packages/router/src/process/failure_rate.ts
@@ -15,7 +15,7 @@
  * Assumed prior successes, so that a single failure has little weight: plain
  * services fail a seventh of their requests in normal operation.
  */
-const PRIOR_ANSWERS = 4;
+const PRIOR_SUCCESSES = 4;
 
 /** Failure rate with exponential decay. */
 export class FailureRate {
@@ -33,7 +33,7 @@
   /** Fraction of responses that were failures, from 0 to 1. */
   rate(now: number): number {
     this.#applyDecay(now);
-    return this.#failed / (this.#answered + PRIOR_ANSWERS);
+    return this.#failed / (this.#answered + PRIOR_SUCCESSES);
   }
 
   #applyDecay(now: number): void {
--- a/packages/router/src/process/limit_share.ts
+++ b/packages/router/src/process/limit_share.ts
@@ -21,8 +21,9 @@
  */
 const MIN_PER_S = 0.2;
 /**
- * Daemons with a share per request per second, plus a constant. Each daemon may
- * send one request at once, so more of them would exceed the limit together.
+ * Daemons with a share per request per second, plus a constant. Each of them
+ * may send one request at any time, so more of them would send too many at
+ * once.
  */
 const HOLDERS_PER_S = 2;
 const EXTRA_HOLDERS = 3;
--- a/packages/router/src/process/runner_directory_test.ts
+++ b/packages/router/src/process/runner_directory_test.ts
@@ -98,8 +98,8 @@
 });
 
 // The store is down. A runner restarts under the same name and reports its
-// start time itself; a peer without this news sends its list of the same
-// revision.
+// start time itself; a peer that does not know of it yet sends its list of the
+// same revision.
 test("a start time reported by the runner applies before its entry", () => {
   const directory = new RunnerDirectory();
   directory.replace({ revision: 5, runners: [incarnation(100)] });
@@ -115,8 +115,9 @@
   ]);
 });
 
-// While runners start, the list changes many times a second. Sent whole each
-// time, a list of 109 runners cost each of 195 daemons a tenth of its CPU.
+// While runners start, the list changes many times a second. With the whole
+// list sent each time, 109 starting runners cost each of 195 daemons a tenth of
+// its CPU.
 test("a lagging daemon is sent the changes only", () => {
   const ahead = new RunnerDirectory();
   const lagging = new RunnerDirectory();
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -263,7 +263,8 @@
   /**
    * Whether the runner gets no new requests for now: it is ejected after
    * failures, or sends no data on any request in flight. Requests in flight
-   * continue, as silence alone is no reason to abort them.
+   * continue, as silence alone is no reason to abort them, but new ones would
+   * only wait beside them.
    */
   isEjected(now: number): boolean {
     if (now < this.#ejectedUntil) return true;
