--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -34,7 +34,7 @@
   /** Requests that crash the runners on which they run. */
   readonly crashes: CrashRecord;
   /** Wakes requests that wait for capacity. */
-  readonly pulse: Pulse;
+  readonly sharedTimer: Pulse;
   /** Whether new requests are refused because the process is about to exit. */
   readonly closed: boolean;
   /** Monotonic time in milliseconds. */
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -146,7 +146,7 @@
         if (limited.length === 0) return undefined;
         if (!this.#mayWaitForLimit(limited, waitUntil)) return "overloaded";
         this.#limitQueue.add(this.#queueKey);
-        await this.#daemon.pulse.next();
+        await this.#daemon.sharedTimer.next();
         continue;
       }
       const now = this.#daemon.now();
@@ -257,7 +257,7 @@
     runner: Runner,
     waitUntil: number,
   ): Promise<void> {
-    const { pulse, loads } = this.#daemon;
+    const { sharedTimer: pulse, loads } = this.#daemon;
     const propagationMs = this.#daemon.propagationMs();
     const late = this.#daemon.now() > this.#queueKey.startBy;
     const intervalMs = Math.max(
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -86,7 +86,7 @@
   readonly prefixes = new PrefixIndex();
   readonly crashes: CrashRecord;
   readonly limits: RunnerLimits;
-  readonly pulse = new Pulse(ROOM_LOOK_MS);
+  readonly sharedTimer = new Pulse(ROOM_LOOK_MS);
   readonly metrics = new RequestMetrics();
   readonly log: EventLog;
   #settings: RouterSettings;
