--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -64,7 +64,7 @@
   /**
    * Returns the requests that wait for the rate limits of a service's runners.
    */
-  limitWaits(service: string): LimitQueue;
+  limitQueue(service: string): LimitQueue;
   /** Records that a runner has begun to run a request. */
   requestStarted(routed: { readonly workspace: Workspace | undefined }): void;
   /** Returns the budget for retries to a service. */
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -178,7 +178,7 @@
   }
 
   get #limitQueue(): LimitQueue {
-    return this.#daemon.limitWaits(this.#routed.service.name);
+    return this.#daemon.limitQueue(this.#routed.service.name);
   }
 
   /**
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -241,7 +241,7 @@
     if (workspace !== undefined) this.#leadership.began(workspace.name);
   }
 
-  limitWaits(service: string): LimitQueue {
+  limitQueue(service: string): LimitQueue {
     return this.#limitWaits.of(service);
   }
 
