--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -1,5 +1,5 @@
 /**
- * All that a daemon has to do with other daemons and with the store.
+ * Keeps a daemon in sync with the fleet and the store.
  *
  * @module
  */
@@ -23,43 +23,43 @@
 import type { SharedState } from "./state_exchange.ts";
 import { StoreFollowers } from "./store_followers.ts";
 
-/** Daemons of all that are known which read the store at their start for others. */
-const FIRST_READERS = 2;
+/** Number of daemons that read the store at their start on behalf of the others. */
+const INITIAL_READERS = 2;
 
-/** What the platform's store holds. */
+/** The contents of the platform's store. */
 export interface SharedStore {
   readonly configurations: Feed<Configuration>;
   readonly runners: Feed<Runner>;
   readonly daemons: DaemonRegistry;
 }
 
-/** How a neighbourhood is made up. */
+/** Options of a {@linkcode FleetSync}. */
 export interface FleetSyncOptions {
   readonly own: Contact;
   readonly store: SharedStore;
   readonly network: PeerNetwork;
   readonly log: EventLog;
   readonly metrics: Pick<RequestMetrics, "dependency">;
-  /** Daemons from which on loads go through relays. */
+  /** Fleet size from which loads go through relays. */
   readonly relaysFrom: number;
-  /** Bytes a second that one neighbour is told, on average, through relays. */
+  /** Average bytes per second sent to one neighbour where loads go through relays. */
   readonly controlBytesPerS: number;
   /** In [0, 1). */
   readonly random: () => number;
 }
 
 /**
- * Keeps a daemon's knowledge like that of the others: configurations, runners
- * and the load on them, from neighbours and from the store.
+ * Synchronizes configurations, runners and their loads with neighbours and the
+ * store.
  *
- * From its start on: the ports are opened, the addresses in the settings are
- * dialled, a neighbour is given a moment to offer what it has, then the store is
- * read; after a while some daemons enter themselves there to be found, and some
- * watch it for all.
+ * A daemon starts as follows. It opens its ports and dials the addresses in its
+ * settings. It waits a moment for a neighbour to offer newer data, then reads the
+ * store. Later some daemons register in the store, where others discover them, and
+ * some watch the store for all.
  */
 export class FleetSync {
   readonly #own: Contact;
-  readonly #known: SharedState;
+  readonly #state: SharedState;
   readonly #gate = new StartGate();
   readonly #peers: Peers;
   readonly #exchange: StateExchange;
@@ -67,11 +67,11 @@
   readonly #registration: Registration;
   #seeds: readonly string[] = [];
 
-  constructor(known: SharedState, options: FleetSyncOptions) {
+  constructor(state: SharedState, options: FleetSyncOptions) {
     const { own, store, network, log, metrics } = options;
     this.#own = own;
-    this.#known = known;
-    this.#exchange = new StateExchange(known, {
+    this.#state = state;
+    this.#exchange = new StateExchange(state, {
       own,
       log,
       peers: () => this.#peers,
@@ -94,12 +94,12 @@
       own,
       log,
       metrics,
-      directory: known.directory,
+      directory: state.directory,
       peers: () => this.#reachable,
       random: options.random,
-      configured: () => known.configuration() !== undefined,
+      configured: () => state.configuration() !== undefined,
       lastResponseAt: () => this.#exchange.lastResponseAt,
-      adopt: (configuration) => known.adopt(configuration, "store"),
+      adopt: (configuration) => state.adopt(configuration, "store"),
     }, store);
     this.#registration = new Registration(store.daemons, {
       own,
@@ -113,20 +113,20 @@
           this.#peers.discover([...this.#seeds, ...addresses]),
       },
     });
-    known.directory.onChange(() => this.#openIfKnown());
+    state.directory.onChange(() => this.#openGateIfInformed());
   }
 
-  /** The port that other daemons connect to. */
+  /** The port on which links of other daemons are accepted. */
   get port(): number {
     return this.#peers.port;
   }
 
-  /** Daemons of the fleet: the most that were heard of lately. */
+  /** Number of daemons in the fleet: the largest recent count. */
   get fleetSize(): number {
     return this.#exchange.fleetSize;
   }
 
-  /** Milliseconds in which all daemons know of a request that waits here. */
+  /** Milliseconds until all daemons have received a change of this one. */
   get propagationMs(): number {
     return this.#exchange.propagationMs;
   }
@@ -136,55 +136,55 @@
     return this.#exchange.sharers;
   }
 
-  /** Whether this daemon may lead: others tell it what a leader has to know. */
+  /** Whether this daemon may lead: it receives the updates that a leader needs. */
   get mayLead(): boolean {
     const alone = this.#peers.count === 0 && this.fleetSize > 1;
     return !alone && this.#exchange.receivesFleetUpdates;
   }
 
-  /** Whether all daemons are heard of that there were lately. */
+  /** Whether neighbours' updates include all daemons of the recent fleet. */
   get seesWholeFleet(): boolean {
     return this.#exchange.seesWholeFleet;
   }
 
-  /** Others should hear of the leader's lease. */
+  /** Schedules sending a change of the leader's lease. */
   leaseChanged(): void {
     this.#exchange.wake();
   }
 
-  /** Steady milliseconds at which the store last confirmed the runners. */
+  /** Time at which the store last confirmed the list of runners, in monotonic ms. */
   get runnersConfirmedAt(): number {
     return this.#followers.runnersConfirmedAt;
   }
 
-  /** Takes links of other daemons. */
+  /** Accepts links of other daemons. */
   open(address: ListenAddress): Promise<void> {
     return this.#peers.open(address);
   }
 
-  /** @param seeds addresses of daemons that may be there. */
+  /** @param seeds addresses at which other daemons may be reached. */
   start(seeds: readonly string[]): void {
     this.discover(seeds);
     this.#exchange.start();
-    // Others ask a seed first; it has something for them as soon as can be.
+    // A seed reads the store without delay, because others dial it first.
     if (seeds.includes(this.#own.address)) this.#gate.open();
     this.#followers.start(this.#gate.wait(() => !this.#readsForOthers()));
     this.#registration.start();
   }
 
-  /** Dials further addresses of daemons that may be there. */
+  /** Replaces the seeds and dials them. */
   discover(seeds: readonly string[]): void {
     this.#seeds = seeds;
     this.#peers.discover(seeds);
   }
 
-  /** A configuration came in force. */
+  /** Handles a configuration that has come into force. */
   configurationChanged(): void {
     this.#exchange.wake();
-    this.#openIfKnown();
+    this.#openGateIfInformed();
   }
 
-  /** Ends at once. */
+  /** Stops at once. */
   stop(): void {
     this.#gate.open();
     this.#followers.stop();
@@ -193,7 +193,7 @@
     this.#registration.stop();
   }
 
-  /** Others need not look for this daemon any longer. */
+  /** Removes this daemon's registration from the store. */
   leave(): Promise<void> {
     return this.#registration.leave();
   }
@@ -203,17 +203,17 @@
   }
 
   /**
-   * Whether this daemon reads the store though it may be given the same. While
-   * all start, few others of its failure domain are known yet, so it is ranked
-   * among all that are.
+   * Whether this daemon reads the store although a neighbour may deliver the same
+   * data. It ranks itself among all contacts, because it has few of its own failure
+   * domain while all daemons start.
    */
   #readsForOthers(): boolean {
-    const known = this.#exchange.contacts();
-    const before = known.filter((each) => ranksBefore(each, this.#own));
-    return this.#peers.count === 0 || before.length < FIRST_READERS;
+    const contacts = this.#exchange.contacts();
+    const before = contacts.filter((each) => ranksBefore(each, this.#own));
+    return this.#peers.count === 0 || before.length < INITIAL_READERS;
   }
 
-  /** The daemons that watch the store for their failure domain are found there. */
+  /** Whether this daemon is registered: it watches the store for its domain. */
   #isContact(): boolean {
     return this.#peers.count === 0 ||
       isWatcher(this.#own, [this.#own, ...this.#reachable]);
@@ -222,12 +222,12 @@
   #left(peer: Peer): void {
     this.#exchange.left(peer);
     if (this.#peers.count > 0) return;
-    // Alone, the watches must find by themselves what peers would have told.
+    // Without peers, only the watches of this daemon detect changes.
     this.#followers.restartWatches();
   }
 
-  #openIfKnown(): void {
-    if (this.#known.configuration() === undefined) return;
-    if (this.#known.directory.revision > 0) this.#gate.open();
+  #openGateIfInformed(): void {
+    if (this.#state.configuration() === undefined) return;
+    if (this.#state.directory.revision > 0) this.#gate.open();
   }
 }
--- a/packages/router/src/connection/overlay.ts
+++ b/packages/router/src/connection/overlay.ts
@@ -52,7 +52,7 @@
 const DISCOVERY_MS = 500;
 
 /** The overlay's data sources, and the listener for changes of roles. */
-export interface OverlayDependencies {
+export interface OverlayContext {
   readonly own: Contact;
   readonly book: ContactBook;
   readonly log: EventLog;
@@ -76,13 +76,13 @@
  * counted twice.
  */
 export class Overlay {
-  readonly #dependencies: OverlayDependencies;
+  readonly #context: OverlayContext;
   readonly #own: Contact;
   /** Scopes of this daemon's subscriptions, by the peer subscribed to. */
   readonly #subscriptions = new Map<string, Subscribe["scope"]>();
   /** Scopes of the subscriptions of peers to this daemon. */
   readonly #subscribers = new Map<string, Subscribe["scope"]>();
-  readonly #absences = new UnreachableDaemons();
+  readonly #unreachable = new UnreachableDaemons();
   readonly #idleSince = new Map<string, number>();
   /** Names of the peers in the last plan. */
   #planned: ReadonlySet<string> = new Set();
@@ -97,9 +97,9 @@
   #relayCount = 1;
   #stale = true;
 
-  constructor(dependencies: OverlayDependencies) {
-    this.#dependencies = dependencies;
-    this.#own = dependencies.own;
+  constructor(context: OverlayContext) {
+    this.#context = context;
+    this.#own = context.own;
   }
 
   /** Whether loads go through relays. */
@@ -132,7 +132,7 @@
 
   /** Peers with one of these roles. */
   peersWith(...roles: readonly Role[]): readonly Peer[] {
-    return this.#dependencies.peers.connected.filter(({ name }) => {
+    return this.#context.peers.connected.filter(({ name }) => {
       const role = this.role(name);
       return role !== undefined && roles.includes(role);
     });
@@ -140,7 +140,7 @@
 
   /** Handles a link that has come up. */
   joined(peer: Peer): void {
-    this.#absences.markReachable(peer.name);
+    this.#unreachable.markReachable(peer.name);
     this.invalidate();
     this.#chooseTopology(performance.now());
   }
@@ -152,18 +152,18 @@
     this.#subscribers.delete(peer.name);
     this.#idleSince.delete(peer.name);
     const closedHere = this.#closing.has(peer);
-    if (!closedHere) this.#absences.linkLost(peer, performance.now());
-    if (before !== undefined) this.#dependencies.roleChanged(peer, before);
+    if (!closedHere) this.#unreachable.linkLost(peer, performance.now());
+    if (before !== undefined) this.#context.roleChanged(peer, before);
     this.invalidate();
   }
 
   /** Handles an address at which dials fail repeatedly. */
   unreachable(address: string): void {
-    const { book, log } = this.#dependencies;
+    const { book, log } = this.#context;
     const contact = book.all().find((each) => each.address === address);
     if (contact === undefined) return;
     const now = performance.now();
-    const dials = this.#absences.dialFailed(contact, now);
+    const dials = this.#unreachable.dialFailed(contact, now);
     this.invalidate();
     if (!this.#isGone(contact, dials)) return;
     if (book.remove(contact, now)) {
@@ -177,8 +177,8 @@
 
   /** Other daemons that are presumed alive. */
   reachable(now: number): readonly Contact[] {
-    return this.#dependencies.book.all()
-      .filter((each) => this.#absences.isReachable(each, now));
+    return this.#context.book.all()
+      .filter((each) => this.#unreachable.isReachable(each, now));
   }
 
   /** Closes a link that the peer does not need, unless this daemon does. */
@@ -204,13 +204,13 @@
     } else if (this.#maySubscribe(peer, scope)) {
       this.#subscribers.set(peer.name, scope);
     } else {
-      this.#dependencies.log.event("subscription_refused", {
+      this.#context.log.event("subscription_refused", {
         name: peer.name,
         scope,
       });
     }
     const after = this.role(peer.name);
-    if (before !== after) this.#dependencies.roleChanged(peer, before);
+    if (before !== after) this.#context.roleChanged(peer, before);
     this.invalidate();
   }
 
@@ -225,7 +225,7 @@
     const plan = this.#plan(now);
     this.#head = plan.parent === undefined;
     const contacts = contactsIn(plan);
-    this.#dependencies.peers.maintainLinks(
+    this.#context.peers.maintainLinks(
       new Set(contacts.map(({ address }) => address)),
     );
     this.#planned = new Set(contacts.map(({ name }) => name));
@@ -235,11 +235,11 @@
 
   /** Whether the plan is to be renewed without an invalidation. */
   #isDue(now: number): boolean {
-    if (relayCount(this.#dependencies.members().domain) !== this.#relayCount) {
+    if (relayCount(this.#context.members().domain) !== this.#relayCount) {
       return true;
     }
     return now - this.#plannedAt >= LINK_LOST_MS &&
-      (this.#absences.any || this.#idleSince.size > 0);
+      (this.#unreachable.any || this.#idleSince.size > 0);
   }
 
   #maySubscribe(peer: Peer, scope: Subscribe["scope"]): boolean {
@@ -250,7 +250,7 @@
 
   /** Whether a daemon counts as gone. A daemon that reaches no peer cannot tell. */
   #isGone({ failureDomain }: Contact, dials: number): boolean {
-    const { book, peers } = this.#dependencies;
+    const { book, peers } = this.#context;
     if (peers.count === 0) return false;
     if (dials < (this.#relayed ? MAX_DIALS : MAX_DIALS_DIRECT)) return false;
     const ofDomain = book.all()
@@ -259,7 +259,7 @@
   }
 
   #chooseTopology(now: number): void {
-    const { book, relaysFrom, members, log } = this.#dependencies;
+    const { book, relaysFrom, members, log } = this.#context;
     const size = Math.max(book.size + 1, members().fleet);
     if (size >= DIRECT_SHARE * relaysFrom || this.isRelay) {
       this.#smallSince = Infinity;
@@ -274,14 +274,14 @@
     log.event("relaying_changed", { relayed, size });
     // Discards the reports of direct links. Neighbours in the tree keep their
     // roles: they have sent their snapshots and would not send them again.
-    for (const peer of this.#dependencies.peers.connected) {
+    for (const peer of this.#context.peers.connected) {
       if (this.role(peer.name) !== undefined) continue;
-      this.#dependencies.roleChanged(peer, undefined);
+      this.#context.roleChanged(peer, undefined);
     }
   }
 
   #linkAll(now: number): void {
-    const { book, peers } = this.#dependencies;
+    const { book, peers } = this.#context;
     for (const name of [...this.#subscriptions.keys()]) {
       this.#setSubscription(name, "none");
     }
@@ -293,14 +293,14 @@
   }
 
   #plan(now: number): LinkPlan {
-    const { domain } = this.#dependencies.members();
+    const { domain } = this.#context.members();
     this.#relayCount = relayCount(domain);
     return planLinks(this.#own, this.reachable(now), domain);
   }
 
   /** Subscribes to the peers of the plan whose links are up. */
   #subscribe(plan: LinkPlan): void {
-    const { peers } = this.#dependencies;
+    const { peers } = this.#context;
     const targets = plan.parent === undefined ? plan.heads : [plan.parent];
     const scope = plan.parent === undefined ? "domain" : "fleet";
     const linked = targets.filter(({ name }) => peers.get(name) !== undefined);
@@ -318,7 +318,7 @@
   }
 
   #setSubscription(name: string, scope: Subscribe["scope"]): void {
-    const { peers, log, roleChanged } = this.#dependencies;
+    const { peers, log, roleChanged } = this.#context;
     const before = this.role(name);
     if (scope === "none") this.#subscriptions.delete(name);
     else this.#subscriptions.set(name, scope);
@@ -333,7 +333,7 @@
 
   /** Offers to close the links that this daemon dialled and no longer needs. */
   #closeIdleLinks(now: number): void {
-    for (const peer of this.#dependencies.peers.connected) {
+    for (const peer of this.#context.peers.connected) {
       const { name, dialled, link } = peer;
       const isIdle = dialled && !this.#planned.has(name) &&
         this.role(name) === undefined;
--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -32,7 +32,7 @@
 const LOOK_MS = 500;
 
 /** Who is told, and what decides how often the store is read. */
-export interface FollowerDependencies {
+export interface FollowerContext {
   readonly own: WatchCandidate;
   readonly log: EventLog;
   readonly metrics: Pick<RequestMetrics, "dependency">;
@@ -51,24 +51,24 @@
 
 /** Follows both kinds of objects for as long as the process lives. */
 export class StoreFollowers {
-  readonly #host: FollowerDependencies;
+  readonly #context: FollowerContext;
   readonly #configurations: Follower<Configuration>;
   readonly #runners: Follower<Runner>;
   /** Wakes both followers at once while this daemon does not watch. */
   readonly #looks = new Pulse(LOOK_MS);
 
-  constructor(host: FollowerDependencies, feeds: {
+  constructor(context: FollowerContext, feeds: {
     readonly configurations: Feed<Configuration>;
     readonly runners: Feed<Runner>;
   }) {
-    this.#host = host;
+    this.#context = context;
     this.#configurations = this.#followConfigurations(feeds.configurations);
     this.#runners = this.#followRunners(feeds.runners);
   }
 
   /** @param opened when the store may be read first. */
   start(opened: Promise<void>): void {
-    const { configured, directory } = this.#host;
+    const { configured, directory } = this.#context;
     void this.#follow(this.#configurations, opened, configured);
     void this.#follow(this.#runners, opened, () => directory.revision > 0);
   }
@@ -103,13 +103,13 @@
 
   /** Whether neither the store nor a peer has told anything for long. */
   #isUninformed({ confirmedAt }: Follower<unknown>): boolean {
-    const heardAt = Math.max(confirmedAt, this.#host.lastResponseAt());
+    const heardAt = Math.max(confirmedAt, this.#context.lastResponseAt());
     return performance.now() - heardAt >= LOOK_AGAIN_MS;
   }
 
   #followConfigurations(feed: Feed<Configuration>): Follower<Configuration> {
     const take = (values: readonly Configuration[]) => {
-      for (const value of values) this.#host.adopt(value);
+      for (const value of values) this.#context.adopt(value);
     };
     return new Follower(feed, {
       listed: ({ values }) => take(values),
@@ -117,14 +117,14 @@
     }, {
       contact: this.#contactListener("store_configuration"),
       timing: this.#timing(
-        () => this.#host.configured(),
+        () => this.#context.configured(),
         () => this.#configurations,
       ),
     });
   }
 
   #followRunners(feed: Feed<Runner>): Follower<Runner> {
-    const { directory } = this.#host;
+    const { directory } = this.#context;
     return new Follower(feed, {
       listed: ({ revision, values }) => {
         directory.replace({ revision, runners: values });
@@ -150,7 +150,7 @@
     known: () => boolean,
     follower: () => Follower<unknown>,
   ): FollowerTiming {
-    const { own, peers, random } = this.#host;
+    const { own, peers, random } = this.#context;
     return {
       waitMs: () => watchWaitMs([own, ...peers()], random()),
       active: () =>
@@ -161,7 +161,7 @@
   }
 
   #contactListener(dependency: string): ContactListener {
-    const { log, metrics } = this.#host;
+    const { log, metrics } = this.#context;
     return {
       lost: (reason) => {
         metrics.dependency(dependency, false);
