--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -132,7 +132,7 @@
   }
 
   /** Daemons that divide what is to be done, or may be done, once for all. */
-  get sharers(): FleetView {
+  get view(): FleetView {
     return this.#exchange.sharers;
   }
 
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -116,7 +116,7 @@
     this.dialect = platform.dialect;
     this.log = log;
     this.crashes = new CrashRecord(log);
-    this.limits = new RunnerLimits(log, () => this.#neighbourhood.sharers);
+    this.limits = new RunnerLimits(log, () => this.#neighbourhood.view);
     this.#lifecycle = new Lifecycle(log);
     this.#lifecycle.require("configuration", () => this.#table !== undefined);
     this.#lifecycle.require("runners", () => this.#directory.revision > 0);
@@ -388,7 +388,7 @@
         this.#directory.list.runners.filter(({ service }) =>
           this.#table?.service(service)?.engine !== undefined
         ),
-      view: () => this.#neighbourhood.sharers,
+      view: () => this.#neighbourhood.view,
     });
   }
 }
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -343,7 +343,7 @@
       decision() {},
     };
     this.crashes = new CrashRecord(log);
-    this.limits = new RunnerLimits(log, () => this.fleetSync.sharers);
+    this.limits = new RunnerLimits(log, () => this.fleetSync.view);
     this.usage = new UsageMeter({
       life: contact.incarnation,
       windowMs: WINDOW_MS,
--- a/packages/router/tests/survey_assignment_test.ts
+++ b/packages/router/tests/survey_assignment_test.ts
@@ -10,7 +10,7 @@
 function surveyorsOf(members: readonly Member[]): readonly number[] {
   const surveyors = Array.from({ length: RUNNERS }, () => 0);
   for (const { fleetSync: neighbourhood } of members) {
-    const { own, names } = neighbourhood.sharers;
+    const { own, names } = neighbourhood.view;
     const rendezvous = new Rendezvous(names);
     surveyors.forEach((_, index) => {
       const first = rendezvous.first(`r-${index}`, () => true);
