--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -133,7 +133,7 @@
 
   /** Daemons that divide what is to be done, or may be done, once for all. */
   get view(): FleetView {
-    return this.#exchange.sharers;
+    return this.#exchange.view;
   }
 
   /** Whether this daemon may lead: it receives the updates that a leader needs. */
--- a/packages/router/src/connection/state_exchange.ts
+++ b/packages/router/src/connection/state_exchange.ts
@@ -169,7 +169,7 @@
    * The daemons among which scarce resources are divided: all of a small fleet;
    * in a large one the first of each failure domain, whose contacts all have.
    */
-  get sharers(): FleetView {
+  get view(): FleetView {
     const { name: own } = this.#own;
     const { fleetSize } = this;
     const all = [this.#own, ...this.reachable];
