--- a/packages/router/src/connection/counts.ts
+++ b/packages/router/src/connection/counts.ts
@@ -1,15 +1,15 @@
 /**
- * Numbers that other daemons tell.
+ * Validation of numbers in messages of other daemons.
  *
  * @module
  */
 
 /**
- * Takes a count, or the sum of some.
+ * Returns the value if it is a count or a sum of counts: finite and not negative.
  *
- * @throws {TypeError} when it is neither.
+ * @throws {TypeError} otherwise, with the name of the field.
  */
 export function checkCount(value: unknown, field: string): number {
   if (typeof value === "number" && value >= 0 && value < Infinity) return value;
-  throw new TypeError(`Cannot read state: "${field}" is no count`);
+  throw new TypeError(`Invalid state update: "${field}" is not a count`);
 }
--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -131,7 +131,7 @@
     return this.#exchange.propagationMs;
   }
 
-  /** Daemons that divide what is to be done, or may be done, once for all. */
+  /** The daemons among which tasks and budgets of the fleet are divided. */
   get view(): FleetView {
     return this.#exchange.view;
   }
--- a/packages/router/src/connection/membership_counts.ts
+++ b/packages/router/src/connection/membership_counts.ts
@@ -1,5 +1,5 @@
 /**
- * How many daemons there are, as neighbours tell.
+ * Number of daemons in the fleet and in the own failure domain.
  *
  * @module
  */
@@ -7,53 +7,54 @@
 import type { MemberCounts } from "./peer_message.ts";
 
 /**
- * Milliseconds for which the largest size of the fleet counts. Retries and
- * connections to runners are divided by it: too small a size would have each
- * daemon take more than its part.
+ * Window of the maximum of the fleet size. Retries and connections to runners are
+ * divided by this size: if it were too small, each daemon would take more than its
+ * share.
  */
-const FLEET_MS = 60_000;
+const FLEET_WINDOW_MS = 60_000;
 /**
- * The same for the size of the own failure domain, from which the number of its
- * relays follows: while a relay is lost, the daemons behind it are not heard of,
- * and all others would be divided anew. By then they have another one.
+ * Window of the maximum of the failure domain's size, which determines its number
+ * of relays. While a relay is lost, no updates of the daemons behind it arrive;
+ * without the window, all other daemons would be assigned to relays anew. The
+ * window gives those daemons time to find another relay.
  */
-const DOMAIN_MS = 2_000;
+const DOMAIN_WINDOW_MS = 2_000;
 
-/** Adds up for how many daemons each neighbour speaks. */
+/** Sums the member counts that neighbours report. */
 export class MembershipCounts {
-  readonly #told = new Map<string, MemberCounts>();
-  readonly #fleet = new SlidingMax(FLEET_MS);
-  readonly #domain = new SlidingMax(DOMAIN_MS);
+  readonly #reported = new Map<string, MemberCounts>();
+  readonly #fleet = new SlidingMax(FLEET_WINDOW_MS);
+  readonly #domain = new SlidingMax(DOMAIN_WINDOW_MS);
 
   /**
-   * Takes what a neighbour tells.
+   * Sets the counts that a neighbour reports.
    *
-   * @returns whether it differs from what it told before.
+   * @returns whether they differ from its previous ones.
    */
   setNeighbourCounts(neighbour: string, members: MemberCounts): boolean {
-    const before = this.#told.get(neighbour);
-    this.#told.set(neighbour, members);
+    const before = this.#reported.get(neighbour);
+    this.#reported.set(neighbour, members);
     return before?.fleet !== members.fleet || before.domain !== members.domain;
   }
 
-  /** Forgets a neighbour. */
+  /** Removes the counts of a neighbour. */
   removeNeighbour(neighbour: string): void {
-    this.#told.delete(neighbour);
+    this.#reported.delete(neighbour);
   }
 
-  /** This daemon and those that some neighbours speak for. */
-  sumFrom(counts: (neighbour: string) => boolean): MemberCounts {
+  /** Counts of this daemon and of selected neighbours together. */
+  sumFrom(includes: (neighbour: string) => boolean): MemberCounts {
     let fleet = 1;
     let domain = 1;
-    for (const [neighbour, members] of this.#told) {
-      if (!counts(neighbour)) continue;
+    for (const [neighbour, members] of this.#reported) {
+      if (!includes(neighbour)) continue;
       fleet += members.fleet;
       domain += members.domain;
     }
     return { fleet, domain };
   }
 
-  /** The largest counts of the last while. */
+  /** The largest total counts in the recent windows. */
   recentMax(now: number): MemberCounts {
     const { fleet, domain } = this.sumFrom(() => true);
     return {
--- a/packages/router/src/connection/peer_link.ts
+++ b/packages/router/src/connection/peer_link.ts
@@ -1,5 +1,5 @@
 /**
- * A connection to another daemon: CBOR messages in frames.
+ * A link to another daemon: CBOR messages in length-prefixed frames over TCP.
  *
  * @module
  */
@@ -10,14 +10,14 @@
 import { packMessage, unpackMessage } from "./peer_encoding.ts";
 import type { PeerMessage } from "./peer_message.ts";
 
-/** Bytes of the largest frame; a configuration of a megabyte fits. */
+/** Largest frame; a configuration of a megabyte fits. */
 const MAX_FRAME_BYTES = 8 * 1024 * 1024;
 /**
- * Bytes that may wait for a slow peer. Beyond them the link is closed: a state
- * that arrives seconds late misleads, and a new link begins with a fresh one.
+ * Most bytes buffered for a slow peer. Beyond them the link is closed: an update
+ * that arrives seconds late is misleading, and a new link starts with a snapshot.
  */
-const MAX_WAITING_BYTES = 1024 * 1024;
-/** Milliseconds of silence after which a link is closed, unless set. */
+const MAX_BUFFERED_BYTES = 1024 * 1024;
+/** Default time without activity after which a link is closed. */
 export const IDLE_TIMEOUT_MS = 1_500;
 
 /** Encodes a message once, to be sent on many links. */
@@ -25,31 +25,31 @@
   return encodeFrame([encodeItem(packMessage(message))]);
 }
 
-/** What becomes of a link. */
+/** Callbacks of a link. */
 export interface LinkEvents {
   readonly onMessage: (message: PeerMessage) => void;
   readonly onClose: () => void;
-  /** Told why a message could not be taken; the link closes. */
+  /** Called with the reason when a message is invalid; the link closes. */
   readonly onFault: (reason: string) => void;
 }
 
-/** A connection to another daemon. */
+/** A link to another daemon. */
 export interface Link {
-  /** Sends a message; on a link that is closed it is lost. */
+  /** Sends a message; on a closed link it is dropped. */
   send(message: PeerMessage): void;
   /** Sends a message that is already encoded. */
   sendEncoded(frame: Buffer): void;
-  /** Sets the silence after which the link is closed, in ms. */
-  setIdleTimeout(millis: number): void;
+  /** Sets the time without activity after which the link is closed. */
+  setIdleTimeout(timeoutMs: number): void;
   close(): void;
 }
 
-/** Sends and receives messages over TCP until it is closed. */
+/** A link over TCP. */
 export class PeerLink implements Link {
   readonly #socket: Socket;
   readonly #onMessage: (message: PeerMessage) => void;
   readonly #onFault: (reason: string) => void;
-  #silenceMs = IDLE_TIMEOUT_MS;
+  #idleTimeoutMs = IDLE_TIMEOUT_MS;
   #chunks: Buffer[] = [];
   #size = 0;
 
@@ -58,12 +58,12 @@
     this.#onMessage = events.onMessage;
     this.#onFault = events.onFault;
     socket.setNoDelay(true);
-    // Counts as activity only what moves on the connection; both sides send
-    // heartbeats well within it.
+    // Only bytes that move on the connection count as activity; both sides send
+    // heartbeats well within the time-out.
     socket.setTimeout(IDLE_TIMEOUT_MS);
     socket.on("timeout", () => socket.destroy());
     socket.on("data", (chunk: Buffer) => this.#receive(chunk));
-    // The close that follows tells all that matters.
+    // Errors are handled by the "close" event that follows.
     socket.on("error", () => {});
     socket.once("close", events.onClose);
   }
@@ -74,14 +74,14 @@
 
   sendEncoded(frame: Buffer): void {
     if (this.#socket.destroyed) return;
-    if (this.#socket.writableLength > MAX_WAITING_BYTES) return this.close();
+    if (this.#socket.writableLength > MAX_BUFFERED_BYTES) return this.close();
     this.#socket.write(frame);
   }
 
-  setIdleTimeout(millis: number): void {
-    if (this.#silenceMs === millis) return;
-    this.#silenceMs = millis;
-    this.#socket.setTimeout(millis);
+  setIdleTimeout(timeoutMs: number): void {
+    if (this.#idleTimeoutMs === timeoutMs) return;
+    this.#idleTimeoutMs = timeoutMs;
+    this.#socket.setTimeout(timeoutMs);
   }
 
   close(): void {
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Whether a message could be taken. One of another version may have another
-   * shape; the link to that daemon ends, and not the process.
+   * Handles a message and returns whether it was valid. A message of another
+   * version may have another shape; it ends the link and not the process.
    */
   #handle(item: unknown): boolean {
     try {
--- a/packages/router/src/connection/peer_network.ts
+++ b/packages/router/src/connection/peer_network.ts
@@ -1,5 +1,5 @@
 /**
- * Opening links between daemons.
+ * Opens and accepts links between daemons.
  *
  * @module
  */
@@ -10,29 +10,29 @@
 import type { Link, LinkEvents } from "./peer_link.ts";
 
 /**
- * Milliseconds to open a link. A host that had no power when it was dialled may
- * have it now, and only another dial finds out: the first packet is lost.
+ * Time-out for opening a link. The first packet of a dial to a host without power
+ * is lost, so only another dial finds out that the host has power again.
  */
 const CONNECT_TIMEOUT_MS = 250;
 
-/** Takes a connection that is open, and gives the link on it. */
+/** Creates the link on an open connection. */
 export type LinkOpening = (events: LinkEvents) => Link;
 
-/** Dials other daemons and takes their links. */
+/** Dials other daemons and accepts their links. */
 export interface PeerNetwork {
-  /** The port that it listens on. */
+  /** The port on which links are accepted. */
   readonly port: number;
-  /** Takes links from now on. */
+  /** Accepts links from now on. */
   open(
     address: ListenAddress,
     accepted: (opening: LinkOpening) => void,
   ): Promise<void>;
-  /** Dials an address; exactly one of the two is called, later. */
+  /** Dials an address; calls exactly one of the two callbacks, asynchronously. */
   dial(address: string, outcome: {
     opened(opening: LinkOpening): void;
     failed(): void;
   }): void;
-  /** Takes no more links. */
+  /** Stops accepting links. */
   close(): void;
 }
 
@@ -73,7 +73,7 @@
       socket.off("close", failed);
       outcome.opened(openingOn(socket));
     });
-    // The close that follows tells all that matters.
+    // Errors are handled by the "close" event.
     socket.on("error", () => {});
   }
 
--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -1,5 +1,5 @@
 /**
- * Following the platform's store: configurations and runners.
+ * Follows configurations and runners in the platform's store.
  *
  * @module
  */
@@ -15,47 +15,48 @@
 import type { WatchCandidate } from "../process/watch_plan.ts";
 import type { Configuration } from "../version/configuration.ts";
 
-/** Milliseconds in which a daemon that starts meets those that rank before it. */
-const MEET_MS = 500;
+/** Milliseconds in which a starting daemon connects to those that rank before it. */
+const DISCOVERY_MS = 500;
 
 /**
- * Milliseconds after which a daemon without a configuration looks for one by
- * itself though it has neighbours. Before an operator has written the first one,
- * each daemon that waited for it at the store would cost a call every few seconds.
+ * Milliseconds after which a daemon without a configuration reads the store itself
+ * although it has neighbours. Until an operator has written the first
+ * configuration, each daemon that waited for it at the store would cost a call
+ * every few seconds.
  */
-const LOOK_AGAIN_MS = 15_000;
+const UNINFORMED_MS = 15_000;
 
 /**
- * Milliseconds between two questions whether to watch the store. Another watcher
- * of the domain and those of the others go on meanwhile.
+ * Milliseconds between two checks whether this daemon has to watch the store.
+ * Meanwhile the other watchers of its domain and of the others continue.
  */
-const LOOK_MS = 500;
+const CHECK_MS = 500;
 
-/** Who is told, and what decides how often the store is read. */
+/** The data and listeners that the followers need. */
 export interface FollowerContext {
   readonly own: WatchCandidate;
   readonly log: EventLog;
   readonly metrics: Pick<RequestMetrics, "dependency">;
   readonly directory: RunnerDirectory;
-  /** Other daemons that are taken to live, as far as known. */
+  /** Other daemons that are presumed alive. */
   peers(): readonly WatchCandidate[];
   /** In [0, 1). */
   random(): number;
-  /** Whether there is a configuration to go on with. */
+  /** Whether a configuration is in force. */
   configured(): boolean;
-  /** Steady milliseconds at which a peer gave something last. */
+  /** Time of the last fetch response from a peer, in monotonic ms. */
   lastResponseAt(): number;
-  /** Takes a configuration from the store. */
+  /** Applies a configuration from the store. */
   adopt(configuration: Configuration): void;
 }
 
-/** Follows both kinds of objects for as long as the process lives. */
+/** Follows both kinds of objects until the process stops. */
 export class StoreFollowers {
   readonly #context: FollowerContext;
   readonly #configurations: Follower<Configuration>;
   readonly #runners: Follower<Runner>;
-  /** Wakes both followers at once while this daemon does not watch. */
-  readonly #looks = new Pulse(LOOK_MS);
+  /** Wakes both followers at the same time while this daemon does not watch. */
+  readonly #checks = new Pulse(CHECK_MS);
 
   constructor(context: FollowerContext, feeds: {
     readonly configurations: Feed<Configuration>;
@@ -66,7 +67,7 @@
     this.#runners = this.#followRunners(feeds.runners);
   }
 
-  /** @param opened when the store may be read first. */
+  /** @param opened resolves when the store may be read for the first time. */
   start(opened: Promise<void>): void {
     const { configured, directory } = this.#context;
     void this.#follow(this.#configurations, opened, configured);
@@ -78,44 +79,47 @@
     this.#runners.stop();
   }
 
-  /** Ends the present waits, so that the next ones start on new connections. */
+  /** Ends the current watches; the next ones start on new connections. */
   restartWatches(): void {
     this.#configurations.hurry();
     this.#runners.hurry();
   }
 
-  /** Steady milliseconds at which the store last confirmed the runners. */
+  /** Time at which the store last confirmed the list of runners, in monotonic ms. */
   get runnersConfirmedAt(): number {
     return this.#runners.confirmedAt;
   }
 
-  /** By the time it watches, a daemon with neighbours knows who else does. */
+  /**
+   * Reads the store once if needed, and starts the watch when the daemon has had
+   * time to learn from its neighbours which daemons watch.
+   */
   async #follow(
     follower: Follower<unknown>,
     opened: Promise<void>,
-    known: () => boolean,
+    hasData: () => boolean,
   ): Promise<void> {
     await opened;
-    if (!known() && this.#isUninformed(follower)) await follower.readOnce();
-    await pause(MEET_MS);
+    if (!hasData() && this.#isUninformed(follower)) await follower.readOnce();
+    await pause(DISCOVERY_MS);
     await follower.run();
   }
 
-  /** Whether neither the store nor a peer has told anything for long. */
+  /** Whether neither the store nor a peer has delivered data for a long time. */
   #isUninformed({ confirmedAt }: Follower<unknown>): boolean {
-    const heardAt = Math.max(confirmedAt, this.#context.lastResponseAt());
-    return performance.now() - heardAt >= LOOK_AGAIN_MS;
+    const informedAt = Math.max(confirmedAt, this.#context.lastResponseAt());
+    return performance.now() - informedAt >= UNINFORMED_MS;
   }
 
   #followConfigurations(feed: Feed<Configuration>): Follower<Configuration> {
-    const take = (values: readonly Configuration[]) => {
+    const adoptAll = (values: readonly Configuration[]) => {
       for (const value of values) this.#context.adopt(value);
     };
     return new Follower(feed, {
-      listed: ({ values }) => take(values),
-      changed: ({ updated: entered }) => take(entered),
+      listed: ({ values }) => adoptAll(values),
+      changed: ({ updated }) => adoptAll(updated),
     }, {
-      contact: this.#contactListener("store_configuration"),
+      contact: this.#connectivityListener("store_configuration"),
       timing: this.#timing(
         () => this.#context.configured(),
         () => this.#configurations,
@@ -129,11 +133,11 @@
       listed: ({ revision, values }) => {
         directory.replace({ revision, runners: values });
       },
-      changed: ({ revision, updated: entered, removed: left }) => {
-        directory.applyChange(revision, entered, left);
+      changed: ({ revision, updated, removed }) => {
+        directory.applyChange(revision, updated, removed);
       },
     }, {
-      contact: this.#contactListener("store_runners"),
+      contact: this.#connectivityListener("store_runners"),
       timing: this.#timing(
         () => directory.revision > 0,
         () => this.#runners,
@@ -142,12 +146,12 @@
   }
 
   /**
-   * How the store is followed.
+   * When the store is read and watched.
    *
-   * @param known whether there is something to go on with.
+   * @param hasData whether the daemon has data of this kind.
    */
   #timing(
-    known: () => boolean,
+    hasData: () => boolean,
     follower: () => Follower<unknown>,
   ): FollowerTiming {
     const { own, peers, random } = this.#context;
@@ -155,12 +159,12 @@
       waitMs: () => watchWaitMs([own, ...peers()], random()),
       active: () =>
         peers().length === 0 || isWatcher(own, [own, ...peers()]) ||
-        (!known() && this.#isUninformed(follower())),
-      untilActive: () => this.#looks.next(),
+        (!hasData() && this.#isUninformed(follower())),
+      untilActive: () => this.#checks.next(),
     };
   }
 
-  #contactListener(dependency: string): ContactListener {
+  #connectivityListener(dependency: string): ContactListener {
     const { log, metrics } = this.#context;
     return {
       lost: (reason) => {
