--- a/packages/router/src/connection/crash_ages.ts
+++ b/packages/router/src/connection/crash_ages.ts
@@ -1,5 +1,5 @@
 /**
- * What is known of requests at runners that ended, as daemons tell each other.
+ * Reports of requests at crashed runners, with ages in place of times.
  *
  * @module
  */
@@ -7,9 +7,9 @@
 import type { CrashUpdate } from "../process/crash_record.ts";
 import { groupBy } from "../process/group.ts";
 
-/** Requests that were at one runner when it ended. */
+/** Requests that were at one runner when it crashed. */
 export interface RunnerCrash {
-  /** Id of the runner's life. */
+  /** Id of the runner, which differs for each incarnation. */
   readonly runner: string;
   readonly runs: readonly {
     readonly fingerprint: string;
@@ -18,27 +18,27 @@
   }[];
 }
 
-/** A request that was answered whole. */
+/** A request that got a complete response. */
 export interface AnswerAge {
   readonly fingerprint: string;
   readonly agoMs: number;
 }
 
-/** The news in ms before the message, as hosts share no clock. */
+/** A crash update in ms before the message, because hosts share no clock. */
 export interface CrashAges {
   readonly crashed: readonly RunnerCrash[];
   readonly answers: readonly AnswerAge[];
 }
 
-/** Nothing to tell. */
+/** A report without crashes. */
 export const NO_CRASHES: CrashAges = { crashed: [], answers: [] };
 
-/** Milliseconds since a moment; both in steady ms. */
+/** Milliseconds from a time until now, both in monotonic ms; 0 if it is later. */
 export function ageOf(at: number, now: number): number {
   return Math.max(0, Math.round(now - at));
 }
 
-/** Puts news in ages, for a message that is sent now. */
+/** Converts times to ages, for a message that is sent now. */
 export function toAges(
   { crashed, responses }: CrashUpdate,
   now: number,
@@ -60,7 +60,7 @@
   };
 }
 
-/** Reads ages of a message that came now. */
+/** Converts ages to times, for a message that arrived now. */
 export function fromAges(
   { crashed, answers }: CrashAges,
   now: number,
--- a/packages/router/src/connection/crash_detector.ts
+++ b/packages/router/src/connection/crash_detector.ts
@@ -1,5 +1,5 @@
 /**
- * Finding out whether a runner has ended when it breaks off answers.
+ * Detects whether a runner has crashed when its responses break off.
  *
  * @module
  */
@@ -11,40 +11,40 @@
 import type { Runner } from "../process/runner.ts";
 
 /**
- * Milliseconds from the first answer that breaks off until the runner is looked
- * at: those of the other requests there break off in this time, too.
+ * Delay from the first broken response until the runner is probed. The responses of
+ * the other requests at the runner break off in this time, too.
  */
-const LOOK_AFTER_MS = 30;
-/** Milliseconds between two looks at a runner that breaks off many answers. */
-const LOOK_AGAIN_MS = 200;
-/** Milliseconds for a runner that lives to take a connection. */
-const CONNECT_MS = 300;
-/** Fingerprints that a line of the log names. */
-const MAX_NAMED = 8;
+const PROBE_DELAY_MS = 30;
+/** Shortest time between two probes of a runner that breaks many responses. */
+const PROBE_INTERVAL_MS = 200;
+/** Time-out for a live runner to accept a connection. */
+const CONNECT_TIMEOUT_MS = 300;
+/** Most fingerprints in a log line. */
+const MAX_LOGGED = 8;
 
 /**
- * A request that was at a runner when its connection broke. It began when its
- * answer did or, without one, when it was sent.
+ * A request that was at a runner when its connection broke. Its start is that of
+ * the response or, without one, the time at which the request was sent.
  */
 export type BrokenRun = Pick<CrashedRun, "fingerprint" | "startedAt">;
 
 /**
- * Looks at a runner once after answers of it broke off. Only one that refuses a
- * connection has ended: a single answer also breaks off where a connection has
- * been reset on its way, or when a runner fails part of its requests.
+ * Probes a runner once after responses of it broke off. The runner has crashed only
+ * if it refuses a connection: a single response also breaks off when the network
+ * resets its connection, or when the runner fails some of its requests.
  */
 export class CrashDetector {
   readonly #log: EventLog;
   readonly #metrics: Pick<RequestMetrics, "runnerEnded">;
   readonly #record: CrashRecord;
   readonly #broken = new Map<string, CrashedRun[]>();
-  /** Ids of runners that were looked at a moment ago. */
-  readonly #seen = new Set<string>();
+  /** Ids of runners that were probed in the last probe interval. */
+  readonly #probed = new Set<string>();
 
   constructor(options: {
     readonly log: EventLog;
     readonly metrics: Pick<RequestMetrics, "runnerEnded">;
-    /** Told of the requests that were at a runner which has ended. */
+    /** Receives the requests that were at a crashed runner. */
     readonly record: CrashRecord;
   }) {
     this.#log = options.log;
@@ -52,34 +52,36 @@
     this.#metrics = options.metrics;
   }
 
-  /** An answer of the runner broke off, and not by this daemon. */
+  /** Records a response that broke off at the runner's side, and schedules a probe. */
   recordBrokenRun(runner: Runner, broken: BrokenRun): void {
     const run = { ...broken, runner: runner.id, endedAt: performance.now() };
-    const known = this.#broken.get(runner.id);
-    if (known !== undefined) {
-      known.push(run);
+    const pending = this.#broken.get(runner.id);
+    if (pending !== undefined) {
+      pending.push(run);
       return;
     }
     this.#broken.set(runner.id, [run]);
-    const waitMs = this.#seen.has(runner.id) ? LOOK_AGAIN_MS : LOOK_AFTER_MS;
-    setTimeout(() => void this.#look(runner), waitMs).unref();
+    const delayMs = this.#probed.has(runner.id)
+      ? PROBE_INTERVAL_MS
+      : PROBE_DELAY_MS;
+    setTimeout(() => void this.#probe(runner), delayMs).unref();
   }
 
-  async #look(runner: Runner): Promise<void> {
-    const ended = await refusesConnections(runner);
+  async #probe(runner: Runner): Promise<void> {
+    const crashed = await refusesConnections(runner);
     const runs = this.#broken.get(runner.id) ?? [];
     this.#broken.delete(runner.id);
-    this.#seen.add(runner.id);
-    setTimeout(() => this.#seen.delete(runner.id), LOOK_AGAIN_MS).unref();
-    if (ended) this.#metrics.runnerEnded(runner.service);
-    if (ended) this.#record.recordCrashes(runs, performance.now());
-    const named = runs.slice(0, MAX_NAMED).map((each) => each.fingerprint);
+    this.#probed.add(runner.id);
+    setTimeout(() => this.#probed.delete(runner.id), PROBE_INTERVAL_MS).unref();
+    if (crashed) this.#metrics.runnerEnded(runner.service);
+    if (crashed) this.#record.recordCrashes(runs, performance.now());
+    const logged = runs.slice(0, MAX_LOGGED).map((each) => each.fingerprint);
     this.#log.event("runner_probed", {
       runner: runner.id,
       service: runner.service,
-      ended,
+      ended: crashed,
       broken_off: runs.length,
-      fingerprints: named.join(","),
+      fingerprints: logged.join(","),
     });
   }
 }
@@ -92,7 +94,7 @@
       socket.destroy();
       resolve(refused);
     };
-    const timer = setTimeout(() => decide(false), CONNECT_MS);
+    const timer = setTimeout(() => decide(false), CONNECT_TIMEOUT_MS);
     socket.once("connect", () => decide(false));
     socket.on("error", (error: NodeJS.ErrnoException) => {
       decide(error.code === "ECONNREFUSED");
--- a/packages/router/src/connection/crash_detector_test.ts
+++ b/packages/router/src/connection/crash_detector_test.ts
@@ -10,15 +10,18 @@
 import type { Fields } from "../process/line.ts";
 import { CrashDetector } from "./crash_detector.ts";
 
-/** A watch, and what it has found out. */
-function watch(): { readonly watch: CrashDetector; readonly found: Fields[] } {
+/** A detector, and the log lines of its probes. */
+function createDetector(): {
+  readonly detector: CrashDetector;
+  readonly found: Fields[];
+} {
   const found: Fields[] = [];
   const log = {
     event: (_: string, fields: Fields) => void found.push(fields),
     decision() {},
   };
   return {
-    watch: new CrashDetector({
+    detector: new CrashDetector({
       log,
       metrics: { runnerEnded() {} },
       record: new CrashRecord(SILENT_LOG),
@@ -27,26 +30,26 @@
   };
 }
 
-function breakTwo(watch: CrashDetector, { runner }: FakeRunner): void {
-  watch.recordBrokenRun(runner, { fingerprint: "one", startedAt: 0 });
-  watch.recordBrokenRun(runner, { fingerprint: "two", startedAt: 0 });
+function breakTwo(detector: CrashDetector, { runner }: FakeRunner): void {
+  detector.recordBrokenRun(runner, { fingerprint: "one", startedAt: 0 });
+  detector.recordBrokenRun(runner, { fingerprint: "two", startedAt: 0 });
 }
 
-test("a runner that ended is found out once, with all that was there", async (t) => {
+test("a crashed runner is probed once, for all its requests", async (t) => {
   const played = await startFakeRunner(t, "i-1", () => {});
-  const { watch: watched, found } = watch();
+  const { detector, found } = createDetector();
   await played.end();
-  breakTwo(watched, played);
+  breakTwo(detector, played);
   await waitUntil(() => found.length > 0);
   assert.equal(found.length, 1);
   assert.equal(found[0]!.ended, true);
   assert.equal(found[0]!.fingerprints, "one,two");
 });
 
-test("a runner that broke off answers and lives has not ended", async (t) => {
+test("a live runner that broke off responses has not crashed", async (t) => {
   const played = await startFakeRunner(t, "i-1", () => {});
-  const { watch: watched, found } = watch();
-  breakTwo(watched, played);
+  const { detector, found } = createDetector();
+  breakTwo(detector, played);
   await waitUntil(() => found.length > 0);
   assert.equal(found[0]!.ended, false);
 });
--- a/packages/router/src/connection/crash_encoding.ts
+++ b/packages/router/src/connection/crash_encoding.ts
@@ -1,5 +1,5 @@
 /**
- * How crashes are laid out in messages between daemons.
+ * The layout of crash reports in messages between daemons.
  *
  * @module
  */
@@ -8,21 +8,21 @@
 
 type PackedCrash = readonly [
   runner: string,
-  /** Fingerprint, age of the beginning and of the end, for each run. */
+  /** For each run its fingerprint and the ages of its start and its end. */
   runs: readonly (string | number)[],
 ];
 
-/** Crashes as lists without the names of their fields. */
+/** A crash report as arrays without field names. */
 export type PackedCrashes = readonly [
   crashed: readonly PackedCrash[],
   fingerprintsAndAges: readonly (string | number)[],
 ];
 
-/** Fields of one run in a list of several. */
+/** Number of fields of one run in a flat array. */
 const RUN_FIELDS = 3;
 const ANSWER_FIELDS = 2;
 
-/** Lays out crashes: some 20 bytes for each request. */
+/** Converts a crash report to its layout: some 20 bytes for each request. */
 export function packCrashes({ crashed, answers }: CrashAges): PackedCrashes {
   return [
     crashed.map(({ runner, runs }) => [
@@ -35,14 +35,14 @@
   ];
 }
 
-/** Takes a list apart into rows of so many fields. */
+/** Splits a flat array into rows of `length` fields. */
 function rowsOf<Field>(
   fields: readonly Field[],
   length: number,
 ): readonly (readonly Field[])[] {
   const rows = [];
-  for (let at = 0; at + length <= fields.length; at += length) {
-    rows.push(fields.slice(at, at + length));
+  for (let start = 0; start + length <= fields.length; start += length) {
+    rows.push(fields.slice(start, start + length));
   }
   return rows;
 }
@@ -58,7 +58,7 @@
   };
 }
 
-/** Reads what {@linkcode packCrashes} laid out. */
+/** Reads a crash report in the layout of {@linkcode packCrashes}. */
 export function unpackCrashes([crashed, answers]: PackedCrashes): CrashAges {
   return {
     crashed: crashed.map(unpackCrash),
@@ -69,7 +69,7 @@
   };
 }
 
-/** Whether there is anything to tell. */
+/** Whether a crash report is not empty. */
 export function hasCrashes({ crashed, answers }: CrashAges): boolean {
   return crashed.length + answers.length > 0;
 }
--- a/packages/router/src/connection/graceful_shutdown.ts
+++ b/packages/router/src/connection/graceful_shutdown.ts
@@ -1,5 +1,5 @@
 /**
- * Leaving without losing a request.
+ * Graceful shutdown of a daemon.
  *
  * @module
  */
@@ -9,25 +9,25 @@
 import type { CallerServer } from "./caller_server.ts";
 
 /**
- * Milliseconds after SIGTERM for which connections are still taken: the
- * balancer asks once a second and turns away after two misses.
+ * Milliseconds after SIGTERM for which connections are still accepted: the load
+ * balancer checks readiness once a second and stops after two failed checks.
  */
 const ACCEPT_MS = 2_600;
 /** Milliseconds before the kill at which the process exits by itself. */
 const EXIT_MARGIN_MS = 300;
-/** Milliseconds between two looks whether all requests have ended. */
+/** Milliseconds between two checks whether all requests have ended. */
 const CHECK_MS = 50;
 
 /**
- * Serves what arrives until the balancer has turned away, then finishes what is
- * in flight, as far as the grace allows.
+ * Serves new requests until the load balancer stops sending them, then finishes the
+ * requests in flight within the grace period.
  *
  * @returns how many requests were cut off.
  */
 export async function shutDownGracefully(
   server: CallerServer,
   options: {
-    /** Time from SIGTERM to the kill, in ms; it may change meanwhile. */
+    /** Milliseconds from SIGTERM to the kill; may change during the shutdown. */
     readonly graceMs: () => number;
     readonly lifecycle: Lifecycle;
     readonly log: EventLog;
--- a/packages/router/src/connection/load_sums.ts
+++ b/packages/router/src/connection/load_sums.ts
@@ -1,5 +1,5 @@
 /**
- * Loads of runners, added up for one neighbour.
+ * Sums the loads on runners for updates to neighbours.
  *
  * @module
  */
@@ -9,17 +9,17 @@
 import type { NeighbourFilter, WaitingEntry } from "../process/runner_queue.ts";
 import type { QueuedRequests, RunnerLoadEntry } from "./peer_message.ts";
 
-/** Milliseconds told of a request without target. */
-const LONGEST_LEFT_MS = 3_600_000;
+/** Longest time left in an update, for a request without a latency target. */
+const MAX_LEFT_MS = 3_600_000;
 /**
- * Requests that wait for a runner and are told one by one: those that go first.
- * The others of each rank are told as one, so that a long queue takes no more
- * bytes than a short one. None of them goes before the first ones have gone, and
- * until then what changed has been told again.
+ * Requests at the head of a runner's queue that have an entry of their own in an
+ * update. The others are merge into one entry for each rank, so that a long queue
+ * takes no more bytes than a short one. None of these is served before the first
+ * ones, and by then a newer update has been sent.
  */
-const TOLD_SINGLY = 4;
+const MAX_SINGLE_ENTRIES = 4;
 
-/** Adds up what is known here of the loads on runners. */
+/** Sums the loads on runners over this daemon and selected neighbours. */
 export class LoadSums {
   readonly #loads: RunnerLoads;
 
@@ -28,18 +28,18 @@
   }
 
   /**
-   * The loads on some runners, of this daemon and of those that some neighbours
-   * told of. Nobody is told what came from itself.
+   * Loads on the given runners, summed over this daemon and the neighbours selected
+   * by `includes`. The caller leaves out the neighbour that the update is for.
    */
-  of(
+  forRunners(
     runners: Iterable<string>,
-    counts: NeighbourFilter,
+    includes: NeighbourFilter,
   ): readonly RunnerLoadEntry[] {
     const now = performance.now();
-    return [...runners].map((runner) => this.#sum(runner, counts, now));
+    return [...runners].map((runner) => this.#sum(runner, includes, now));
   }
 
-  /** The same loads for one neighbour, without what came from itself. */
+  /** The same loads for one neighbour, without those that it reported itself. */
   without(
     neighbour: string,
     loads: readonly RunnerLoadEntry[],
@@ -52,18 +52,22 @@
     );
   }
 
-  /** All loads that there are. */
-  all(counts: NeighbourFilter): readonly RunnerLoadEntry[] {
-    return this.of(this.#loads.ids(), counts).filter(isLoaded);
+  /** Loads on all runners that have any. */
+  all(includes: NeighbourFilter): readonly RunnerLoadEntry[] {
+    return this.forRunners(this.#loads.ids(), includes).filter(isLoaded);
   }
 
-  #sum(runner: string, counts: NeighbourFilter, now: number): RunnerLoadEntry {
+  #sum(
+    runner: string,
+    includes: NeighbourFilter,
+    now: number,
+  ): RunnerLoadEntry {
     const load = this.#loads.of(runner);
-    const waiting = inFewEntries(load.queue.entriesFrom(counts), now);
+    const waiting = compact(load.queue.entriesFrom(includes), now);
     return {
       runner,
-      ...load.sumFrom(counts),
-      waiting: waiting.map((each) => newsOf(each, now)),
+      ...load.sumFrom(includes),
+      waiting: waiting.map((each) => toQueuedRequests(each, now)),
     };
   }
 }
@@ -72,52 +76,52 @@
   return inFlight > 0 || answered > 0 || waiting.length > 0;
 }
 
-function newsOf(waiting: WaitingEntry, now: number): QueuedRequests {
-  const { rank, arrivedAt: since, startBy, requests, unreadTokens } = waiting;
+function toQueuedRequests(waiting: WaitingEntry, now: number): QueuedRequests {
+  const { rank, arrivedAt, startBy, requests, unreadTokens } = waiting;
   return {
     rank,
     requests,
     unreadTokens,
-    ageMs: Math.round(now - since),
-    leftMs: Math.round(Math.min(startBy - now, LONGEST_LEFT_MS)),
+    ageMs: Math.round(now - arrivedAt),
+    leftMs: Math.round(Math.min(startBy - now, MAX_LEFT_MS)),
   };
 }
 
-/** The same requests in few entries: the first ones, then one for each rank. */
-function inFewEntries(
+/** Compacts a queue into a few entries: the first ones, then one for each rank. */
+function compact(
   waiting: readonly WaitingEntry[],
   now: number,
 ): readonly WaitingEntry[] {
-  if (waiting.length <= TOLD_SINGLY) return waiting;
+  if (waiting.length <= MAX_SINGLE_ENTRIES) return waiting;
   const ordered = [...waiting].sort((one, other) =>
     precedes(one, other, now) ? -1 : 1
   );
-  const others = groupBy(ordered.slice(TOLD_SINGLY), ({ rank }) => rank);
+  const others = groupBy(ordered.slice(MAX_SINGLE_ENTRIES), ({ rank }) => rank);
   return [
-    ...ordered.slice(0, TOLD_SINGLY),
-    ...[...others.values()].map(joined),
+    ...ordered.slice(0, MAX_SINGLE_ENTRIES),
+    ...[...others.values()].map(merge),
   ];
 }
 
-/** Some requests of one rank as one entry, of their mean age. */
-function joined(waiting: readonly WaitingEntry[]): WaitingEntry {
+/** Merges requests of one rank into one entry, with their mean age. */
+function merge(waiting: readonly WaitingEntry[]): WaitingEntry {
   const [first] = waiting;
   if (waiting.length === 1) return first!;
   let requests = 0;
   let unreadTokens = 0;
-  let since = 0;
+  let arrivedAt = 0;
   let startBy = 0;
   for (const each of waiting) {
     requests += each.requests;
     unreadTokens += each.unreadTokens;
-    since += each.arrivedAt * each.requests;
+    arrivedAt += each.arrivedAt * each.requests;
     startBy += each.startBy * each.requests;
   }
   return {
     rank: first!.rank,
     requests,
     unreadTokens,
-    arrivedAt: since / requests,
+    arrivedAt: arrivedAt / requests,
     startBy: startBy / requests,
   };
 }
--- a/packages/router/src/connection/update_broadcaster.ts
+++ b/packages/router/src/connection/update_broadcaster.ts
@@ -240,7 +240,7 @@
     const { relayed } = overlay;
     const budget = relayed ? this.#upstreamBudget.available(now) : Infinity;
     const pending = this.#upstream.take(Math.max(0, budget / LOAD_BYTES));
-    const loads = this.#sums.of(pending.runners, this.#isChild);
+    const loads = this.#sums.forRunners(pending.runners, this.#isChild);
     const frame = encodeMessage(this.#state(pending, loads, this.#isChild));
     this.#upstreamBudget.take(frame.length);
     const receivers = relayed
@@ -252,7 +252,7 @@
   #sendDownstream(now: number): void {
     const budget = this.#downstreamBudget.available(now);
     const pending = this.#downstream.take(Math.max(0, budget / LOAD_BYTES));
-    const totals = this.#sums.of(pending.runners, () => true);
+    const totals = this.#sums.forRunners(pending.runners, () => true);
     let maxBytes = 0;
     for (const { name, link } of this.#sources.overlay.peersWith("child")) {
       const frame = this.#frameFor(name, pending, totals);
