--- a/packages/router/src/connection/load_sums.ts
+++ b/packages/router/src/connection/load_sums.ts
@@ -53,7 +53,7 @@
   }
 
   /** Loads on all runners that have any. */
-  all(includes: NeighbourFilter): readonly RunnerLoadEntry[] {
+  snapshot(includes: NeighbourFilter): readonly RunnerLoadEntry[] {
     return this.forRunners(this.#loads.ids(), includes).filter(isLoaded);
   }
 
--- a/packages/router/src/connection/load_sums_test.ts
+++ b/packages/router/src/connection/load_sums_test.ts
@@ -21,7 +21,7 @@
   load.place({ unreadTokens: 10, memoryTokens: 20, tight: false }, 0);
   load.setNeighbourLoad("child-1", { ...NO_LOAD, inFlight: 3 }, { now: 0 });
   load.setNeighbourLoad("child-2", { ...NO_LOAD, inFlight: 5 }, { now: 0 });
-  const [sent] = new LoadSums(loads).all((name) => name !== "child-1");
+  const [sent] = new LoadSums(loads).snapshot((name) => name !== "child-1");
   assert.equal(sent?.inFlight, 6);
 });
 
@@ -34,7 +34,7 @@
     (_, index) => waiting(index % 3, index),
   );
   loads.of("r").setNeighbourLoad("child", NO_LOAD, { now: 0, waiting: many });
-  const [sent] = new LoadSums(loads).all(() => true);
+  const [sent] = new LoadSums(loads).snapshot(() => true);
   assert.ok(sent!.waiting.length <= 12);
   for (const rank of [0, 1, 2]) {
     const ofRank = sent!.waiting.filter((each) => each.rank === rank);
@@ -61,7 +61,7 @@
   load.setNeighbourLoad("child", { ...NO_LOAD, answered: 910, failed: 300 }, {
     now: 1,
   });
-  const [sent] = new LoadSums(loads).all(() => true);
+  const [sent] = new LoadSums(loads).snapshot(() => true);
   assert.equal(sent?.answered, 10);
   load.setNeighbourLoad("child", { ...NO_LOAD, answered: 400, failed: 100 }, {
     now: 2,
--- a/packages/router/src/connection/update_broadcaster.ts
+++ b/packages/router/src/connection/update_broadcaster.ts
@@ -211,7 +211,7 @@
     const crashes = this.#sources.crashes.snapshot(now);
     const limits = this.#sources.limits.snapshot(now);
     const contacts = this.#contactsFor(peer);
-    const loads = this.#sums.all(includes);
+    const loads = this.#sums.snapshot(includes);
     const isChild = this.#sources.overlay.role(peer.name) === "child";
     const usage = isChild ? [] : this.#sources.usage?.all() ?? [];
     const lease = this.#sources.lease?.observation;
--- a/packages/router/tests/restart_test.ts
+++ b/packages/router/tests/restart_test.ts
@@ -62,7 +62,7 @@
     memoryTokens: 14_000,
     tight: false,
   }, 0);
-  const told = new LoadSums(lagging).all(() => true);
+  const told = new LoadSums(lagging).snapshot(() => true);
   const ahead = new RunnerLoads();
   for (const share of told) {
     ahead.of(share.runner).setNeighbourLoad("host-2", share, { now: 0 });
