--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -46,7 +46,7 @@
   /** Returns the runners of a service and their known state. */
   fleet(service: string): RunnerFleet;
   /** Returns the milliseconds since the list of runners was last confirmed. */
-  runnersAgeMs(): number;
+  runnerListAgeMs(): number;
   /**
    * Returns how many connections this daemon may open to one runner of a
    * service.
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -39,7 +39,7 @@
     in_time: inTime,
     ms_per_token: pace === undefined ? undefined : Math.round(pace),
     expected_tokens: routed.head.expectedOutputTokens,
-    runners_age_ms: Math.round(daemon.runnersAgeMs()),
+    runners_age_ms: Math.round(daemon.runnerListAgeMs()),
   });
 }
 
@@ -60,7 +60,7 @@
     limited: limits.limited,
     has_part: limits.hasShare,
     waited_ms: Math.round(limits.waitedMs),
-    runners_age_ms: Math.round(daemon.runnersAgeMs()),
+    runners_age_ms: Math.round(daemon.runnerListAgeMs()),
   });
 }
 
@@ -82,7 +82,7 @@
     ahead_tokens:
       load.queue.workAhead(wait.queueKey, daemon.now()).unreadTokens,
     unread_tokens: prefillTokens,
-    runners_age_ms: Math.round(daemon.runnersAgeMs()),
+    runners_age_ms: Math.round(daemon.runnerListAgeMs()),
   });
 }
 
@@ -133,7 +133,7 @@
     prompt_tokens: head.promptTokens,
     shared_part: head.prompt.at(-2)?.id,
     rank: routed.rank,
-    runners_age_ms: Math.round(daemon.runnersAgeMs()),
+    runners_age_ms: Math.round(daemon.runnerListAgeMs()),
     left_ms: Math.round(remainingMs),
   });
 }
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -211,7 +211,7 @@
     };
   }
 
-  runnersAgeMs(): number {
+  runnerListAgeMs(): number {
     return this.now() - this.#neighbourhood.runnersConfirmedAt;
   }
 
