--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -60,7 +60,7 @@
   /** Reports that a connection to a runner broke while a request was on it. */
   reportBrokenConnection(runner: Runner, run: BrokenRun): void;
   /** Returns how fast the runners of a service generate tokens. */
-  pace(service: string): StreamPace;
+  streamPace(service: string): StreamPace;
   /**
    * Returns the requests that wait for the rate limits of a service's runners.
    */
--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -23,7 +23,7 @@
   },
 ): void {
   const { choice, waitedMs, inTime } = overload;
-  const pace = daemon.pace(routed.service.name)
+  const pace = daemon.streamPace(routed.service.name)
     .msPerToken(choice.runner.id, daemon.now());
   const { total } = daemon.loads.of(choice.runner.id);
   daemon.log.decision("overload_found", routed.head.id, {
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -177,7 +177,7 @@
     const { service } = routed;
     if (service.engine === undefined) return () => {};
     const { eventTokens: tokens } = service.engine;
-    const pace = this.#daemon.pace(service.name);
+    const pace = this.#daemon.streamPace(service.name);
     const { id } = context.attempt.runner;
     let previous: number | undefined;
     return (now) => {
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -220,7 +220,7 @@
   #finishesInTime(choice: RunnerChoice, remainingMs: number): boolean {
     const { head, service, ranksBelow } = this.#routed;
     if (service.engine === undefined) return true;
-    const msPerToken = this.#daemon.pace(service.name)
+    const msPerToken = this.#daemon.streamPace(service.name)
       .msPerToken(choice.runner.id, this.#daemon.now());
     return finishesInTime({
       remainingMs,
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -225,7 +225,7 @@
     return this.#neighbourhood.propagationMs;
   }
 
-  pace(service: string): StreamPace {
+  streamPace(service: string): StreamPace {
     return this.#paces.of(service);
   }
 
