--- a/packages/router/src/request/exchange_log.ts
+++ b/packages/router/src/request/exchange_log.ts
@@ -26,7 +26,7 @@
   const pace = daemon.streamPace(routed.service.name)
     .msPerToken(choice.runner.id, daemon.now());
   const { total } = daemon.loads.of(choice.runner.id);
-  daemon.log.decision("overload_found", routed.head.id, {
+  daemon.log.decision("overload_detected", routed.head.id, {
     service: routed.service.name,
     runner: choice.runner.id,
     rank: routed.rank,
@@ -58,7 +58,7 @@
     service: routed.service.name,
     rank: routed.rank,
     limited: limits.limited,
-    has_part: limits.hasShare,
+    has_share: limits.hasShare,
     waited_ms: Math.round(limits.waitedMs),
     runners_age_ms: Math.round(daemon.runnerListAgeMs()),
   });
@@ -72,7 +72,7 @@
 ): void {
   const { runner, candidates, prefillTokens } = wait.choice;
   const load = daemon.loads.of(runner.id);
-  daemon.log.decision("room_awaited", routed.head.id, {
+  daemon.log.decision("capacity_awaited", routed.head.id, {
     service: routed.service.name,
     runner: runner.id,
     rank: routed.rank,
@@ -81,7 +81,7 @@
     backlog_tokens: load.total.unreadTokens,
     ahead_tokens:
       load.queue.workAhead(wait.queueKey, daemon.now()).unreadTokens,
-    unread_tokens: prefillTokens,
+    prefill_tokens: prefillTokens,
     runners_age_ms: Math.round(daemon.runnerListAgeMs()),
   });
 }
@@ -93,7 +93,7 @@
   refused: { readonly quarantine: Quarantine; readonly fingerprint: string },
 ): void {
   const { quarantine, fingerprint } = refused;
-  daemon.log.decision("quarantine_kept", requestId, {
+  daemon.log.decision("quarantine_applied", requestId, {
     fingerprint,
     ends: quarantine.crashes,
     last_end_age_ms: Math.round(daemon.now() - quarantine.lastCrashAt),
@@ -128,7 +128,7 @@
     limit_per_s: daemon.limits.of(choice.runner.id),
     failed_percent: Math.round(100 * load.failureRate(daemon.now())),
     backlog_tokens: load.total.unreadTokens,
-    unread_tokens: choice.prefillTokens,
+    prefill_tokens: choice.prefillTokens,
     fetch_from: choice.fetchFrom?.id,
     prompt_tokens: head.promptTokens,
     shared_part: head.prompt.at(-2)?.id,
