--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -1,5 +1,5 @@
 /**
- * Executes one attempt of a request at the runner selected for it.
+ * Executes the attempts of a request at the runners selected for it.
  *
  * @module
  */
@@ -21,13 +21,13 @@
 import type { RoutedRequest } from "./routed_request.ts";
 
 /**
- * Number of target latencies without a first event after which a stream is
- * retried on another runner.
+ * Time without a first event, in multiples of the target latency, after which a
+ * stream is retried on another runner.
  */
 const FIRST_EVENT_TIMEOUT_TARGETS = 2;
 /**
- * Number of target latencies without a response after which an idempotent
- * request is retried on another runner.
+ * Time without a response, in multiples of the target latency, after which an
+ * idempotent request is retried on another runner.
  */
 const RESPONSE_TIMEOUT_TARGETS = 1;
 
--- a/packages/router/src/request/capacity_wait.ts
+++ b/packages/router/src/request/capacity_wait.ts
@@ -6,7 +6,7 @@
 import type { RunnerLoad } from "../process/runner_load.ts";
 import type { QueueKey, WaitingEntry } from "../process/runner_queue.ts";
 
-interface QueueEntry {
+interface QueuePosition {
   readonly runner: string;
   readonly load: RunnerLoad;
   readonly entry: WaitingEntry;
@@ -24,7 +24,7 @@
  */
 export class CapacityWait {
   readonly #key: QueueKey;
-  #entry: QueueEntry | undefined;
+  #position: QueuePosition | undefined;
 
   constructor(key: QueueKey) {
     this.#key = key;
@@ -41,11 +41,11 @@
     readonly prefillTokens: number;
     readonly now: number;
   }): boolean {
-    if (this.#entry?.load === load) return false;
+    if (this.#position?.load === load) return false;
     this.end();
     const { runner, prefillTokens, now } = options;
     const entry = { ...this.#key, requests: 1, unreadTokens: prefillTokens };
-    this.#entry = { runner, load, entry, joinedAt: now };
+    this.#position = { runner, load, entry, joinedAt: now };
     load.queue.add(entry);
     return true;
   }
@@ -60,20 +60,20 @@
     /** Milliseconds within which a change reaches all daemons. */
     readonly propagationMs: number;
   }): boolean {
-    if (this.#entry === undefined) return true;
+    if (this.#position === undefined) return true;
     const { now, propagationMs } = options;
-    return this.#entry.load === load &&
-      now - this.#entry.joinedAt > propagationMs;
+    return this.#position.load === load &&
+      now - this.#position.joinedAt > propagationMs;
   }
 
   /** Id of the runner whose queue the request is in. */
   get runnerId(): string | undefined {
-    return this.#entry?.runner;
+    return this.#position?.runner;
   }
 
   /** Leaves the queue. */
   end(): void {
-    this.#entry?.load.queue.remove(this.#entry.entry);
-    this.#entry = undefined;
+    this.#position?.load.queue.remove(this.#position.entry);
+    this.#position = undefined;
   }
 }
--- a/packages/router/src/request/capacity_wait_test.ts
+++ b/packages/router/src/request/capacity_wait_test.ts
@@ -18,15 +18,18 @@
 interface Daemon {
   readonly name: string;
   readonly loads: RunnerLoads;
-  readonly pending: { readonly since: number; readonly wait: CapacityWait }[];
+  readonly pending: {
+    readonly arrivedAt: number;
+    readonly wait: CapacityWait;
+  }[];
 }
 
 function daemonWith(name: string, count: number, first: number): Daemon {
   const pending = Array.from({ length: count }, (_, index) => {
-    const since = first + index;
+    const arrivedAt = first + index;
     return {
-      since,
-      wait: new CapacityWait({ rank: 0, arrivedAt: since, startBy: Infinity }),
+      arrivedAt,
+      wait: new CapacityWait({ rank: 0, arrivedAt, startBy: Infinity }),
     };
   });
   return { name, loads: new RunnerLoads(), pending };
@@ -54,7 +57,7 @@
   const { now, propagationMs, sent } = options;
   const load = daemon.loads.of("r");
   for (const request of [...daemon.pending]) {
-    const key = { rank: 0, arrivedAt: request.since, startBy: Infinity };
+    const key = { rank: 0, arrivedAt: request.arrivedAt, startBy: Infinity };
     const ahead = load.total.unreadTokens +
       load.queue.workAhead(key, now).unreadTokens;
     const hasCapacity = ahead <= MAX_BACKLOG_TOKENS;
--- a/packages/router/src/request/inactivity_timer.ts
+++ b/packages/router/src/request/inactivity_timer.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-/** Calls back when it has not been restarted within the last time-out. */
+/** Calls back once a time-out has elapsed without a restart. */
 export class InactivityTimer {
   readonly #onInactive: () => void;
   #timer: NodeJS.Timeout | undefined;
@@ -14,7 +14,7 @@
     this.#onInactive = onInactive;
   }
 
-  /** Restarts the timer with a time-out that begins now. */
+  /** Starts or restarts the timer with a time-out that begins now. */
   restart(timeoutMs: number): void {
     this.#deadline = performance.now() + timeoutMs;
     this.#timer ??= setTimeout(() => this.#checkDeadline(), timeoutMs);
--- a/packages/router/src/request/local_outcomes.ts
+++ b/packages/router/src/request/local_outcomes.ts
@@ -26,33 +26,40 @@
     this.#progress = progress;
   }
 
-  /** No runner accepted the request, for the reason that the code states. */
+  /**
+   * Returns the outcome when no runner accepted the request.
+   *
+   * @param code reason of the refusal.
+   */
   refusal(code: string): Outcome {
     if (this.#progress.mayHaveRun) return this.failure(code);
     const refusal = unavailableRefusal(code, this.#daemon.random());
     return { kind: "refused", refusal };
   }
 
-  /** No runner had capacity for the request. */
+  /** Returns the outcome when no runner had capacity for the request. */
   overload(): Outcome {
     const { remainingMs } = this.#progress;
     const refusal = overloadRefusal(remainingMs, this.#daemon.random());
     return { kind: "refused", refusal };
   }
 
-  /** Runners crash while running the request. */
+  /** Returns the outcome when runners crash while running the request. */
   quarantine({ leftMs }: Quarantine): Outcome {
     if (this.#progress.mayHaveRun) return this.failure("quarantined");
     return { kind: "refused", refusal: quarantineRefusal(leftMs) };
   }
 
-  /** The request may have run, and there is no complete response. */
+  /**
+   * Returns the outcome when the request may have run and there is no complete
+   * response.
+   */
   failure(reason: string): Outcome {
     if (this.#caller.headersSent) return { kind: "broken", reason };
     return { kind: "refused", refusal: { status: 502, code: "runner_failed" } };
   }
 
-  /** The time of the request has expired. */
+  /** Returns the outcome when the time of the request has expired. */
   timeout(): Outcome {
     if (this.#caller.headersSent) return { kind: "broken", reason: "timeout" };
     const { mayHaveRun, attempts } = this.#progress;
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -148,7 +148,7 @@
   );
   const long = choices.filter(({ tight }) => !tight);
   const tight = new Set(
-    choices.filter((each) => each.tight).map(({ runner }) => runner.id),
+    choices.filter((choice) => choice.tight).map(({ runner }) => runner.id),
   );
   assert.ok(long.every(({ runner }) => !tight.has(runner.id)));
 });
@@ -262,8 +262,8 @@
 
 test("plain requests go to the least loaded runner, the local domain first", () => {
   const fleet = fleetOf(4);
-  const near = chooseRunner(fleet, plain(), NONE)!.runner;
-  assert.equal(near.failureDomain, "d-0");
+  const local = chooseRunner(fleet, plain(), NONE)!.runner;
+  assert.equal(local.failureDomain, "d-0");
   for (const { id, failureDomain } of fleet.runners) {
     if (failureDomain === "d-1") continue;
     const placed = { unreadTokens: 0, memoryTokens: 0, tight: false };
@@ -354,9 +354,9 @@
   let failures = 0;
   let sent = 0;
   for (let now = 0; now < steps; now += 10) {
-    for (const each of busy.filter(({ endsAt }) => endsAt <= now)) {
-      fleet.loads.of(each.id).release(placed);
-      busy.splice(busy.indexOf(each), 1);
+    for (const finished of busy.filter(({ endsAt }) => endsAt <= now)) {
+      fleet.loads.of(finished.id).release(placed);
+      busy.splice(busy.indexOf(finished), 1);
     }
     if (random() > 0.4) continue;
     const demand = { ...longPrompt("x"), engine: undefined };
--- a/packages/router/src/request/progress.ts
+++ b/packages/router/src/request/progress.ts
@@ -22,8 +22,8 @@
   /** Whether the time for the final response has expired. */
   expired = false;
   /**
-   * Whether the request was withdrawn from a runner before that began to run
-   * it.
+   * Whether the request was withdrawn from a runner before the runner
+   * began to run it.
    */
   withdrawn = false;
   /**
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -18,8 +18,8 @@
  */
 const MAX_BUFFERED_BYTES = 16 * 1024 * 1024;
 /**
- * Number of gap targets without an event after which a stream continues on
- * another runner.
+ * Time without an event, in multiples of the gap target, after which a stream
+ * continues on another runner.
  */
 const GAP_TIMEOUT_TARGETS = 4;
 const MIN_ERROR_STATUS = 400;
@@ -142,10 +142,10 @@
   ): Promise<RelayResult> {
     const { route } = routed;
     const { status, incoming } = response;
-    const relay = this.#streamRelay(routed);
+    const stream = this.#streamRelay(routed);
     const recordPace = this.#paceRecorder(routed, context);
     let started = false;
-    const end = await relay.relay(incoming, () => {
+    const end = await stream.relay(incoming, () => {
       const now = this.#daemon.now();
       context.load.recordActivity(now);
       recordPace(now);
--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -160,8 +160,8 @@
   const missingTokens = holder === undefined ? 0 : holder.tokens - cached;
   const fetchMsPerToken = demand.engine!.fetchMsPerToken ?? Infinity;
   const fetchMs = missingTokens * fetchMsPerToken;
-  const fetch = missingTokens > 0 && fetchMs < prefillMs(missingTokens);
-  const availableTokens = cached + (fetch ? missingTokens : 0);
+  const shouldFetch = missingTokens > 0 && fetchMs < prefillMs(missingTokens);
+  const availableTokens = cached + (shouldFetch ? missingTokens : 0);
   const prefillTokens = Math.max(0, demand.promptTokens - availableTokens);
   const duplicatePrefillMs = prefillMs(
     Math.max(0, maxCachedTokens - availableTokens),
@@ -172,7 +172,7 @@
       load.queue.workAhead(demand.queueKey, fleet.now).unreadTokens,
   );
   const ownPrefillMs = prefillMs(prefillTokens) +
-    (fetch ? fetchMs + FETCH_PENALTY_MS : 0);
+    (shouldFetch ? fetchMs + FETCH_PENALTY_MS : 0);
   const awayMs = atHome
     ? 0
     : holder === undefined
@@ -194,7 +194,7 @@
   return {
     runner,
     prefillTokens,
-    fetchFrom: fetch ? holder!.runner : undefined,
+    fetchFrom: shouldFetch ? holder!.runner : undefined,
     costMs,
   };
 }
