--- a/packages/router/src/connection/caller_server.ts
+++ b/packages/router/src/connection/caller_server.ts
@@ -1,5 +1,5 @@
 /**
- * The server that callers connect to.
+ * The HTTP server for callers.
  *
  * @module
  */
@@ -12,18 +12,18 @@
 /** Milliseconds between checks for requests that take too long to arrive. */
 const CHECK_MS = 500;
 /**
- * Largest head that is read at all, in bytes. The configured limit, which may
- * change while connections are open, is checked behind it.
+ * Largest head that the server parses. The configured limit, which may change while
+ * connections are open, is checked afterwards.
  */
 const MAX_HEAD_BYTES = 64 * 1024;
 
-/** Answers one request. */
+/** Handles one request. */
 export type RequestHandler = (
   request: IncomingMessage,
   response: ServerResponse,
 ) => void;
 
-/** Opens a server at an address. */
+/** Starts listening at an address. */
 export function listen(server: Server, address: ListenAddress): Promise<void> {
   return new Promise((resolve, reject) => {
     server.once("error", reject);
@@ -31,10 +31,10 @@
   });
 }
 
-/** Takes connections of callers and keeps them by the limits in force. */
+/** Accepts connections of callers and enforces the configured time-outs. */
 export class CallerServer {
   readonly #server: Server;
-  /** Requests in flight on each open connection. */
+  /** Number of requests in flight on each open connection. */
   readonly #connections = new Map<Socket, number>();
   #inFlight = 0;
 
@@ -57,12 +57,12 @@
     this.#server.maxConnections = maxConnections;
   }
 
-  /** Requests that have no final answer yet. */
+  /** Number of requests whose responses are not finished. */
   get inFlight(): number {
     return this.#inFlight;
   }
 
-  /** The port that it listens on. */
+  /** The port that the server listens on. */
   get port(): number {
     return (this.#server.address() as AddressInfo).port;
   }
@@ -71,7 +71,7 @@
     return listen(this.#server, address);
   }
 
-  /** Puts limits in force, for open connections from their next request on. */
+  /** Applies limits; on open connections from their next request on. */
   limit(limits: CallerLimits): void {
     this.#server.keepAliveTimeout = limits.idleTimeoutMs;
     // Also bounds how long a connection may be open before its first request.
@@ -81,8 +81,8 @@
   }
 
   /**
-   * Takes no new connections and closes those that have no request, among them
-   * connections that never had one, which Node itself does not count as idle.
+   * Stops accepting connections and closes those without a request in flight. These
+   * include connections that never had a request, which Node does not count as idle.
    */
   stopAccepting(): void {
     this.#server.close();
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Closes everything at once. */
+  /** Closes the server and all connections at once. */
   destroy(): void {
     this.#server.close();
     for (const socket of this.#connections.keys()) socket.destroy();
--- a/packages/router/src/connection/compressed_item.ts
+++ b/packages/router/src/connection/compressed_item.ts
@@ -1,5 +1,5 @@
 /**
- * Large values on their way between daemons, compressed.
+ * Compression of large values in messages between daemons.
  *
  * @module
  */
@@ -7,16 +7,17 @@
 import { constants, deflateRawSync, inflateRawSync } from "node:zlib";
 import { decodeItem, encodeItem } from "@umbermast/coordination/codec";
 
-/** Bytes of the largest value, expanded. */
+/** Largest encoded value before compression. */
 const MAX_BYTES = 32 * 1024 * 1024;
 
 const compressed = new WeakMap<object, Buffer>();
 
 /**
- * Compresses a value that does not change any more, once for all peers that ask
- * for it. Entries of configurations and of lists of runners differ in little but
- * their names. Plain, they fill the link of a daemon that many ask at once, and
- * the last of them has a new version seconds late; answers to callers wait, too.
+ * Compresses an immutable value, once for all peers that request it. Entries of
+ * configurations and of runner lists differ in little but their names.
+ * Uncompressed, they would saturate the link of a daemon that many others request
+ * from at once: the last of them would get a new version seconds late, and
+ * responses to callers would be delayed, too.
  *
  * @example
  * ```ts
@@ -24,8 +25,8 @@
  * ```
  */
 export function compressItem(value: object): Buffer {
-  const known = compressed.get(value);
-  if (known !== undefined) return known;
+  const cached = compressed.get(value);
+  if (cached !== undefined) return cached;
   const bytes = deflateRawSync(encodeItem(value), {
     level: constants.Z_BEST_SPEED,
   });
@@ -34,9 +35,9 @@
 }
 
 /**
- * Reads what {@linkcode compressItem} compressed.
+ * Decodes a value that {@linkcode compressItem} compressed.
  *
- * @throws {Error} when the bytes are something else.
+ * @throws {Error} when the bytes are anything else.
  */
 export function expandItem(bytes: Uint8Array): unknown {
   const plain = inflateRawSync(bytes, { maxOutputLength: MAX_BYTES });
--- a/packages/router/src/connection/compressed_item_test.ts
+++ b/packages/router/src/connection/compressed_item_test.ts
@@ -11,7 +11,7 @@
 const ROUTES = 1_600;
 
 function routeOf(index: number): Route {
-  // Names as random as those that operators' tools make.
+  // Random names, as operators' tools generate them.
   const name = (index * 2_654_435_761 % 4_294_967_296).toString(36);
   return testRoute({
     name: `r-${name}`,
@@ -29,8 +29,8 @@
   );
 }
 
-/** Runners with names and addresses as random as real ones. */
-function runnerNewsOf(count: number): RunnerListUpdate {
+/** Runners with random names and addresses, as real ones have. */
+function runnerListOf(count: number): RunnerListUpdate {
   const runners = Array.from({ length: count }, (_, index) => {
     const hash = index * 2_654_435_761 % 4_294_967_296;
     const name = `i-${hash.toString(16)}`;
@@ -50,7 +50,7 @@
   return { revision: 5, runners, whole: true, left: [] };
 }
 
-function giveOf(configuration: Configuration | undefined) {
+function responseOf(configuration: Configuration | undefined) {
   return {
     kind: "give",
     configuration,
@@ -59,37 +59,37 @@
   } as const;
 }
 
-// An operator adds 1,600 routes while the store turns a third of the daemons
-// away. They get the version from peers, many from the same one, whose link takes
-// 7 Mbit/s: plain, the last had it 5 s later, and callers were sent to services
-// that the operator had taken off their routes.
-test("a configuration of many routes takes a tenth of its size on a link", () => {
+// An operator adds 1,600 routes while the store rejects a third of the daemons. They
+// fetch the version from peers, many from the same one, whose link has 7 Mbit/s:
+// uncompressed, the last got it 5 s later, and callers were sent to services that the
+// operator had removed from their routes.
+test("a configuration of many routes is compressed to a tenth of its size", () => {
   const configuration = configurationOf(ROUTES);
   const plain = encodeItem(configuration).length;
   const packed = compressItem(configuration).length;
   assert.ok(packed < plain / 10, `${packed} of ${plain} bytes`);
 });
 
-// All daemons of a large fleet lose power. Those that start again ask the same few
-// seeds for a thousand runners each: plain, that is 170 KB an answer, and a seed
-// behind 7 Mbit/s has the last of 34 answers out after 6 s.
-test("a list of a thousand runners takes a fifth of its size on a link", () => {
-  const news = runnerNewsOf(1_000);
-  const plain = encodeItem(news).length;
-  const packed = compressItem(news).length;
+// All daemons of a large fleet lose power. After their start they fetch a thousand
+// runners each from the same few seeds: uncompressed, a response has 170 KB, and a seed
+// behind 7 Mbit/s has sent the last of 34 responses after 6 s.
+test("a list of a thousand runners is compressed to a fifth of its size", () => {
+  const update = runnerListOf(1_000);
+  const plain = encodeItem(update).length;
+  const packed = compressItem(update).length;
   assert.ok(packed < plain / 5, `${packed} of ${plain} bytes`);
 });
 
-test("a list of runners arrives as it was", () => {
+test("a list of runners is decoded unchanged", () => {
   for (const count of [0, 3, 1_000]) {
-    const message = { ...giveOf(undefined), runners: runnerNewsOf(count) };
+    const message = { ...responseOf(undefined), runners: runnerListOf(count) };
     assert.deepEqual(unpackMessage(packMessage(message)), message);
   }
 });
 
-test("a list of runners is compressed once for all that ask", () => {
+test("a list of runners is compressed once for all peers that request it", () => {
   const directory = new RunnerDirectory();
-  directory.replace({ revision: 5, runners: runnerNewsOf(3).runners });
+  directory.replace({ revision: 5, runners: runnerListOf(3).runners });
   const first = directory.updateSince(0);
   assert.equal(directory.updateSince(0), first);
   assert.equal(compressItem(directory.updateSince(0)), compressItem(first));
@@ -97,16 +97,16 @@
   assert.notEqual(directory.updateSince(0), first);
 });
 
-test("a configuration arrives as it was", () => {
+test("a configuration is decoded unchanged", () => {
   for (const configuration of [configurationOf(3), undefined]) {
-    const message = giveOf(configuration);
+    const message = responseOf(configuration);
     assert.deepEqual(unpackMessage(packMessage(message)), message);
   }
 });
 
-test("bytes that are no configuration or list are refused", () => {
+test("bytes that are not a configuration or a list are rejected", () => {
   for (const field of ["configuration", "runners"]) {
-    const bytes = { ...giveOf(undefined), [field]: new Uint8Array(9) };
+    const bytes = { ...responseOf(undefined), [field]: new Uint8Array(9) };
     assert.throws(() => unpackMessage(bytes));
   }
 });
--- a/packages/router/src/connection/crash_detector_test.ts
+++ b/packages/router/src/connection/crash_detector_test.ts
@@ -30,16 +30,19 @@
   };
 }
 
-function breakTwo(detector: CrashDetector, { runner }: FakeRunner): void {
+function recordTwoBrokenRuns(
+  detector: CrashDetector,
+  { runner }: FakeRunner,
+): void {
   detector.recordBrokenRun(runner, { fingerprint: "one", startedAt: 0 });
   detector.recordBrokenRun(runner, { fingerprint: "two", startedAt: 0 });
 }
 
 test("a crashed runner is probed once, for all its requests", async (t) => {
-  const played = await startFakeRunner(t, "i-1", () => {});
+  const fake = await startFakeRunner(t, "i-1", () => {});
   const { detector, found } = createDetector();
-  await played.end();
-  breakTwo(detector, played);
+  await fake.end();
+  recordTwoBrokenRuns(detector, fake);
   await waitUntil(() => found.length > 0);
   assert.equal(found.length, 1);
   assert.equal(found[0]!.ended, true);
@@ -47,9 +50,9 @@
 });
 
 test("a live runner that broke off responses has not crashed", async (t) => {
-  const played = await startFakeRunner(t, "i-1", () => {});
+  const fake = await startFakeRunner(t, "i-1", () => {});
   const { detector, found } = createDetector();
-  breakTwo(detector, played);
+  recordTwoBrokenRuns(detector, fake);
   await waitUntil(() => found.length > 0);
   assert.equal(found[0]!.ended, false);
 });
--- a/packages/router/src/connection/runner_connections.ts
+++ b/packages/router/src/connection/runner_connections.ts
@@ -1,5 +1,5 @@
 /**
- * Connections to runners, kept for further requests.
+ * Keep-alive connections to runners.
  *
  * @module
  */
@@ -8,19 +8,19 @@
 import type { Socket } from "node:net";
 import type { Runner } from "../process/runner.ts";
 
-/** Milliseconds that an idle connection is kept when the runner names none. */
+/** Idle time-out of connections to a runner that does not state one. */
 const DEFAULT_IDLE_MS = 1_500;
 /**
- * Share of the runner's own idle timeout for which a connection is kept. What
- * is sent while the runner closes is lost, and a request that may not be
- * repeated with it; the rest covers the way and a late timer.
+ * Share of the runner's own idle time-out for which a connection is kept. Data that
+ * is sent while the runner closes the connection is lost, and with it a request
+ * that must not be repeated. The margin covers network delay and a late timer.
  */
 const IDLE_SHARE = 0.6;
 const MS_PER_SECOND = 1_000;
 const TIMEOUT_HINT = /timeout=(\d+)/i;
 
 interface KeptSocket extends Socket {
-  /** Node's agent keeps the answer's request here until it is done. */
+  /** Where Node's agent keeps the request and its response until they are done. */
   readonly _httpMessage?: {
     readonly res?: { readonly headers: Record<string, unknown> };
   };
@@ -34,7 +34,7 @@
   return Number(seconds) * MS_PER_SECOND * IDLE_SHARE;
 }
 
-/** Node's agent, with idle timeouts that stay below the runner's. */
+/** An agent whose idle time-outs stay below the runner's. */
 class RunnerAgent extends Agent {
   // Called by Node when a connection becomes idle; false closes it.
   override keepSocketAlive(socket: Socket): boolean {
@@ -52,26 +52,26 @@
   }
 }
 
-/** One agent for each life of a runner. */
+/** One agent for each incarnation of a runner. */
 export class RunnerConnections {
   readonly #agents = new Map<string, Agent>();
 
   /**
-   * The agent for a runner; a new life of it shares no connection.
+   * The agent for a runner; incarnations share no connections.
    *
-   * @param maxConnections this daemon's part of what the runner accepts; beyond
-   * it the runner resets connections, and requests with them.
+   * @param maxConnections this daemon's share of the connections that the runner
+   * accepts. Beyond its limit the runner resets connections, and requests with them.
    */
   agent(runner: Runner, maxConnections: number): Agent {
-    const known = this.#agents.get(runner.id);
-    if (known !== undefined) {
-      known.maxSockets = maxConnections;
-      return known;
+    const existing = this.#agents.get(runner.id);
+    if (existing !== undefined) {
+      existing.maxSockets = maxConnections;
+      return existing;
     }
     const agent = new RunnerAgent({
       keepAlive: true,
-      // The connection that rested longest: a second answer to an earlier
-      // request has had the most time to arrive there and be found.
+      // Reuses the connection that has been idle longest: a duplicate response to an
+      // earlier request has had the most time to arrive there and be detected.
       scheduling: "fifo",
       maxSockets: maxConnections,
     });
@@ -80,8 +80,8 @@
   }
 
   /**
-   * Closes the idle connections to a runner. Something on the way that lost
-   * track of one connection has often lost the others too.
+   * Closes the idle connections to a runner. A device on the network path that lost
+   * the state of one connection has often lost that of the others, too.
    */
   dropIdle(runner: Runner): void {
     const agent = this.#agents.get(runner.id);
--- a/packages/router/src/connection/status_server.ts
+++ b/packages/router/src/connection/status_server.ts
@@ -1,5 +1,5 @@
 /**
- * Readiness for the balancer and metrics for collectors.
+ * HTTP servers for readiness and metrics.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type { Lifecycle } from "../process/lifecycle.ts";
 import type { RequestMetrics } from "../process/metrics.ts";
 
-/** Answers 200 while the daemon is ready, and 503 with what is missing. */
+/** Responds 200 while the daemon is ready, otherwise 503 with the unmet requirements. */
 export function createReadinessServer(
   path: string,
   lifecycle: Lifecycle,
@@ -24,7 +24,7 @@
   });
 }
 
-/** Serves the measures of the daemon. */
+/** Serves the daemon's metrics. */
 export function createMetricsServer(
   path: string,
   metrics: RequestMetrics,
