--- a/packages/router/src/connection/peer_link_test.ts
+++ b/packages/router/src/connection/peer_link_test.ts
@@ -21,7 +21,7 @@
   parts: false,
 };
 
-/** A link whose far end the test writes byte by byte. */
+/** A link, with the socket at its remote end. */
 async function openLink(
   context: TestContext,
   onMessage: (message: PeerMessage) => void,
@@ -46,7 +46,7 @@
   return { link, far, closed, faults };
 }
 
-test("messages arrive whole, however their bytes are cut", async (t) => {
+test("messages are reassembled from single bytes", async (t) => {
   const received: PeerMessage[] = [];
   const { far, closed } = await openLink(
     t,
@@ -59,10 +59,10 @@
   assert.deepEqual(received, [WANT, WANT]);
 });
 
-// States are nearly all that daemons send. With the names of all fields they
-// took up slow links: what one daemon knew of a runner reached the others after
-// a second, and prompts were read again at a third of all requests.
-test("a state arrives as it was, in a third of its plain size", async (t) => {
+// State updates are nearly all of the traffic between daemons. With field names they
+// saturated slow links: loads reached other daemons after a second, and at a third
+// of all requests a cached prompt was prefilled again.
+test("a state update is decoded unchanged and encoded without field names", async (t) => {
   const state = testUpdate({
     configuration: 3,
     runners: 700,
@@ -102,10 +102,10 @@
   assert.ok(frame.length < encodeItem(state).length * 0.4, `${frame.length}`);
 });
 
-// A daemon of another version sends a message of another shape. The handler
-// throws; without a guard around it the whole process would end, on every host
-// that the new version reaches.
-test("a message that cannot be taken closes the link, not the process", async (t) => {
+// A daemon of another version sends a message of another shape, and the handler
+// throws. Uncaught, the error would end the process on every host that the new
+// version reaches.
+test("a message whose handler throws closes the link, not the process", async (t) => {
   const { far, closed, faults } = await openLink(t, () => {
     throw new TypeError("no loads");
   });
@@ -120,9 +120,9 @@
   await closed;
 });
 
-// A daemon with a fault tells that less than nothing is at a runner. Added up, it
-// would draw the requests of all daemons to that runner; only its link may suffer.
-test("a sum that cannot be closes the link", async (t) => {
+// A faulty daemon reports a negative load. In the sums it would attract the requests of
+// all daemons to that runner; only the faulty daemon's link may be affected.
+test("a negative load closes the link", async (t) => {
   const received: PeerMessage[] = [];
   const { far, closed, faults } = await openLink(
     t,
@@ -148,7 +148,7 @@
   answers: [{ fingerprint: "three", agoMs: 10 }],
 };
 
-test("what ended runners arrives as it was", async (t) => {
+test("a crash report is decoded unchanged", async (t) => {
   const received: PeerMessage[] = [];
   const { far, closed } = await openLink(
     t,
@@ -160,7 +160,7 @@
   assert.deepEqual(received, [state]);
 });
 
-test("an age that cannot be closes the link", async (t) => {
+test("an invalid age closes the link", async (t) => {
   const { far, closed, faults } = await openLink(t, () => {});
   const [answer] = CRASHES.answers;
   const crashes = { crashed: [], answers: [{ ...answer!, agoMs: NaN }] };
@@ -169,8 +169,9 @@
   assert.match(faults[0]!, /"crashes.agoMs"/);
 });
 
-// Guards against daemons that lose their links while a fleet is replaced in a roll.
-test("a daemon that has no word for crashes is understood", async (t) => {
+// Guards against links that break during a rolling update, because older daemons omit
+// the optional fields.
+test("an update without the optional fields is accepted", async (t) => {
   const received: PeerMessage[] = [];
   const { far, closed } = await openLink(
     t,
@@ -182,37 +183,38 @@
   assert.deepEqual(received, [testUpdate()]);
 });
 
-// One contact of many is no address. The others are as good as ever.
-test("a contact that cannot be dialled is left out", async (t) => {
+// Guards against one invalid address that makes all contacts of a message unusable.
+test("a contact with an invalid address is skipped", async (t) => {
   const received: PeerMessage[] = [];
   const { far, closed } = await openLink(
     t,
     (message) => received.push(message),
   );
-  const sound = {
+  const valid = {
     name: "host-2",
     incarnation: "1",
     address: "10.0.0.2:8229",
     failureDomain: "a",
     linkMbps: 10,
   };
-  const known = [sound, { ...sound, address: "nowhere" }];
+  const known = [valid, { ...valid, address: "nowhere" }];
   const hello = {
     kind: "hello",
     protocol: PROTOCOL_VERSION,
-    ...sound,
+    ...valid,
     known,
   } as const;
   far.end(encodeMessage(hello));
   await closed;
-  assert.deepEqual(received, [{ ...hello, known: [sound] }]);
+  assert.deepEqual(received, [{ ...hello, known: [valid] }]);
 });
 
-// Guards against a dead head whose failure domain nobody hears of for eleven seconds.
+// Guards against a head without power that is presumed alive: updates of its failure
+// domain are then missing for eleven seconds.
 test("a link closes when nothing comes, though this side goes on telling", async (t) => {
   const { link, closed } = await openLink(t, () => {});
-  const telling = setInterval(() => link.send(WANT), 100);
-  t.after(() => clearInterval(telling));
+  const sending = setInterval(() => link.send(WANT), 100);
+  t.after(() => clearInterval(sending));
   const late = new Promise<string>((resolve) => {
     const timer = setTimeout(() => resolve("still up"), 3 * IDLE_TIMEOUT_MS);
     t.after(() => clearTimeout(timer));
--- a/packages/router/src/connection/state_exchange_test.ts
+++ b/packages/router/src/connection/state_exchange_test.ts
@@ -18,7 +18,7 @@
 import type { Peers } from "./peers.ts";
 import { StateExchange } from "./state_exchange.ts";
 
-/** A daemon with peers that only note when what is recorder to them. */
+/** A daemon whose peers record the updates sent to them. */
 class BroadcastRecorder {
   readonly loads = new RunnerLoads();
   readonly states: { readonly at: number; readonly state: StateUpdate }[] = [];
@@ -55,7 +55,7 @@
     this.#exchange.start();
   }
 
-  pass(millis: number): void {
+  advance(millis: number): void {
     for (let count = 0; count < millis; count++) {
       this.#now += 1;
       mock.timers.tick(1);
@@ -87,27 +87,27 @@
   }
 }
 
-// A fleet at rest spends a third of what it spends under traffic: 60 daemons that
-// serve nothing look every 20 ms whether there is something to tell.
+// Guards against needless timers: 60 idle daemons that checked for changes every 20 ms
+// used a third of the CPU time that they use under traffic.
 test("a daemon without requests is woken a few times a second", (t) => {
   const recorder = new BroadcastRecorder(t);
-  recorder.pass(1_000);
+  recorder.advance(1_000);
   const timers = t.mock.method(globalThis, "setTimeout");
-  recorder.pass(2_000);
+  recorder.advance(2_000);
   assert.ok(timers.mock.callCount() <= 11, `${timers.mock.callCount()} timers`);
   const gaps = recorder.states.slice(1)
     .map(({ at }, index) => at - recorder.states[index]!.at);
   assert.ok(Math.max(...gaps) <= 600, `silent for ${Math.max(...gaps)} ms`);
 });
 
-test("after a rest a change is told at once, the next one a period later", (t) => {
+test("a change after an idle time is sent at once, the next an interval later", (t) => {
   const recorder = new BroadcastRecorder(t);
-  recorder.pass(1_050);
+  recorder.advance(1_050);
   const before = recorder.states.length;
   recorder.place();
-  recorder.pass(2);
+  recorder.advance(2);
   recorder.place();
-  recorder.pass(40);
+  recorder.advance(40);
   const times = recorder.states.slice(before).map(({ at }) => at);
   assert.deepEqual(times, [1_051, 1_071]);
   const loads = recorder.states.at(-1)!.state.loads;
