--- a/packages/router/src/leadership.ts
+++ b/packages/router/src/leadership.ts
@@ -58,7 +58,7 @@
     if (settings === undefined || api === undefined) return;
     const { leaseMs, usage } = settings;
     this.usage = usage && new UsageMeter({
-      life: own.incarnation,
+      incarnation: own.incarnation,
       windowMs: usage.windowMs,
       now: () => this.time.now(),
     });
--- a/packages/router/src/process/usage_meter.ts
+++ b/packages/router/src/process/usage_meter.ts
@@ -35,7 +35,7 @@
 /** How a meter tells the time. */
 export interface UsageMeterOptions {
   /** Incarnation of this daemon. */
-  readonly life: string;
+  readonly incarnation: string;
   readonly windowMs: number;
   /** Epoch milliseconds. */
   readonly now: () => number;
@@ -72,7 +72,7 @@
   /** Counts a request of a workspace that a runner began. */
   began(workspace: string): void {
     const { window } = this;
-    const { life } = this.#options;
+    const { incarnation: life } = this.#options;
     const tally = this.#tally(window, life);
     if (tally === undefined) return;
     tally.set(workspace, (tally.get(workspace) ?? 0) + 1);
@@ -82,7 +82,7 @@
 
   /** Own counts that have changed since the last call. */
   takeNews(): readonly UsageCount[] {
-    const { life } = this.#options;
+    const { incarnation: life } = this.#options;
     const news = [...this.#untold].flatMap(([window, workspaces]) => {
       const tally = this.#windows.get(window)?.get(life);
       if (tally === undefined) return [];
--- a/packages/router/src/process/usage_meter_test.ts
+++ b/packages/router/src/process/usage_meter_test.ts
@@ -7,7 +7,11 @@
 const WINDOW_MS = 5_000;
 
 function meterOf(life: string, clock: { now: number }): UsageMeter {
-  return new UsageMeter({ life, windowMs: WINDOW_MS, now: () => clock.now });
+  return new UsageMeter({
+    incarnation: life,
+    windowMs: WINDOW_MS,
+    now: () => clock.now,
+  });
 }
 
 test("requests count in the window in which runners began them", () => {
--- a/packages/router/src/process/usage_reports_test.ts
+++ b/packages/router/src/process/usage_reports_test.ts
@@ -9,7 +9,7 @@
 
 function meterAt(clock: { now: number }, life = "a"): UsageMeter {
   const { windowMs } = TIMING;
-  return new UsageMeter({ life, windowMs, now: () => clock.now });
+  return new UsageMeter({ incarnation: life, windowMs, now: () => clock.now });
 }
 
 function workFrom(nextWindow: number): LeaderState {
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -345,7 +345,7 @@
     this.crashes = new CrashRecord(log);
     this.limits = new RunnerLimits(log, () => this.fleetSync.view);
     this.usage = new UsageMeter({
-      life: contact.incarnation,
+      incarnation: contact.incarnation,
       windowMs: WINDOW_MS,
       now: () => this.time.now(),
     });
--- a/packages/router/tests/leader_test.ts
+++ b/packages/router/tests/leader_test.ts
@@ -75,7 +75,7 @@
     const steady = () => performance.now();
     const time = new FleetTime({ wall: steady, monotonic: steady });
     const meter = new UsageMeter({
-      life: name,
+      incarnation: name,
       windowMs: TIMING.windowMs,
       now: () => time.now(),
     });
