--- a/packages/router/src/process/usage_meter.ts
+++ b/packages/router/src/process/usage_meter.ts
@@ -70,7 +70,7 @@
   }
 
   /** Counts a request of a workspace that a runner began. */
-  began(workspace: string): void {
+  countRequest(workspace: string): void {
     const { window } = this;
     const { incarnation: life } = this.#options;
     const tally = this.#tally(window, life);
--- a/packages/router/src/process/usage_meter_test.ts
+++ b/packages/router/src/process/usage_meter_test.ts
@@ -17,10 +17,10 @@
 test("requests count in the window in which runners began them", () => {
   const clock = { now: 4_999 };
   const meter = meterOf("a", clock);
-  meter.began("fitters");
+  meter.countRequest("fitters");
   clock.now = 5_000;
-  meter.began("fitters");
-  meter.began("office");
+  meter.countRequest("fitters");
+  meter.countRequest("office");
   assert.deepEqual([...meter.totals(0)], [["fitters", 1]]);
   assert.deepEqual([...meter.totals(1)], [["fitters", 1], ["office", 1]]);
 });
@@ -36,7 +36,7 @@
       const waiting: (readonly UsageCount[])[] = [];
       const chance = () => luck.next().value as number;
       for (const [daemon, workspace] of requests) {
-        meters[daemon]!.began(`w-${workspace}`);
+        meters[daemon]!.countRequest(`w-${workspace}`);
         if (chance() < 5) waiting.push(meters[daemon]!.takeNews());
         if (chance() < 5) {
           const [news] = waiting.splice(chance() % (waiting.length + 1), 1);
@@ -62,7 +62,7 @@
 test("news tell only what has changed, and only what was not known goes on", () => {
   const clock = { now: 0 };
   const meter = meterOf("a", clock);
-  meter.began("fitters");
+  meter.countRequest("fitters");
   const news = meter.takeNews();
   assert.deepEqual(news, [{ life: "a", window: 0, counts: [["fitters", 1]] }]);
   assert.deepEqual(meter.takeNews(), []);
--- a/packages/router/src/process/usage_reports_test.ts
+++ b/packages/router/src/process/usage_reports_test.ts
@@ -19,7 +19,7 @@
 test("a window is fixed once, after news of it can have come", () => {
   const clock = { now: 1_000 };
   const meter = meterAt(clock);
-  meter.began("fitters");
+  meter.countRequest("fitters");
   const at = (now: number) => {
     clock.now = now;
     return { meter, timing: TIMING, now, complete: true };
@@ -38,7 +38,7 @@
 test("a window waits longer while some daemons are not heard of", () => {
   const clock = { now: 1_000 };
   const meter = meterAt(clock);
-  meter.began("fitters");
+  meter.countRequest("fitters");
   clock.now = 12_400;
   const cut = { meter, timing: TIMING, now: 12_400, complete: false };
   assert.equal(fixReports(workFrom(0), cut), undefined);
@@ -61,7 +61,7 @@
 test("a report stays the same whatever is heard later", () => {
   const clock = { now: 1_000 };
   const meter = meterAt(clock);
-  meter.began("fitters");
+  meter.countRequest("fitters");
   clock.now = 9_600;
   const first = fixReports(workFrom(0), {
     meter,
@@ -79,7 +79,7 @@
 test("counts of all daemons outlast their loss", () => {
   const clock = { now: 1_000 };
   const meter = meterAt(clock);
-  meter.began("fitters");
+  meter.countRequest("fitters");
   meter.take([{
     incarnation: "b",
     window: 0,
@@ -92,7 +92,7 @@
     complete: true,
   });
   const next = meterAt(clock, "c");
-  next.began("office");
+  next.countRequest("office");
   clock.now = 9_600;
   const sources = {
     meter: next,
@@ -107,7 +107,7 @@
 test("counts that a checkpoint and living daemons both tell count once", () => {
   const clock = { now: 1_000 };
   const meter = meterAt(clock);
-  meter.began("fitters");
+  meter.countRequest("fitters");
   meter.take([{ incarnation: "b", window: 0, counts: [["fitters", 4]] }]);
   const sources = { meter, timing: TIMING, now: clock.now, complete: true };
   const checkpoint = checkpointOf(workFrom(0), sources);
--- a/packages/router/tests/leader_fleet_test.ts
+++ b/packages/router/tests/leader_fleet_test.ts
@@ -44,7 +44,7 @@
 
 /** Each daemon counts a request; returns the window and how many there are. */
 function countAll({ fleet }: Played) {
-  for (const { usage } of fleet.alive) usage.began("fitters");
+  for (const { usage } of fleet.alive) usage.countRequest("fitters");
   return { window: fleet.alive[0]!.usage.window, requests: fleet.alive.length };
 }
 
--- a/packages/router/tests/leader_test.ts
+++ b/packages/router/tests/leader_test.ts
@@ -110,7 +110,7 @@
   const played = new Played(t);
   const { meter } = played.start("a");
   await played.clock.advance(BEGUN_MS);
-  meter.began("fitters");
+  meter.countRequest("fitters");
   const { window } = meter;
   played.api.end = { kind: "failed", reason: "No answer in time" };
   await played.clock.advance(14_000);
@@ -157,7 +157,7 @@
   played.store.down = false;
   await played.clock.advance(1_500);
   assert.ok(lease.held);
-  meter.began("fitters");
+  meter.countRequest("fitters");
   await played.clock.advance(15_000);
   assert.ok(played.api.calls.length > before);
 });
