--- a/packages/router/src/connection/update_broadcaster.ts
+++ b/packages/router/src/connection/update_broadcaster.ts
@@ -132,7 +132,7 @@
     const parts = prefixes.takeUpdates();
     const crashUpdate = crashes.takeUpdates();
     const limitUpdates = limits.takeUpdates();
-    this.#upstream.addUsage(this.#sources.usage?.takeNews() ?? []);
+    this.#upstream.addUsage(this.#sources.usage?.takeUpdates() ?? []);
     this.#collectLease();
     const contacts = book.hasUpdates ? book.takeUpdates() : undefined;
     const outboxes = overlay.isRelay
--- a/packages/router/src/process/usage_meter.ts
+++ b/packages/router/src/process/usage_meter.ts
@@ -81,7 +81,7 @@
   }
 
   /** Own counts that have changed since the last call. */
-  takeNews(): readonly UsageCount[] {
+  takeUpdates(): readonly UsageCount[] {
     const { incarnation: life } = this.#options;
     const news = [...this.#untold].flatMap(([window, workspaces]) => {
       const tally = this.#windows.get(window)?.get(life);
--- a/packages/router/src/process/usage_meter_test.ts
+++ b/packages/router/src/process/usage_meter_test.ts
@@ -37,7 +37,7 @@
       const chance = () => luck.next().value as number;
       for (const [daemon, workspace] of requests) {
         meters[daemon]!.countRequest(`w-${workspace}`);
-        if (chance() < 5) waiting.push(meters[daemon]!.takeNews());
+        if (chance() < 5) waiting.push(meters[daemon]!.takeUpdates());
         if (chance() < 5) {
           const [news] = waiting.splice(chance() % (waiting.length + 1), 1);
           for (let times = chance() % 3; times >= 0; times--) {
@@ -63,9 +63,9 @@
   const clock = { now: 0 };
   const meter = meterOf("a", clock);
   meter.countRequest("fitters");
-  const news = meter.takeNews();
+  const news = meter.takeUpdates();
   assert.deepEqual(news, [{ life: "a", window: 0, counts: [["fitters", 1]] }]);
-  assert.deepEqual(meter.takeNews(), []);
+  assert.deepEqual(meter.takeUpdates(), []);
   const other = meterOf("b", clock);
   assert.deepEqual(other.take(news), news);
   assert.deepEqual(other.take(news), []);
