--- a/packages/router/src/connection/apply_update.ts
+++ b/packages/router/src/connection/apply_update.ts
@@ -62,7 +62,7 @@
       limits.map(({ agoMs, ...limit }) => ({ ...limit, at: now - agoMs })),
       now,
     ),
-    usage: shared.usage?.take(update.usage) ?? [],
+    usage: shared.usage?.applyUpdates(update.usage) ?? [],
     urgent: loads.some(({ waiting }) => waiting.length > 0),
   };
 }
--- a/packages/router/src/process/usage_meter.ts
+++ b/packages/router/src/process/usage_meter.ts
@@ -99,7 +99,7 @@
    *
    * @returns what of it was not known here.
    */
-  take(told: readonly UsageCount[]): readonly UsageCount[] {
+  applyUpdates(told: readonly UsageCount[]): readonly UsageCount[] {
     return told.flatMap((each) => {
       const tally = this.#tally(each.window, each.incarnation);
       if (tally === undefined) return [];
--- a/packages/router/src/process/usage_meter_test.ts
+++ b/packages/router/src/process/usage_meter_test.ts
@@ -41,12 +41,12 @@
         if (chance() < 5) {
           const [news] = waiting.splice(chance() % (waiting.length + 1), 1);
           for (let times = chance() % 3; times >= 0; times--) {
-            leader.take(news ?? []);
+            leader.applyUpdates(news ?? []);
           }
         }
       }
-      for (const meter of meters) leader.take(meter.all());
-      for (const news of waiting) leader.take(news);
+      for (const meter of meters) leader.applyUpdates(meter.all());
+      for (const news of waiting) leader.applyUpdates(news);
       const truth = new Map<string, number>();
       for (const [, workspace] of requests) {
         const name = `w-${workspace}`;
@@ -67,15 +67,19 @@
   assert.deepEqual(news, [{ life: "a", window: 0, counts: [["fitters", 1]] }]);
   assert.deepEqual(meter.takeUpdates(), []);
   const other = meterOf("b", clock);
-  assert.deepEqual(other.take(news), news);
-  assert.deepEqual(other.take(news), []);
+  assert.deepEqual(other.applyUpdates(news), news);
+  assert.deepEqual(other.applyUpdates(news), []);
 });
 
 test("windows of long ago and far ahead are left out", () => {
   const clock = { now: 100 * WINDOW_MS };
   const meter = meterOf("a", clock);
   for (const window of [1, 90, 102, 1_000_000]) {
-    meter.take([{ incarnation: "b", window, counts: [["fitters", 1]] }]);
+    meter.applyUpdates([{
+      incarnation: "b",
+      window,
+      counts: [["fitters", 1]],
+    }]);
   }
   assert.deepEqual(meter.all(), []);
 });
--- a/packages/router/src/process/usage_reports_test.ts
+++ b/packages/router/src/process/usage_reports_test.ts
@@ -42,7 +42,11 @@
   clock.now = 12_400;
   const cut = { meter, timing: TIMING, now: 12_400, complete: false };
   assert.equal(fixReports(workFrom(0), cut), undefined);
-  meter.take([{ incarnation: "b", window: 0, counts: [["fitters", 7]] }]);
+  meter.applyUpdates([{
+    incarnation: "b",
+    window: 0,
+    counts: [["fitters", 7]],
+  }]);
   const late = fixReports(workFrom(0), { ...cut, now: 12_500 });
   assert.deepEqual(late?.fixed[0]?.counts, { fitters: 8 });
 });
@@ -69,7 +73,11 @@
     now: 9_600,
     complete: true,
   });
-  meter.take([{ incarnation: "b", window: 0, counts: [["fitters", 7]] }]);
+  meter.applyUpdates([{
+    incarnation: "b",
+    window: 0,
+    counts: [["fitters", 7]],
+  }]);
   clock.now = 14_600;
   const sources = { meter, timing: TIMING, now: 14_600, complete: true };
   const second = fixReports(first!.work, sources);
@@ -80,7 +88,7 @@
   const clock = { now: 1_000 };
   const meter = meterAt(clock);
   meter.countRequest("fitters");
-  meter.take([{
+  meter.applyUpdates([{
     incarnation: "b",
     window: 0,
     counts: [["fitters", 4], ["office", 2]],
@@ -108,12 +116,20 @@
   const clock = { now: 1_000 };
   const meter = meterAt(clock);
   meter.countRequest("fitters");
-  meter.take([{ incarnation: "b", window: 0, counts: [["fitters", 4]] }]);
+  meter.applyUpdates([{
+    incarnation: "b",
+    window: 0,
+    counts: [["fitters", 4]],
+  }]);
   const sources = { meter, timing: TIMING, now: clock.now, complete: true };
   const checkpoint = checkpointOf(workFrom(0), sources);
   // The daemon "a" is lost; "b" lives and has counted more since.
   const next = meterAt(clock, "c");
-  next.take([{ incarnation: "b", window: 0, counts: [["fitters", 4]] }]);
+  next.applyUpdates([{
+    incarnation: "b",
+    window: 0,
+    counts: [["fitters", 4]],
+  }]);
   const again = checkpointOf({ ...workFrom(0), checkpoint }, {
     ...sources,
     meter: next,
