--- a/packages/router/src/connection/update_broadcaster.ts
+++ b/packages/router/src/connection/update_broadcaster.ts
@@ -213,7 +213,7 @@
     const contacts = this.#contactsFor(peer);
     const loads = this.#sums.snapshot(includes);
     const isChild = this.#sources.overlay.role(peer.name) === "child";
-    const usage = isChild ? [] : this.#sources.usage?.all() ?? [];
+    const usage = isChild ? [] : this.#sources.usage?.snapshot() ?? [];
     const lease = this.#sources.lease?.observation;
     const contents = { ...NO_CHANGES, contacts, crashes, limits, usage, lease };
     return { ...this.#state(contents, loads, includes), whole: true };
--- a/packages/router/src/process/usage_meter.ts
+++ b/packages/router/src/process/usage_meter.ts
@@ -111,7 +111,7 @@
   }
 
   /** All that is known. */
-  all(): readonly UsageCount[] {
+  snapshot(): readonly UsageCount[] {
     return [...this.#windows].flatMap(([window, lives]) =>
       [...lives].map(([life, tally]) => ({
         incarnation: life,
--- a/packages/router/src/process/usage_meter_test.ts
+++ b/packages/router/src/process/usage_meter_test.ts
@@ -45,7 +45,7 @@
           }
         }
       }
-      for (const meter of meters) leader.applyUpdates(meter.all());
+      for (const meter of meters) leader.applyUpdates(meter.snapshot());
       for (const news of waiting) leader.applyUpdates(news);
       const truth = new Map<string, number>();
       for (const [, workspace] of requests) {
@@ -81,5 +81,5 @@
       counts: [["fitters", 1]],
     }]);
   }
-  assert.deepEqual(meter.all(), []);
+  assert.deepEqual(meter.snapshot(), []);
 });
