--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -170,7 +170,7 @@
       for (const { window, counts } of decision.fixed) {
         const requests = Object.values(counts)
           .reduce((sum, each) => sum + each, 0);
-        const lives = usage?.meter.lives(window).size;
+        const lives = usage?.meter.incarnations(window).size;
         metrics.usageWindow("fixed", window);
         log.event("usage_fixed", { window, requests, daemons: lives });
       }
--- a/packages/router/src/process/usage_meter.ts
+++ b/packages/router/src/process/usage_meter.ts
@@ -122,7 +122,7 @@
   }
 
   /** Lives of daemons that counted anything in a window. */
-  lives(window: number): ReadonlySet<string> {
+  incarnations(window: number): ReadonlySet<string> {
     return new Set(this.#windows.get(window)?.keys());
   }
 
--- a/packages/router/src/process/usage_reports.ts
+++ b/packages/router/src/process/usage_reports.ts
@@ -99,7 +99,9 @@
   const present = Math.floor(now / timing.windowMs);
   const first = Math.max(work.nextWindow ?? present, present - MAX_WAITING);
   const windows = range(first, present + 1);
-  const lives = new Set(windows.flatMap((each) => [...meter.lives(each)]));
+  const lives = new Set(
+    windows.flatMap((each) => [...meter.incarnations(each)]),
+  );
   return {
     lives: [...lives],
     windows: windows.map((window) => ({
