--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -11,7 +11,11 @@
 import { pause } from "./pause.ts";
 import type { CallOutcome, PlatformApi, PlatformCall } from "./platform_api.ts";
 import type { ScalingPolicy } from "./runner_order.ts";
-import { checkpointOf, fixReports, withAccepted } from "./usage_reports.ts";
+import {
+  checkpointOf,
+  finalizeReports,
+  withAccepted,
+} from "./usage_reports.ts";
 import type { UsageSources, UsageTiming } from "./usage_reports.ts";
 import type { UsageMeter } from "./usage_meter.ts";
 
@@ -164,7 +168,7 @@
     const { lease, usage, log, metrics, steady } = this.#options;
     let { state: work } = lease;
     const sources = this.#sources();
-    const decision = sources && fixReports(work, sources);
+    const decision = sources && finalizeReports(work, sources);
     if (decision !== undefined) {
       work = decision.work;
       for (const { window, counts } of decision.fixed) {
--- a/packages/router/src/process/usage_reports.ts
+++ b/packages/router/src/process/usage_reports.ts
@@ -61,7 +61,7 @@
  * if (decision !== undefined) await lease.update(decision.work);
  * ```
  */
-export function fixReports(
+export function finalizeReports(
   work: LeaderState,
   sources: UsageSources,
 ): UsageDecision | undefined {
--- a/packages/router/src/process/usage_reports_test.ts
+++ b/packages/router/src/process/usage_reports_test.ts
@@ -3,7 +3,11 @@
 import { INITIAL_STATE } from "./leader_record.ts";
 import type { LeaderState } from "./leader_record.ts";
 import { UsageMeter } from "./usage_meter.ts";
-import { checkpointOf, fixReports, withAccepted } from "./usage_reports.ts";
+import {
+  checkpointOf,
+  finalizeReports,
+  withAccepted,
+} from "./usage_reports.ts";
 
 const TIMING = { windowMs: 5_000, delayMs: 10_000 };
 
@@ -25,13 +29,13 @@
     return { meter, timing: TIMING, now, complete: true };
   };
   const before = workFrom(0);
-  assert.equal(fixReports(before, at(9_000)), undefined);
-  const decision = fixReports(before, at(9_600));
+  assert.equal(finalizeReports(before, at(9_000)), undefined);
+  const decision = finalizeReports(before, at(9_600));
   assert.deepEqual(decision?.fixed, [
     { window: 0, counts: { fitters: 1 }, accepted: false },
   ]);
   assert.equal(decision.work.nextWindow, 1);
-  assert.equal(fixReports(decision.work, at(9_700)), undefined);
+  assert.equal(finalizeReports(decision.work, at(9_700)), undefined);
 });
 
 // Guards against reports without what daemons count that are cut off from others.
@@ -41,13 +45,13 @@
   meter.countRequest("fitters");
   clock.now = 12_400;
   const cut = { meter, timing: TIMING, now: 12_400, complete: false };
-  assert.equal(fixReports(workFrom(0), cut), undefined);
+  assert.equal(finalizeReports(workFrom(0), cut), undefined);
   meter.applyUpdates([{
     incarnation: "b",
     window: 0,
     counts: [["fitters", 7]],
   }]);
-  const late = fixReports(workFrom(0), { ...cut, now: 12_500 });
+  const late = finalizeReports(workFrom(0), { ...cut, now: 12_500 });
   assert.deepEqual(late?.fixed[0]?.counts, { fitters: 8 });
 });
 
@@ -59,7 +63,7 @@
     now: clock.now,
     complete: true,
   };
-  assert.equal(fixReports(INITIAL_STATE, sources)?.work.nextWindow, 10);
+  assert.equal(finalizeReports(INITIAL_STATE, sources)?.work.nextWindow, 10);
 });
 
 test("a report stays the same whatever is heard later", () => {
@@ -67,7 +71,7 @@
   const meter = meterAt(clock);
   meter.countRequest("fitters");
   clock.now = 9_600;
-  const first = fixReports(workFrom(0), {
+  const first = finalizeReports(workFrom(0), {
     meter,
     timing: TIMING,
     now: 9_600,
@@ -80,7 +84,7 @@
   }]);
   clock.now = 14_600;
   const sources = { meter, timing: TIMING, now: 14_600, complete: true };
-  const second = fixReports(first!.work, sources);
+  const second = finalizeReports(first!.work, sources);
   assert.deepEqual(second?.work.reports[0]?.counts, { fitters: 1 });
 });
 
@@ -108,7 +112,7 @@
     now: clock.now,
     complete: true,
   };
-  const decision = fixReports({ ...workFrom(0), checkpoint }, sources);
+  const decision = finalizeReports({ ...workFrom(0), checkpoint }, sources);
   assert.deepEqual(decision?.fixed[0]?.counts, { fitters: 5, office: 3 });
 });
 
@@ -145,7 +149,7 @@
     now: clock.now,
     complete: true,
   };
-  const decision = fixReports(workFrom(10), sources);
+  const decision = finalizeReports(workFrom(10), sources);
   assert.deepEqual(decision?.missed, [10, 11, 12, 13, 14, 15]);
   assert.deepEqual(decision.fixed.map(({ window }) => window), [16, 17, 18]);
 });
