--- a/packages/router/src/process/daemon_registry.ts
+++ b/packages/router/src/process/daemon_registry.ts
@@ -10,7 +10,7 @@
 /** Entries of daemons that outlive them. All calls throw {@linkcode FeedError}. */
 export interface DaemonRegistry {
   /** Enters a daemon, or replaces its entry. */
-  enter(name: string, address: string): Promise<void>;
+  register(name: string, address: string): Promise<void>;
   /** Removes the entry of a daemon that leaves. */
   leave(name: string): Promise<void>;
   /** Addresses of all daemons that are entered, as "IP:PORT". */
@@ -101,7 +101,7 @@
       if (this.#stopped || !this.#host.isContact()) continue;
       this.#entered = await this.#done(
         "enter",
-        () => this.#registry.enter(this.#name, this.#address),
+        () => this.#registry.register(this.#name, this.#address),
       );
     }
   }
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -364,7 +364,7 @@
 }
 
 const NO_DAEMONS: DaemonRegistry = {
-  enter: () => Promise.resolve(),
+  register: () => Promise.resolve(),
   leave: () => Promise.resolve(),
   addresses: () => Promise.resolve([]),
 };
