--- a/packages/router/src/process/daemon_registry.ts
+++ b/packages/router/src/process/daemon_registry.ts
@@ -12,7 +12,7 @@
   /** Enters a daemon, or replaces its entry. */
   register(name: string, address: string): Promise<void>;
   /** Removes the entry of a daemon that leaves. */
-  leave(name: string): Promise<void>;
+  deregister(name: string): Promise<void>;
   /** Addresses of all daemons that are entered, as "IP:PORT". */
   addresses(): Promise<readonly string[]>;
 }
@@ -92,7 +92,7 @@
   async leave(): Promise<void> {
     this.stop();
     if (!this.#entered) return;
-    await this.#done("leave", () => this.#registry.leave(this.#name));
+    await this.#done("leave", () => this.#registry.deregister(this.#name));
   }
 
   async #enterWhenNeeded(): Promise<void> {
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -365,7 +365,7 @@
 
 const NO_DAEMONS: DaemonRegistry = {
   register: () => Promise.resolve(),
-  leave: () => Promise.resolve(),
+  deregister: () => Promise.resolve(),
   addresses: () => Promise.resolve([]),
 };
 
