--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -195,7 +195,7 @@
 
   /** Removes this daemon's registration from the store. */
   leave(): Promise<void> {
-    return this.#registration.leave();
+    return this.#registration.deregister();
   }
 
   get #reachable(): readonly Contact[] {
--- a/packages/router/src/process/daemon_registry.ts
+++ b/packages/router/src/process/daemon_registry.ts
@@ -89,7 +89,7 @@
   }
 
   /** Removes the entry; a failure leaves an address that nobody answers at. */
-  async leave(): Promise<void> {
+  async deregister(): Promise<void> {
     this.stop();
     if (!this.#entered) return;
     await this.#done("leave", () => this.#registry.deregister(this.#name));
