--- a/packages/router/src/process/daemon_registry.ts
+++ b/packages/router/src/process/daemon_registry.ts
@@ -35,7 +35,7 @@
 const MAX_FOUND = 8;
 
 /** What the registration decides by. */
-export interface RegistrationHost {
+export interface RegistrationContext {
   /** Whether others should find this daemon in the store. */
   isContact(): boolean;
   /** Whether no other daemon answers. */
@@ -54,7 +54,7 @@
  */
 export class Registration {
   readonly #registry: DaemonRegistry;
-  readonly #host: RegistrationHost;
+  readonly #host: RegistrationContext;
   readonly #name: string;
   readonly #address: string;
   readonly #log: EventLog;
@@ -65,7 +65,7 @@
     registry: DaemonRegistry,
     options: {
       readonly own: { readonly name: string; readonly address: string };
-      readonly host: RegistrationHost;
+      readonly host: RegistrationContext;
       readonly log: EventLog;
     },
   ) {
