--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -616,12 +616,12 @@
       configurations: new FakeFeed(this.#configurations, countCall),
       runners: new FakeFeed(this.#runners, countCall),
       daemons: {
-        enter: async (name: string, address: string) => {
+        register: async (name: string, address: string) => {
           countCall();
           await sleep(RESPONSE_MS);
           this.#registered.set(name, address);
         },
-        leave: async (name: string) => {
+        deregister: async (name: string) => {
           countCall();
           await sleep(RESPONSE_MS);
           this.#registered.delete(name);
