--- a/packages/router/tests/crashing_request_test.ts
+++ b/packages/router/tests/crashing_request_test.ts
@@ -4,17 +4,17 @@
 import { CRASHING, CrashingFleet } from "./crashing_fleet.ts";
 import { sendRequest, waitUntil } from "./fixtures.ts";
 
-/** Milliseconds in which daemons that are in touch know what one of them does. */
-const CONTACT_MS = 3_000;
-/** Ends of runners after which a request is known for them. */
-const ENDS = 3;
-/** Sends of it that are allowed after that. */
+/** Time within which linked daemons know of each other's crashes, in ms. */
+const PROPAGATION_MS = 3_000;
+/** Crashes after which a request is quarantined. */
+const CRASHES = 3;
+/** Attempts that may still reach a runner after that. */
 const ALLOWED = 3;
-const TRIES = 20;
+const REPEATS = 20;
 const SHAPE = { routers: 3, runners: 8 };
 
-/** Sends the request that ends runners until all routers know it for that. */
-async function endRunners({ linked }: CrashingFleet): Promise<void> {
+/** Sends the crashing request until all routers refuse it. */
+async function crashUntilRefused({ linked }: CrashingFleet): Promise<void> {
   const { length } = linked.routers;
   for (let refused = 0; refused < length;) {
     const { status } = await linked.send(CRASHING);
@@ -22,40 +22,40 @@
   }
 }
 
-// Guards against a request that is known to end its runners being sent to more.
-test("a request that ended three runners is sent to no more than three others", async (t) => {
+// Guards against a request that goes on to further runners after it has crashed three.
+test("a request that crashed three runners reaches at most three more", async (t) => {
   const fleet = await CrashingFleet.start(t, { routers: 7, runners: 12 });
-  while (fleet.crashedRunners < ENDS) await fleet.linked.send(CRASHING);
-  await pause(CONTACT_MS);
+  while (fleet.crashedRunners < CRASHES) await fleet.linked.send(CRASHING);
+  await pause(PROPAGATION_MS);
   const before = fleet.countArrivals(CRASHING);
-  for (let tries = 0; tries < TRIES; tries++) await fleet.linked.send(CRASHING);
+  for (let sent = 0; sent < REPEATS; sent++) await fleet.linked.send(CRASHING);
   const arrived = fleet.countArrivals(CRASHING) - before;
-  t.diagnostic(`${fleet.crashedRunners} ends, sent ${arrived} times after`);
+  t.diagnostic(`${fleet.crashedRunners} crashes, sent ${arrived} times after`);
   assert.ok(arrived <= ALLOWED, `sent ${arrived} times more`);
 });
 
-// Guards against refusals of what only resembles the request that ends runners.
-test("other bodies of its caller on its path, and repeated ones, stay served", async (t) => {
+// Guards against refusals of requests that only resemble the crashing one.
+test("other requests of the same caller and path are served, also repeated ones", async (t) => {
   const fleet = await CrashingFleet.start(t, SHAPE);
-  while (fleet.crashedRunners < ENDS) {
+  while (fleet.crashedRunners < CRASHES) {
     await Promise.all(
       [CRASHING, "poll", "poll"].map((body) => fleet.linked.send(body)),
     );
   }
   await fleet.waitUntilRestored();
-  for (let tries = 0; tries < TRIES; tries++) {
-    const [same, other] = [
+  for (let sent = 0; sent < REPEATS; sent++) {
+    const [repeated, other] = [
       await fleet.linked.send("poll"),
-      await fleet.linked.send(`other-${tries}`),
+      await fleet.linked.send(`other-${sent}`),
     ];
-    assert.deepEqual([same.status, other.status], [200, 200]);
+    assert.deepEqual([repeated.status, other.status], [200, 200]);
   }
 });
 
-// Guards against "not run" for what has run, and against callers left waiting.
-test("it is refused at once, told when to come back, and has not run", async (t) => {
+// Guards against a refusal that comes late, or after the request was executed.
+test("a quarantined request is refused at once with retry-after, and not executed", async (t) => {
   const fleet = await CrashingFleet.start(t, SHAPE);
-  await endRunners(fleet);
+  await crashUntilRefused(fleet);
   const before = fleet.arrivals.length;
   const { status, body, headers } = await fleet.linked.send(CRASHING);
   assert.equal(status, 503);
@@ -64,8 +64,8 @@
   assert.equal(fleet.arrivals.length, before);
 });
 
-// Guards against runners that end under tries which they had in their queues.
-test("tries that wait at runners are taken back from them", async (t) => {
+// Guards against runners that crash because of attempts in their queues.
+test("attempts that are queued at runners are withdrawn", async (t) => {
   const fleet = await CrashingFleet.start(t, SHAPE);
   fleet.requestsToQueue = 2;
   const waiting = [
@@ -73,14 +73,14 @@
     fleet.linked.send(CRASHING),
   ];
   await waitUntil(() => fleet.countArrivals(CRASHING) === 2);
-  await endRunners(fleet);
+  await crashUntilRefused(fleet);
   const answers = await Promise.all(waiting);
   assert.deepEqual(answers.map(({ status }) => status), [502, 502]);
   assert.equal(fleet.withdrawn, 2);
 });
 
-// Guards against own retries that carry the request from runner to runner.
-test("one try that may be repeated ends few runners and is not told not to have run", async (t) => {
+// Guards against the router's own retries of a crashing request.
+test("a crashing request that may be retried crashes few runners, and ends in 502", async (t) => {
   const route = {
     repetition: "idempotent",
     maxAttempts: 8,
@@ -90,15 +90,15 @@
   const { status } = await fleet.linked.send(CRASHING);
   assert.equal(status, 502);
   assert.ok(
-    fleet.crashedRunners <= ENDS + ALLOWED,
-    `${fleet.crashedRunners} ends`,
+    fleet.crashedRunners <= CRASHES + ALLOWED,
+    `${fleet.crashedRunners} crashes`,
   );
 });
 
-// Guards against a restarted daemon that has to learn by ends of runners.
-test("a daemon that starts later refuses it from its peers' word", async (t) => {
+// Guards against a restarted daemon that learns of the request only by new crashes.
+test("a daemon that starts later learns of the quarantine from its peers", async (t) => {
   const fleet = await CrashingFleet.start(t, SHAPE);
-  await endRunners(fleet);
+  await crashUntilRefused(fleet);
   const router = await fleet.linked.add();
   const send = () => sendRequest(router, { method: "POST", body: CRASHING });
   const before = fleet.countArrivals(CRASHING);
--- a/packages/router/tests/fleet_counts_test.ts
+++ b/packages/router/tests/fleet_counts_test.ts
@@ -5,7 +5,7 @@
 import { Fleet } from "./fleet.ts";
 import type { ActivityCounts, FleetShape, Member } from "./fleet.ts";
 
-/** From the size from which daemons no longer all know each other on. */
+/** In the fleets from 72 daemons on, daemons are not all linked to each other. */
 const SIZES: readonly FleetShape[] = [
   { daemons: 8, domains: 3 },
   { daemons: 72, domains: 3 },
@@ -13,18 +13,18 @@
   { daemons: 380, domains: 6 },
 ];
 const LARGE = SIZES.slice(1);
-/** How much more the largest fleet may take of a daemon than the least. */
+/** Factor by which a daemon's work may grow from the smallest large fleet to the largest. */
 const GROWTH = 1.5;
-/** Calls to the store that a daemon may make when all start. */
-const CALLS_AT_START = 1.5;
+/** Bound for the calls to the store, per daemon, when all start. */
+const MAX_CALLS_AT_START = 1.5;
 const SETTLED_MS = 8_000;
 const REST_MS = 8_000;
-/** Longest time that a neighbour may hear nothing, in ms, so that silence tells. */
+/** Interval of heartbeats to each neighbour, in ms, by which failures are detected. */
 const HEARTBEAT_MS = 400;
 const WAIT_MS = 2_000;
-/** Milliseconds after the last daemon has started in which the others are met. */
-const STARTED_MS = 2_000;
-/** Within this time after a start all are ready. */
+/** Time after the last start until daemons have found each other, in ms. */
+const DISCOVERY_MS = 2_000;
+/** Time after the start within which all daemons are ready, in ms. */
 const READY_MS = 250;
 
 type Measures = ActivityCounts & { readonly links: number };
@@ -44,24 +44,26 @@
 ] as const;
 
 function phaseOf(members: readonly Member[]): Phase {
-  const each = members.map(({ counts, links }) => ({
+  const measures = members.map(({ counts, links }) => ({
     ...counts,
     links: links.size,
   }));
-  const of = (add: (values: readonly number[]) => number) =>
+  const ofAll = (aggregate: (values: readonly number[]) => number) =>
     Object.fromEntries(
-      FIELDS.map((field) => [field, add(each.map((one) => one[field]))]),
+      FIELDS.map((
+        field,
+      ) => [field, aggregate(measures.map((daemon) => daemon[field]))]),
     ) as unknown as Measures;
   const sum = (values: readonly number[]) =>
     values.reduce((total, value) => total + value, 0);
   return {
-    mean: of((values) => sum(values) / values.length),
-    most: of((values) => Math.max(...values)),
+    mean: ofAll((values) => sum(values) / values.length),
+    most: ofAll((values) => Math.max(...values)),
   };
 }
 
-interface Life {
-  /** Calls to the store of all daemons while all start, for the first time and again. */
+interface Measurement {
+  /** Calls of all daemons to the store at the first start of all and at the second. */
   readonly calls: readonly number[];
   readonly start: Phase;
   readonly restart: Phase;
@@ -69,12 +71,15 @@
   readonly waiting: Phase;
 }
 
-/** A start of all, a rest, another start of all, and one request that waits. */
-async function live(t: TestContext, shape: FleetShape): Promise<Life> {
+/** Measures a start of all daemons, a rest, one waiting request, and a restart. */
+async function measure(
+  t: TestContext,
+  shape: FleetShape,
+): Promise<Measurement> {
   const clock = new FakeClock(t);
   const fleet = new Fleet(clock, shape);
   await fleet.startAll();
-  await clock.advance(STARTED_MS);
+  await clock.advance(DISCOVERY_MS);
   const calls = [callsOf(fleet.members)];
   await clock.advance(SETTLED_MS);
   fleet.configure(1);
@@ -107,7 +112,7 @@
   await fleet.restartAll();
   await clock.advance(READY_MS);
   assert.ok(fleet.members.every(({ ready }) => ready));
-  await clock.advance(STARTED_MS);
+  await clock.advance(DISCOVERY_MS);
   calls.push(callsOf(fleet.members));
   await clock.advance(SETTLED_MS);
   const restart = phaseOf(fleet.members);
@@ -119,48 +124,51 @@
   return members.reduce((sum, { counts }) => sum + counts.calls, 0);
 }
 
-function shown({ mean, most }: Phase): string {
+function formatPhase({ mean, most }: Phase): string {
   return FIELDS.map((field) =>
     `${field} ${mean[field].toFixed(1)} (${most[field]})`
   ).join(", ");
 }
 
-// What a daemon sends, dials and calls must not grow with the number of daemons:
-// with links between all, 195 daemons had 19,000 connections, told each other
-// 195 addresses on each of them, and called the store 5.4 times each when all
-// lost power at once, in the very second in which every caller came back.
-test("what a daemon does stays the same from 72 to 380 daemons", async (t) => {
-  const lives = [];
+// Guards against messages, dials and store calls per daemon that grow with the size of
+// the fleet. With links between all, 195 daemons had 19,000 connections and sent 195
+// addresses over each of them. When all lost power at once, each called the store 5.4
+// times in the second in which all callers returned.
+test("the work of a daemon stays the same from 72 to 380 daemons", async (t) => {
+  const measurements = [];
   for (const shape of SIZES) {
-    const life = await live(t, shape);
-    lives.push({ shape, life });
-    const { calls, ...phases } = life;
+    const measurement = await measure(t, shape);
+    measurements.push({ shape, measurement });
+    const { calls, ...phases } = measurement;
     t.diagnostic(`${shape.daemons} daemons: ${calls} calls when all start`);
     for (const [name, phase] of Object.entries(phases)) {
-      t.diagnostic(`${shape.daemons} daemons, ${name}: ${shown(phase)}`);
+      t.diagnostic(`${shape.daemons} daemons, ${name}: ${formatPhase(phase)}`);
     }
   }
-  // At rest each link has heartbeats alone, and they are not passed on.
-  for (const { shape, life } of lives) {
-    const { messages, links } = life.rest.mean;
+  // At rest only heartbeats are sent on each link, and they are not forwarded.
+  for (const { shape, measurement } of measurements) {
+    const { messages, links } = measurement.rest.mean;
     const heartbeats = links * REST_MS / HEARTBEAT_MS;
     assert.ok(messages <= heartbeats + 1, `${shape.daemons}: ${messages}`);
   }
-  const [least, ...larger] = lives.slice(-LARGE.length);
-  for (const { shape, life } of larger) {
+  const [smallest, ...larger] = measurements.slice(-LARGE.length);
+  for (const { shape, measurement } of larger) {
     for (const name of ["start", "restart", "rest", "waiting"] as const) {
       for (const field of ["messages", "bytes", "dials", "links"] as const) {
-        const now = life[name].mean[field];
-        const before = least!.life[name].mean[field];
+        const now = measurement[name].mean[field];
+        const before = smallest!.measurement[name].mean[field];
         const place = `${shape.daemons} daemons, ${name}: ${field}`;
         assert.ok(now <= GROWTH * before + 1, `${place} ${before} -> ${now}`);
       }
     }
   }
-  for (const { shape, life } of lives.slice(1)) {
-    for (const calls of life.calls) {
-      const each = calls / shape.daemons;
-      assert.ok(each < CALLS_AT_START, `${shape.daemons}: ${each} calls`);
+  for (const { shape, measurement } of measurements.slice(1)) {
+    for (const calls of measurement.calls) {
+      const perDaemon = calls / shape.daemons;
+      assert.ok(
+        perDaemon < MAX_CALLS_AT_START,
+        `${shape.daemons}: ${perDaemon} calls`,
+      );
     }
   }
 });
--- a/packages/router/tests/forwarding_test.ts
+++ b/packages/router/tests/forwarding_test.ts
@@ -16,22 +16,25 @@
   waitUntil,
 } from "./fixtures.ts";
 
-test("method, path, query, body and end-to-end headers pass unchanged", async (t) => {
+test("method, path, query, body and end-to-end headers are forwarded unchanged", async (t) => {
   const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     socket.write(runnerResponse(id, "done", { headers: "X-Own: 1\r\n" }));
   });
   const router = await startSingleRouteRouter(t, {}, [runner]);
-  const got = await sendRequest(router, {
+  const response = await sendRequest(router, {
     method: "POST",
     path: "/a/b?c=d%20e",
     body: "hello",
     headers: { "x-own": "v", connection: "close, x-hop", "x-hop": "1" },
   });
-  assert.deepEqual([got.status, got.body, got.headers["x-own"]], [
-    200,
-    "done",
-    "1",
-  ]);
+  assert.deepEqual(
+    [response.status, response.body, response.headers["x-own"]],
+    [
+      200,
+      "done",
+      "1",
+    ],
+  );
   const [request = ""] = runner.requests;
   assert.match(request, /^POST \/a\/b\?c=d%20e HTTP\/1\.1\r\n/);
   assert.match(request, /x-own: v\r\n/);
@@ -40,9 +43,9 @@
   assert.match(request, /\r\n\r\nhello$/);
 });
 
-// A caller sends the header that names its workspace itself. If it passed, the
-// runner would work for a workspace whose key the caller does not hold.
-test("a caller cannot name its workspace by itself", async (t) => {
+// Guards against a forged workspace header: if it were forwarded, the runner would
+// work for a workspace whose key the caller does not have.
+test("a workspace header from a caller is not forwarded", async (t) => {
   const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     socket.write(runnerResponse(id, "done"));
   });
@@ -62,7 +65,7 @@
   assert.doesNotMatch(request, /other|k1/);
 });
 
-test("unknown paths, unknown keys and large bodies are refused", async (t) => {
+test("unknown paths, missing keys and large bodies are refused", async (t) => {
   const router = await startSingleRouteRouter(
     t,
     { pathPrefix: "/in/", anonymous: false },
@@ -82,25 +85,25 @@
   assert.equal(large.status, 413);
 });
 
-// The daemon has just started and knows no configuration. A 404 would be final
-// for callers though their routes exist; 503 sends them elsewhere or back.
-test("without a configuration, requests are told to come back", async (t) => {
+// A daemon that has just started has no configuration yet. A 404 would be final for
+// callers although their routes exist; after a 503 they retry.
+test("without a configuration, requests get 503 with retry-after", async (t) => {
   const configurations = new SettableFeed([testConfiguration([testRoute()])]);
   configurations.down = true;
   const router = await startRouter(t, {
     configurations,
     runners: new SettableFeed([]),
   });
-  const got = await sendRequest(router);
-  assert.equal(got.status, 503);
-  assert.ok(Number(got.headers["retry-after"]) > 0);
+  const response = await sendRequest(router);
+  assert.equal(response.status, 503);
+  assert.ok(Number(response.headers["retry-after"]) > 0);
   assert.equal(router.ready, false);
 });
 
-// A runner runs a request and resets the connection without an answer. Sent a
-// second time, a job card would go out twice; told "not run", the caller would
-// send it again itself.
-test("a request that may have run is neither repeated nor said not to have run", async (t) => {
+// A runner executes a request and resets the connection without a response. A retry
+// by the router would execute it twice, such as sending a job card twice; so would a
+// retry by the caller after an answer that says that it was not executed.
+test("a request that may have been executed is not retried, and ends in 502", async (t) => {
   const first = await startFakeRunner(
     t,
     "r-1",
@@ -115,53 +118,58 @@
     first,
     second,
   ]);
-  const got = await sendRequest(router, { method: "POST", body: "x" });
-  assert.equal(got.status, 502);
+  const response = await sendRequest(router, { method: "POST", body: "x" });
+  assert.equal(response.status, 502);
   assert.equal(first.requests.length + second.requests.length, 1);
 });
 
-test("an idempotent request goes to a second runner when the first breaks off", async (t) => {
-  const broken = await startFakeRunner(
+test("an idempotent request is retried at another runner after a reset", async (t) => {
+  const failing = await startFakeRunner(
     t,
     "r-1",
     (socket) => socket.resetAndDestroy(),
   );
-  const sound = await startFakeRunner(t, "r-2", (socket, _, id) => {
+  const healthy = await startFakeRunner(t, "r-2", (socket, _, id) => {
     socket.write(runnerResponse(id, "done"));
   });
   const router = await startSingleRouteRouter(t, {
     repetition: "idempotent",
     maxAttempts: 2,
-  }, [broken, sound]);
+  }, [failing, healthy]);
   assert.equal((await sendRequest(router)).body, "done");
 });
 
-// A runner that fails by itself answers 500, and so does the second one. The
-// caller gets a runner's own answer, not one that the router made up.
-test("the runner's own failure stands when no other does better", async (t) => {
-  const play = (status: string) =>
+// Both runners respond with 500. The caller must get a runner's own response, not one
+// that the router has generated.
+test("the runner's own error is returned when all attempts fail", async (t) => {
+  const startRunner = (status: string) =>
     startFakeRunner(t, status, (socket, _, id) => {
       socket.write(runnerResponse(id, "failed", { status: "500 Error" }));
     });
   const router = await startSingleRouteRouter(t, {
     repetition: "idempotent",
     maxAttempts: 2,
-  }, [await play("r-1"), await play("r-2")]);
-  const got = await sendRequest(router);
-  assert.deepEqual([got.status, got.body, got.headers["x-seal"]], [
-    500,
-    "failed",
-    "s",
-  ]);
+  }, [await startRunner("r-1"), await startRunner("r-2")]);
+  const response = await sendRequest(router);
+  assert.deepEqual(
+    [response.status, response.body, response.headers["x-seal"]],
+    [
+      500,
+      "failed",
+      "s",
+    ],
+  );
 });
 
-// A runner fails by itself and the budget allows no repeat. The runner's own
-// answer must reach the caller, and one repeat must not be paid for twice.
-test("without a repeat left, the runner's own failure reaches the caller", async (t) => {
+// A runner responds with 500 and the retry budget is used up. The caller must get the
+// runner's own response, and one retry must not be charged twice.
+test("the runner's own error is returned when the retry budget is used up", async (t) => {
   const runners = await Promise.all(
     ["r-1", "r-2"].map((id) =>
-      startFakeRunner(t, id, (socket, _, tryId) => {
-        socket.write(runnerResponse(tryId, "failed", { status: "500 Error" }));
+      startFakeRunner(t, id, (socket, _, requestId) => {
+        socket.write(
+          runnerResponse(requestId, "failed", { status: "500 Error" }),
+        );
       })
     ),
   );
@@ -172,7 +180,7 @@
       ]),
     ]),
     runners: new SettableFeed(runners.map(({ runner }) => runner)),
-    // Half of the extra repeats, divided among 8 daemons: one.
+    // Half of the extra retries, divided among 8 daemons: one.
     settings: { retries: { ratio: 0, extra: 16, windowMs: 10_000 } },
   });
   await waitUntil(() => router.ready);
@@ -184,29 +192,32 @@
   assert.equal(arrivals(), 3);
 });
 
-test("a runner's refusal becomes a 503 with a time to come back", async (t) => {
+test("a runner's refusal becomes a 503 with retry-after", async (t) => {
   const full = await startFakeRunner(t, "r-1", (socket, _, id) => {
     const headers = "X-Not-Run: 1\r\n";
     socket.write(runnerResponse(id, "", { status: "503 Full", headers }));
   });
   const router = await startSingleRouteRouter(t, {}, [full]);
-  const got = await sendRequest(router);
-  assert.equal(got.status, 503);
-  assert.ok(Number(got.headers["retry-after"]) > 0);
+  const response = await sendRequest(router);
+  assert.equal(response.status, 503);
+  assert.ok(Number(response.headers["retry-after"]) > 0);
 });
 
-// On a kept connection, a second answer to the request before arrives where the
-// next answer is due. Passed on, a caller would get another caller's answer.
-test("an answer to another request is not passed on", async (t) => {
+// Guards against a response that goes to the wrong caller: on a keep-alive connection,
+// a second response to the previous request arrives in place of the next response.
+test("a response to another request is not forwarded", async (t) => {
   const runner = await startFakeRunner(t, "r-1", (socket) => {
     socket.write(runnerResponse("another", "not yours"));
   });
   const router = await startSingleRouteRouter(t, {}, [runner]);
-  const got = await sendRequest(router);
-  assert.deepEqual([got.status, got.body.includes("not yours")], [502, false]);
+  const response = await sendRequest(router);
+  assert.deepEqual([response.status, response.body.includes("not yours")], [
+    502,
+    false,
+  ]);
 });
 
-test("a success that the runner does not vouch for is not passed on", async (t) => {
+test("a success without the runner's seal is not forwarded", async (t) => {
   const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     socket.write(
       `HTTP/1.1 200 OK\r\nX-Id: ${id}\r\nContent-Length: 1\r\n\r\nx`,
@@ -216,9 +227,9 @@
   assert.equal((await sendRequest(router)).status, 502);
 });
 
-// An answer has no length and its connection is reset after a part. Node ends
-// such an answer as if it were whole, and the caller would take the part for it.
-test("a reset answer without length is not taken as whole", async (t) => {
+// A response without a length is cut off by a reset. Node ends such a response as if it
+// were complete, and the caller would take the part for the whole.
+test("a response without a length that is reset is not treated as complete", async (t) => {
   const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     const head = `HTTP/1.1 200 OK\r\nX-Id: ${id}\r\nX-Seal: s\r\n\r\n`;
     socket.write(`${head}part`);
@@ -228,49 +239,49 @@
   assert.equal((await sendRequest(router)).status, 502);
 });
 
-// An answer has no length and ends with its connection. Whether it is whole
-// only its bytes can tell; given a length, a part would look vouched for.
-test("an answer without length goes on without length", async (t) => {
+// A response without a length ends with its connection, so only its content shows
+// whether it is complete. If the router added a length, a part would look complete.
+test("a response without a length is forwarded without a length", async (t) => {
   const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     socket.end(`HTTP/1.1 200 OK\r\nX-Id: ${id}\r\nX-Seal: s\r\n\r\nall`);
   });
   const router = await startSingleRouteRouter(t, {}, [runner]);
-  const got = await sendRequest(router);
-  assert.equal(got.body, "all");
-  assert.equal(got.headers["content-length"], undefined);
-  assert.equal(got.headers["transfer-encoding"], undefined);
-  assert.equal(got.headers["connection"], "close");
+  const response = await sendRequest(router);
+  assert.equal(response.body, "all");
+  assert.equal(response.headers["content-length"], undefined);
+  assert.equal(response.headers["transfer-encoding"], undefined);
+  assert.equal(response.headers["connection"], "close");
 });
 
-// A runner stops in the middle of its second event. The caller must get each
-// event once and whole, though the second runner repeats the first one.
-test("a resumable stream goes on at another runner, each event once", async (t) => {
-  const play = (id: string) =>
-    startFakeRunner(t, id, (socket, request, tryId) => {
+// A runner resets the connection in the middle of the second event, and the next runner
+// sends the first event again. The caller must get each event once and complete.
+test("a resumable stream continues at another runner with each event once", async (t) => {
+  const startRunner = (id: string) =>
+    startFakeRunner(t, id, (socket, request, requestId) => {
       if (!request.includes("Last-Event-Id")) {
         socket.write(
-          streamHead(tryId) + encodeChunk("id: 1\ndata: a\n\nid: 2\nda"),
+          streamHead(requestId) + encodeChunk("id: 1\ndata: a\n\nid: 2\nda"),
         );
         return void setTimeout(() => socket.resetAndDestroy(), 20);
       }
       const events = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
-      socket.write(streamHead(tryId) + encodeChunk(events) + "0\r\n\r\n");
+      socket.write(streamHead(requestId) + encodeChunk(events) + "0\r\n\r\n");
     });
-  const runners = [await play("r-2"), await play("r-3")];
+  const runners = [await startRunner("r-2"), await startRunner("r-3")];
   const router = await startSingleRouteRouter(t, {
     repetition: "resumable",
     streaming: true,
     maxAttempts: 2,
   }, runners);
-  const got = await sendRequest(router);
-  assert.equal(got.truncated, false);
-  assert.equal(got.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
+  const response = await sendRequest(router);
+  assert.equal(response.truncated, false);
+  assert.equal(response.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   const resumed = runners.flatMap(({ requests }) => requests)
     .filter((request) => request.includes("Last-Event-Id: 1"));
   assert.equal(resumed.length, 1);
 });
 
-test("a stream that may not be resumed does not end as if complete", async (t) => {
+test("a stream that cannot be resumed does not end as if it were complete", async (t) => {
   const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     socket.write(streamHead(id) + encodeChunk("id: 1\ndata: a\n\n"));
     setTimeout(() => socket.resetAndDestroy(), 20);
@@ -279,16 +290,16 @@
   assert.equal((await sendRequest(router)).truncated, true);
 });
 
-// A runner never answers. The caller gets its final answer at the timeout of
-// the route, and as the request may have run, not one that says it has not.
-test("a silent runner ends in 504 at the route's timeout", async (t) => {
+// A runner never responds. The caller must get a final response at the route's
+// time-out, one that doesn't say that the request was not executed.
+test("a runner without a response leads to 504 at the route's time-out", async (t) => {
   const runner = await startFakeRunner(t, "r-1", () => {});
   const router = await startSingleRouteRouter(t, { timeoutMs: 100 }, [runner]);
   assert.equal((await sendRequest(router)).status, 504);
   await waitUntil(() => runner.closed === 1);
 });
 
-test("the runner's work ends when the caller leaves", async (t) => {
+test("the runner's request is aborted when the caller disconnects", async (t) => {
   const runner = await startFakeRunner(t, "r-1", () => {});
   const router = await startSingleRouteRouter(t, {}, [runner]);
   const socket = connect(router.callersPort, "127.0.0.1");
@@ -298,9 +309,9 @@
   await waitUntil(() => runner.closed === 1);
 });
 
-// A runner at the address is another one than the list says: it refuses by 421
-// and has run nothing, so the caller may come back.
-test("a request that met another runner at the address is said not to have run", async (t) => {
+// The address belongs to another runner than the list says. That runner refuses with
+// 421 without executing the request, so the caller may retry.
+test("a request that another runner refuses as misdirected gets 503", async (t) => {
   const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     const headers = "X-Not-Run: 1\r\n";
     socket.write(runnerResponse(id, "", { status: "421 Other", headers }));
@@ -309,9 +320,9 @@
   assert.equal((await sendRequest(router)).status, 503);
 });
 
-// A caller sends the head of a request and half of its body, then nothing. It
-// gets its final answer at the route's timeout, and nothing reaches a runner.
-test("a body that does not come ends in 408 at the route's timeout", async (t) => {
+// A caller sends the head and half of the body, then nothing. It must get a final
+// response at the route's time-out, and nothing may reach a runner.
+test("an incomplete body ends in 408 at the route's time-out", async (t) => {
   const runner = await startFakeRunner(t, "r-1", () => {});
   const router = await startSingleRouteRouter(t, { timeoutMs: 100 }, [runner]);
   const socket = connect(router.callersPort, "127.0.0.1");
--- a/packages/router/tests/graceful_shutdown_test.ts
+++ b/packages/router/tests/graceful_shutdown_test.ts
@@ -14,27 +14,28 @@
   waitUntil,
 } from "./fixtures.ts";
 
-// A process gets SIGTERM while the balancer still sends it new connections. It
-// must not be ready any more, yet serve them, and tell callers to connect anew.
-test("a leaving daemon serves what still arrives and closes behind it", async (t) => {
+// After SIGTERM the load balancer still sends new connections for a while. The daemon
+// must report that it is not ready, but serve these requests and close each
+// connection after its response.
+test("a daemon that shuts down serves new requests and closes their connections", async (t) => {
   const runner = await startFakeRunner(t, "r-1", (socket, _, id) => {
     socket.write(runnerResponse(id, "done"));
   });
   const router = await startSingleRouteRouter(t, {}, [runner]);
-  const left = router.leave();
+  const leaving = router.leave();
   assert.equal(router.ready, false);
-  const got = await sendRequest(router, {
+  const response = await sendRequest(router, {
     headers: { connection: "keep-alive" },
   });
-  assert.equal(got.body, "done");
-  assert.equal(got.headers["connection"], "close");
-  assert.equal(await left, true);
+  assert.equal(response.body, "done");
+  assert.equal(response.headers["connection"], "close");
+  assert.equal(await leaving, true);
 });
 
-// A connection is open but never had a request when the daemon stops accepting.
-// Node does not count it as idle; left open, its first request would be read
-// just before the kill and cut off.
-test("a connection that never had a request is closed at the hand-over", async (t) => {
+// Guards against a request that is cut off at the end of the grace period. Node does
+// not count a connection as idle if it never had a request. If it stayed open, its
+// first request could be read just before the process is killed.
+test("a connection that never had a request is closed at shutdown", async (t) => {
   const router = await startSingleRouteRouter(t, {}, []);
   const socket = connect(router.callersPort, "127.0.0.1");
   await once(socket, "connect");
@@ -44,27 +45,26 @@
   await closed;
 });
 
-// The store turns one daemon away while operators change the configuration. It
-// hears of the version from its peer; without that, it would serve old routes
-// to callers for as long as the store refuses it.
-test("a daemon that the store refuses learns from its peer", async (t) => {
+// Guards against old routes at a daemon that the store refuses while the
+// configuration changes. The daemon must get the new version from its peer.
+test("a daemon without the store gets the configuration from its peer", async (t) => {
   const configurations = new SettableFeed([testConfiguration([testRoute()])]);
   const runners = new SettableFeed([
     (await startFakeRunner(t, "r-1", () => {})).runner,
   ]);
-  const refused = new SettableFeed([testConfiguration([testRoute()])]);
-  refused.down = true;
-  const informed = await startRouter(t, { configurations, runners });
-  const alone = await startRouter(t, {
-    configurations: refused,
+  const unavailable = new SettableFeed([testConfiguration([testRoute()])]);
+  unavailable.down = true;
+  const connected = await startRouter(t, { configurations, runners });
+  const isolated = await startRouter(t, {
+    configurations: unavailable,
     runners,
     settings: {
       name: "host-2",
-      seeds: [`127.0.0.1:${informed.peersPort}`],
+      seeds: [`127.0.0.1:${connected.peersPort}`],
     },
   });
-  await waitUntil(() => alone.ready);
+  await waitUntil(() => isolated.ready);
   configurations.set([testConfiguration([], { version: 2 })]);
-  await waitUntil(() => alone.routingTable()?.version === 2);
-  assert.equal((await sendRequest(alone)).status, 404);
+  await waitUntil(() => isolated.routingTable()?.version === 2);
+  assert.equal((await sendRequest(isolated)).status, 404);
 });
--- a/packages/router/tests/leader_fleet_test.ts
+++ b/packages/router/tests/leader_fleet_test.ts
@@ -10,138 +10,145 @@
   { daemons: 86, domains: 3 },
   { daemons: 380, domains: 6 },
 ];
-/** Milliseconds after a start of all in which a leader has begun to act. */
-const BEGUN_MS = 6_000;
-/** Milliseconds in which the lease of a leader that is lost has run out. */
-const LOST_MS = 6_000;
-/** Calls to the store of all daemons that its leader costs, in a second. */
-const CALLS_PER_S = 1.5;
+/** Time after the start of a fleet until its leader makes calls, in ms. */
+const FIRST_CALL_MS = 6_000;
+/** Time after the loss of a leader until another one leads, in ms. */
+const FAILOVER_MS = 6_000;
+/** Bound for the calls to the leader's store of a whole fleet, in calls a second. */
+const MAX_CALLS_PER_S = 1.5;
 
-interface Played {
+interface FleetFixture {
   readonly clock: FakeClock;
   readonly fleet: Fleet;
 }
 
-async function startFleet(t: TestContext, shape: FleetShape): Promise<Played> {
+async function startFleet(
+  t: TestContext,
+  shape: FleetShape,
+): Promise<FleetFixture> {
   const clock = new FakeClock(t);
   const fleet = new Fleet(clock, shape);
   fleet.configure(1);
   await fleet.startAll();
-  await clock.advance(BEGUN_MS);
+  await clock.advance(FIRST_CALL_MS);
   return { clock, fleet };
 }
 
-function leadersOf({ fleet }: Played): readonly Member[] {
+function leadersOf({ fleet }: FleetFixture): readonly Member[] {
   return fleet.alive.filter(({ lease }) => lease.held);
 }
 
-function leaderOf(played: Played): Member {
-  const [leader, ...others] = leadersOf(played);
+function leaderOf(fixture: FleetFixture): Member {
+  const [leader, ...others] = leadersOf(fixture);
   assert.equal(others.length, 0);
-  assert.ok(leader !== undefined, "there is a leader");
+  assert.ok(leader !== undefined, "no daemon leads");
   return leader;
 }
 
-/** Each daemon counts a request; returns the window and how many there are. */
-function countAll({ fleet }: Played) {
+/** Counts a request at each daemon; returns its window and the number of requests. */
+function countAtAll({ fleet }: FleetFixture) {
   for (const { usage } of fleet.alive) usage.countRequest("fitters");
   return { window: fleet.alive[0]!.usage.window, requests: fleet.alive.length };
 }
 
-function arrivalsOf({ fleet }: Played, window: number) {
+function arrivalsOf({ fleet }: FleetFixture, window: number) {
   return fleet.leadership.api.arrivals
-    .filter((each) => each.window === window);
+    .filter((arrival) => arrival.window === window);
 }
 
 function checkOnTime(arrival: ReceivedReport | undefined): void {
-  assert.ok(arrival !== undefined, "the window is reported");
+  assert.ok(arrival !== undefined, "the window was not reported");
   const dueAt = (arrival.window + 1) * WINDOW_MS + REPORT_DELAY_MS;
   assert.ok(arrival.at <= dueAt, `${arrival.at - dueAt} ms late`);
 }
 
 for (const shape of SIZES) {
-  test(`one of ${shape.daemons} daemons reports what all have counted`, async (t) => {
-    const played = await startFleet(t, shape);
-    const { window, requests } = countAll(played);
-    await played.clock.advance(WINDOW_MS + REPORT_DELAY_MS);
-    const [arrival, ...others] = arrivalsOf(played, window);
+  test(`one of ${shape.daemons} daemons reports the counts of all`, async (t) => {
+    const fixture = await startFleet(t, shape);
+    const { window, requests } = countAtAll(fixture);
+    await fixture.clock.advance(WINDOW_MS + REPORT_DELAY_MS);
+    const [arrival, ...others] = arrivalsOf(fixture, window);
     checkOnTime(arrival);
     assert.equal(others.length, 0);
     assert.deepEqual(arrival!.counts, { fitters: requests });
   });
 
-  test(`who leads ${shape.daemons} daemons costs as many calls as in any fleet`, async (t) => {
-    const played = await startFleet(t, shape);
-    const { store } = played.fleet.leadership;
+  test(`leader election of ${shape.daemons} daemons makes few calls to the store`, async (t) => {
+    const fixture = await startFleet(t, shape);
+    const { store } = fixture.fleet.leadership;
     const before = store.calls;
-    await played.clock.advance(20_000);
+    await fixture.clock.advance(20_000);
     const perS = (store.calls - before) / 20;
     t.diagnostic(`${shape.daemons} daemons: ${perS} calls a second`);
-    assert.ok(perS <= CALLS_PER_S, `${perS} calls a second`);
+    assert.ok(perS <= MAX_CALLS_PER_S, `${perS} calls a second`);
   });
 }
 
 const [, shape] = SIZES;
 
-test("a window is reported in time though the leader is lost before it is due", async (t) => {
-  const played = await startFleet(t, shape!);
-  const { window, requests } = countAll(played);
-  await played.clock.advance(WINDOW_MS);
-  const lost = leaderOf(played);
+test("a window is reported in time if the leader is lost before the report is due", async (t) => {
+  const fixture = await startFleet(t, shape!);
+  const { window, requests } = countAtAll(fixture);
+  await fixture.clock.advance(WINDOW_MS);
+  const lost = leaderOf(fixture);
   lost.end({ power: true });
-  await played.clock.advance(LOST_MS);
-  assert.notEqual(leaderOf(played), lost);
-  await played.clock.advance(REPORT_DELAY_MS);
-  const [arrival] = arrivalsOf(played, window);
+  await fixture.clock.advance(FAILOVER_MS);
+  assert.notEqual(leaderOf(fixture), lost);
+  await fixture.clock.advance(REPORT_DELAY_MS);
+  const [arrival] = arrivalsOf(fixture, window);
   checkOnTime(arrival);
   assert.deepEqual(arrival!.counts, { fitters: requests });
 });
 
-test("a leader that is cut from the store is followed, and stops before", async (t) => {
-  const played = await startFleet(t, shape!);
-  const cut = leaderOf(played);
-  cut.storeUnreachable = true;
-  let none = 0;
+test("a leader without the store stops before another daemon takes over", async (t) => {
+  const fixture = await startFleet(t, shape!);
+  const isolated = leaderOf(fixture);
+  isolated.storeUnreachable = true;
+  let leaderless = 0;
   for (let at = 0; at < 60; at++) {
-    await played.clock.advance(100);
-    assert.ok(leadersOf(played).length <= 1);
-    none += leadersOf(played).length === 0 ? 1 : 0;
+    await fixture.clock.advance(100);
+    assert.ok(leadersOf(fixture).length <= 1);
+    leaderless += leadersOf(fixture).length === 0 ? 1 : 0;
   }
-  assert.notEqual(leaderOf(played), cut);
-  assert.ok(none > 0, "for a while nobody leads");
+  assert.notEqual(leaderOf(fixture), isolated);
+  assert.ok(leaderless > 0, "no moment without a leader");
 });
 
-test("a window counted before all daemons are lost is reported whole", async (t) => {
-  const played = await startFleet(t, shape!);
-  const { window, requests } = countAll(played);
-  await played.clock.advance(WINDOW_MS);
-  await played.fleet.restartAll();
-  await played.clock.advance(WINDOW_MS + REPORT_DELAY_MS);
-  const [arrival] = arrivalsOf(played, window);
+test("a window counted before all daemons restart is reported completely", async (t) => {
+  const fixture = await startFleet(t, shape!);
+  const { window, requests } = countAtAll(fixture);
+  await fixture.clock.advance(WINDOW_MS);
+  await fixture.fleet.restartAll();
+  await fixture.clock.advance(WINDOW_MS + REPORT_DELAY_MS);
+  const [arrival] = arrivalsOf(fixture, window);
   checkOnTime(arrival);
   assert.deepEqual(arrival!.counts, { fitters: requests });
 });
 
-test("all leaders in turn report each window with the same counts", async (t) => {
-  const played = await startFleet(t, shape!);
+test("successive leaders report each window with the same counts", async (t) => {
+  const fixture = await startFleet(t, shape!);
   for (let turn = 0; turn < 3; turn++) {
-    countAll(played);
-    await played.clock.advance(4_000);
-    leaderOf(played).end({ power: true });
-    await played.clock.advance(LOST_MS);
+    countAtAll(fixture);
+    await fixture.clock.advance(4_000);
+    leaderOf(fixture).end({ power: true });
+    await fixture.clock.advance(FAILOVER_MS);
   }
-  await played.clock.advance(REPORT_DELAY_MS);
-  const { arrivals } = played.fleet.leadership.api;
+  await fixture.clock.advance(REPORT_DELAY_MS);
+  const { arrivals } = fixture.fleet.leadership.api;
   const byWindow = new Map<number, string>();
   let fencing = 0;
   for (const { window, counts, fence } of arrivals) {
-    const told = JSON.stringify(counts);
-    assert.equal(byWindow.get(window) ?? told, told);
-    byWindow.set(window, told);
-    assert.ok(fence.fencing >= fencing, "numbers never fall");
+    const report = JSON.stringify(counts);
+    assert.equal(byWindow.get(window) ?? report, report);
+    byWindow.set(window, report);
+    assert.ok(fence.fencing >= fencing, "a fencing token decreased");
     fencing = fence.fencing;
   }
   const windows = [...byWindow.keys()].sort((one, other) => one - other);
   const last = windows.at(-1)!;
-  assert.equal(windows.length, last - windows[0]! + 1, "no window is left out");
+  assert.equal(
+    windows.length,
+    last - windows[0]! + 1,
+    "a window was not reported",
+  );
 });
--- a/packages/router/tests/leader_test.ts
+++ b/packages/router/tests/leader_test.ts
@@ -20,23 +20,23 @@
 
 const LEASE_MS = 3_000;
 const TIMING = { windowMs: 5_000, delayMs: 10_000 };
-/** Milliseconds after a start until a leader acts. */
-const BEGUN_MS = 6_000;
+/** Time after the start until the leader makes its first calls, in ms. */
+const FIRST_CALL_MS = 6_000;
 
-/** A platform that ends calls as a test says. */
-class PlayedApi implements PlatformApi {
+/** The platform's API; tests set the result and the duration of calls. */
+class FakeApi implements PlatformApi {
   readonly reports: UsageReport[] = [];
   readonly orders: RunnerOrder[] = [];
   readonly calls: PlatformCall[] = [];
-  end: CallOutcome = { kind: "accepted" };
-  takesMs = 4;
+  result: CallOutcome = { kind: "accepted" };
+  responseMs = 4;
 
   async reportUsage(
     report: UsageReport,
     call: PlatformCall,
   ): Promise<CallOutcome> {
     this.reports.push(report);
-    return await this.#answer(call);
+    return await this.#respond(call);
   }
 
   async orderRunners(
@@ -44,13 +44,13 @@
     call: PlatformCall,
   ): Promise<CallOutcome> {
     this.orders.push(order);
-    return await this.#answer(call);
+    return await this.#respond(call);
   }
 
-  async #answer(call: PlatformCall): Promise<CallOutcome> {
+  async #respond(call: PlatformCall): Promise<CallOutcome> {
     this.calls.push(call);
-    await new Promise((resolve) => setTimeout(resolve, this.takesMs));
-    return this.end;
+    await new Promise((resolve) => setTimeout(resolve, this.responseMs));
+    return this.result;
   }
 }
 
@@ -60,11 +60,11 @@
   readonly meter: UsageMeter;
 }
 
-/** Daemons with one store and one platform. */
-class Played {
+/** Daemons that share a store and the platform's API. */
+class LeaderFixture {
   readonly clock: FakeClock;
   readonly store = new MemoryLeaderStore();
-  readonly api = new PlayedApi();
+  readonly api = new FakeApi();
   demand: ScalingPolicy | undefined;
 
   constructor(t: TestContext) {
@@ -106,77 +106,82 @@
   }
 }
 
-test("a report without an answer is sent again, with the same counts", async (t) => {
-  const played = new Played(t);
-  const { meter } = played.start("a");
-  await played.clock.advance(BEGUN_MS);
+test("a report without a response is sent again with the same counts", async (t) => {
+  const fixture = new LeaderFixture(t);
+  const { meter } = fixture.start("a");
+  await fixture.clock.advance(FIRST_CALL_MS);
   meter.countRequest("fitters");
   const { window } = meter;
-  played.api.end = { kind: "failed", reason: "No answer in time" };
-  await played.clock.advance(14_000);
-  const tries = played.api.reports.filter((each) => each.window === window);
-  assert.ok(tries.length > 1, `${tries.length} tries`);
-  assert.equal(new Set(tries.map((each) => JSON.stringify(each))).size, 1);
-  played.api.end = { kind: "accepted" };
-  await played.clock.advance(4_000);
-  const before = played.api.reports.length;
-  const waiting = played.store.record?.record.work.reports
+  fixture.api.result = { kind: "failed", reason: "No response in time" };
+  await fixture.clock.advance(14_000);
+  const attempts = fixture.api.reports.filter((report) =>
+    report.window === window
+  );
+  assert.ok(attempts.length > 1, `${attempts.length} attempts`);
+  assert.equal(
+    new Set(attempts.map((report) => JSON.stringify(report))).size,
+    1,
+  );
+  fixture.api.result = { kind: "accepted" };
+  await fixture.clock.advance(4_000);
+  const before = fixture.api.reports.length;
+  const pending = fixture.store.record?.record.work.reports
     .filter(({ accepted }) => !accepted);
-  assert.deepEqual(waiting, []);
-  await played.clock.advance(3_000);
-  const again = played.api.reports.slice(before)
-    .filter((each) => each.window === window);
-  assert.deepEqual(again, []);
+  assert.deepEqual(pending, []);
+  await fixture.clock.advance(3_000);
+  const repeated = fixture.api.reports.slice(before)
+    .filter((report) => report.window === window);
+  assert.deepEqual(repeated, []);
 });
 
-test("a leader that leaves ends its call before another one leads", async (t) => {
-  const played = new Played(t);
-  const first = played.start("a");
-  await played.clock.advance(BEGUN_MS);
-  played.api.takesMs = 800;
-  while (played.api.calls.length === 0) await played.clock.advance(50);
-  const left = first.leader.leave();
-  await played.clock.advance(100);
-  assert.notEqual(played.store.record?.record.holding.holderId, "");
-  await played.clock.advance(1_000);
-  await left;
-  assert.equal(played.store.record?.record.holding.holderId, "");
+test("a leader that shuts down finishes its call before it releases the lease", async (t) => {
+  const fixture = new LeaderFixture(t);
+  const first = fixture.start("a");
+  await fixture.clock.advance(FIRST_CALL_MS);
+  fixture.api.responseMs = 800;
+  while (fixture.api.calls.length === 0) await fixture.clock.advance(50);
+  const leaving = first.leader.leave();
+  await fixture.clock.advance(100);
+  assert.notEqual(fixture.store.record?.record.holding.holderId, "");
+  await fixture.clock.advance(1_000);
+  await leaving;
+  assert.equal(fixture.store.record?.record.holding.holderId, "");
 });
 
-test("a leader whose store does not answer stops, and goes on later", async (t) => {
-  const played = new Played(t);
-  const { lease, meter } = played.start("a");
-  await played.clock.advance(BEGUN_MS);
+test("a leader stops while the store is unavailable, and resumes later", async (t) => {
+  const fixture = new LeaderFixture(t);
+  const { lease, meter } = fixture.start("a");
+  await fixture.clock.advance(FIRST_CALL_MS);
   assert.ok(lease.held);
-  played.store.down = true;
-  await played.clock.advance(LEASE_MS);
+  fixture.store.down = true;
+  await fixture.clock.advance(LEASE_MS);
   assert.equal(lease.held, false);
-  const before = played.api.calls.length;
-  await played.clock.advance(5_000);
-  assert.equal(played.api.calls.length, before);
-  played.store.down = false;
-  await played.clock.advance(1_500);
+  const before = fixture.api.calls.length;
+  await fixture.clock.advance(5_000);
+  assert.equal(fixture.api.calls.length, before);
+  fixture.store.down = false;
+  await fixture.clock.advance(1_500);
   assert.ok(lease.held);
   meter.countRequest("fitters");
-  await played.clock.advance(15_000);
-  assert.ok(played.api.calls.length > before);
+  await fixture.clock.advance(15_000);
+  assert.ok(fixture.api.calls.length > before);
 });
 
-test("orders go out once they stand in the store, and only if they change", async (t) => {
-  const played = new Played(t);
+test("orders are sent after they are stored, and only when they change", async (t) => {
+  const fixture = new LeaderFixture(t);
   const order = {
     service: "drafting",
     failureDomain: "a",
     preemptible: true,
     runners: 5,
   };
-  let wanted: readonly RunnerOrder[] = [order];
-  played.demand = { desiredOrders: () => wanted, recordNoneLeft() {} };
-  played.start("a");
-  await played.clock.advance(BEGUN_MS + 5_000);
-  assert.deepEqual(played.api.orders, [order]);
-  assert.deepEqual(played.store.record?.record.work.orders, [order]);
-  wanted = [{ ...order, runners: 7 }];
-  await played.clock.advance(2_000);
-  assert.deepEqual(played.api.orders.slice(1), wanted);
+  let desired: readonly RunnerOrder[] = [order];
+  fixture.demand = { desiredOrders: () => desired, recordNoneLeft() {} };
+  fixture.start("a");
+  await fixture.clock.advance(FIRST_CALL_MS + 5_000);
+  assert.deepEqual(fixture.api.orders, [order]);
+  assert.deepEqual(fixture.store.record?.record.work.orders, [order]);
+  desired = [{ ...order, runners: 7 }];
+  await fixture.clock.advance(2_000);
+  assert.deepEqual(fixture.api.orders.slice(1), desired);
 });
--- a/packages/router/tests/limited_runner_test.ts
+++ b/packages/router/tests/limited_runner_test.ts
@@ -5,48 +5,51 @@
 import { runnerResponse, startFakeRunner, waitUntil } from "./fixtures.ts";
 import { LinkedRouters } from "./linked_routers.ts";
 
-/** Milliseconds in which daemons that are in touch know what one of them does. */
-const CONTACT_MS = 3_000;
-/** Milliseconds over which what a runner gets is counted. */
+/** Time within which linked daemons know each other's limits, in ms. */
+const PROPAGATION_MS = 3_000;
+/** Window over which requests to a runner are counted, in ms. */
 const WINDOW_MS = 4_000;
-/** Milliseconds between two requests, 80 a second in all. */
-const GAP_MS = 12.5;
-const WORK_MS = 10;
+/** Interval between requests, in ms: 80 requests a second in all. */
+const INTERVAL_MS = 12.5;
+const REQUEST_MS = 10;
 const RUNNERS = 6;
 
-/** Most requests in a window that a limit allows. */
-function allowed(perS: number): number {
+/** Number of requests in a window that a limit allows at most. */
+function maxRequests(perS: number): number {
   return 1.5 * perS * WINDOW_MS / 1_000 + 5;
 }
 
-/** Routers before runners of which the first one may name a limit. */
+/** Routers and runners; the first runner may state a rate limit. */
 class LimitedFleet {
   readonly linked: LinkedRouters;
-  /** Steady ms at which requests reached the first runner. */
+  /** Times at which requests reached the first runner, in monotonic ms. */
   readonly arrivals: number[] = [];
-  /** Requests a second that it names. */
+  /** Rate limit that the first runner states, in requests a second. */
   perS: number | undefined;
-  /** What callers were answered. */
+  /** Status codes that callers received. */
   readonly statuses: number[] = [];
-  #over = false;
+  #finished = false;
 
   private constructor(context: TestContext) {
     this.linked = new LinkedRouters(context);
-    context.after(() => this.#over = true);
+    context.after(() => this.#finished = true);
   }
 
   static async start(t: TestContext, routers: number): Promise<LimitedFleet> {
     const fleet = new LimitedFleet(t);
-    const played = await Promise.all(
-      Array.from({ length: RUNNERS }, (_, index) => fleet.#play(t, index)),
+    const fakes = await Promise.all(
+      Array.from(
+        { length: RUNNERS },
+        (_, index) => fleet.#startRunner(t, index),
+      ),
     );
-    fleet.linked.runners.set(played.map(({ runner }) => runner));
+    fleet.linked.runners.set(fakes.map(({ runner }) => runner));
     for (let count = 0; count < routers; count++) await fleet.linked.add();
     void fleet.#send();
     return fleet;
   }
 
-  /** Most requests that came in a window after a moment. */
+  /** Largest number of requests to the first runner in any window after a time. */
   mostInWindow(from: number): number {
     const counts = this.arrivals.filter((at) => at >= from).map((start) =>
       this.arrivals.filter((at) => at >= start && at < start + WINDOW_MS).length
@@ -54,45 +57,45 @@
     return Math.max(0, ...counts);
   }
 
-  #play(t: TestContext, index: number) {
+  #startRunner(t: TestContext, index: number) {
     return startFakeRunner(t, `r-${index}`, async (socket, _, id) => {
       const limited = index === 0;
       if (limited) this.arrivals.push(performance.now());
       const headers = limited && this.perS !== undefined
         ? `X-Limit: ${this.perS}\r\n`
         : "";
-      await pause(WORK_MS);
+      await pause(REQUEST_MS);
       socket.write(runnerResponse(id, "done", { headers }));
     });
   }
 
   async #send(): Promise<void> {
     const startedAt = performance.now();
-    for (let sent = 0; !this.#over; sent++) {
-      // What fails once the test is over has nobody to tell.
+    for (let sent = 0; !this.#finished; sent++) {
+      // Requests that fail after the end of the test are ignored.
       this.linked.send("work").then(
         ({ status }) => this.statuses.push(status),
         () => {},
       );
-      const dueMs = startedAt + sent * GAP_MS - performance.now();
+      const dueMs = startedAt + sent * INTERVAL_MS - performance.now();
       if (dueMs > 1) await pause(dueMs);
     }
   }
 }
 
-// Guards against daemons that each keep a limit by themselves, or not at all.
-test("a runner gets what it takes from all daemons together", async (t) => {
+// Guards against daemons that each apply the whole limit, or none.
+test("all daemons together keep a runner's limit", async (t) => {
   const fleet = await LimitedFleet.start(t, 7);
   fleet.perS = 1.4;
-  const namedAt = performance.now();
-  await pause(CONTACT_MS + WINDOW_MS);
-  const most = fleet.mostInWindow(namedAt + CONTACT_MS);
+  const statedAt = performance.now();
+  await pause(PROPAGATION_MS + WINDOW_MS);
+  const most = fleet.mostInWindow(statedAt + PROPAGATION_MS);
   t.diagnostic(`${most} requests in ${WINDOW_MS} ms`);
-  assert.ok(most <= allowed(1.4), `${most} requests`);
+  assert.ok(most <= maxRequests(1.4), `${most} requests`);
 });
 
-/** A fleet whose first runner names a limit that all routers know. */
-async function limitedFleet(t: TestContext): Promise<LimitedFleet> {
+/** Starts a fleet whose first runner has a limit that all routers know. */
+async function startLimitedFleet(t: TestContext): Promise<LimitedFleet> {
   const fleet = await LimitedFleet.start(t, 7);
   const { routers } = fleet.linked;
   fleet.perS = 1.4;
@@ -102,9 +105,9 @@
   return fleet;
 }
 
-// Guards against a runner in need that gets nothing, or is taken to fail.
-test("a runner with a limit goes on serving, and nobody is refused for it", async (t) => {
-  const fleet = await limitedFleet(t);
+// Guards against a limited runner that gets no requests or counts as failing.
+test("a runner with a limit goes on serving, and no request is refused", async (t) => {
+  const fleet = await startLimitedFleet(t);
   const { arrivals, statuses, linked } = fleet;
   const before = arrivals.length;
   await waitUntil(() => arrivals.length >= before + 6);
@@ -114,9 +117,9 @@
   }
 });
 
-// Guards against a runner that is kept out after it has recovered.
-test("a limit that a runner names no more ends at all routers", async (t) => {
-  const fleet = await limitedFleet(t);
+// Guards against a limit that stays in force after the runner has recovered.
+test("a limit ends at all routers when the runner no longer states it", async (t) => {
+  const fleet = await startLimitedFleet(t);
   const { routers } = fleet.linked;
   fleet.perS = undefined;
   await waitUntil(() =>
@@ -126,8 +129,8 @@
   await waitUntil(() => fleet.arrivals.length >= before + 20);
 });
 
-// Guards against repeats that go where first tries may not.
-test("a request is repeated at no runner that has had its limit", async (t) => {
+// Guards against retries that ignore limits.
+test("a request is not retried at a runner whose limit is used up", async (t) => {
   const linked = new LinkedRouters(t, {
     repetition: "idempotent",
     maxAttempts: 2,
@@ -146,8 +149,8 @@
   assert.equal(limited.requests.length, 0);
 });
 
-// Guards against refusals where the runner takes the request a moment later.
-test("where all runners have had their limits a request waits, then is refused", async (t) => {
+// Guards against immediate refusals although a runner is free a moment later.
+test("when all limits are used up a request waits before it is refused", async (t) => {
   const linked = new LinkedRouters(t, { timeoutMs: 1_000, patienceMs: 1_000 });
   const only = await startFakeRunner(t, "only", (socket, _, id) => {
     const headers = "X-Limit: 5\r\n";
@@ -170,8 +173,8 @@
   assert.equal(only.requests.length, 2 + 20 - refused.length);
 });
 
-// Guards against less urgent requests that take what an urgent one waits for.
-test("where all runners have had their limits the urgent request goes first", async (t) => {
+// Guards against less urgent requests that overtake a waiting urgent one.
+test("when all limits are used up the most urgent request goes first", async (t) => {
   const linked = new LinkedRouters(t, [
     { name: "calm", pathPrefix: "/calm/", tier: 1, timeoutMs: 3_000 },
     { name: "urgent", pathPrefix: "/urgent/", tier: 0, timeoutMs: 3_000 },
@@ -188,12 +191,12 @@
     sentAt: now,
     now,
   });
-  const calm = Array.from(
+  const lessUrgent = Array.from(
     { length: 6 },
     () => linked.send("work", { path: "/calm/" }),
   );
   await pause(50);
   await linked.send("work", { path: "/urgent/" });
   assert.ok(served.indexOf("urgent") <= 1, served.join());
-  await Promise.all(calm);
+  await Promise.all(lessUrgent);
 });
--- a/packages/router/tests/restart_test.ts
+++ b/packages/router/tests/restart_test.ts
@@ -18,21 +18,20 @@
 
 const PROMPT = [{ id: "brief", tokens: 13_000 }, { id: "own", tokens: 10 }];
 
-function lifeOf(played: FakeRunner, startedAtMs: number) {
-  const { runner } = played;
+function startedRunner(fake: FakeRunner, startedAtMs: number) {
+  const { runner } = fake;
   return { ...runner, id: runnerId(runner.name, startedAtMs), startedAtMs };
 }
 
-// A runner fails twice in a row and gets no work for a while; it crashes and is
-// started again under its name. A caller that comes now is served at once: the
-// failures, and the rest after them, were those of the life before.
-test("a restart under the same name starts with no failures", async (t) => {
-  let broken = true;
-  const played = await startFakeRunner(t, "a", (socket, _, id) => {
-    if (broken) return void socket.destroy();
+// Guards against a restarted runner that gets no requests because of its previous
+// incarnation: that one failed twice in a row and was ejected before it crashed.
+test("a runner that restarts under its name starts without failures", async (t) => {
+  let failing = true;
+  const fake = await startFakeRunner(t, "a", (socket, _, id) => {
+    if (failing) return void socket.destroy();
     socket.write(runnerResponse(id, "well"));
   });
-  const runners = new SettableFeed([lifeOf(played, 100)]);
+  const runners = new SettableFeed([startedRunner(fake, 100)]);
   const configuration = testConfiguration([
     testRoute({ repetition: "idempotent" }),
   ]);
@@ -41,30 +40,30 @@
     runners,
   });
   await waitUntil(() => router.ready);
-  for (let tries = 0; tries < 2; tries++) await sendRequest(router);
+  for (let attempts = 0; attempts < 2; attempts++) await sendRequest(router);
   const before = runnerId("a", 100);
   assert.ok(router.loads.of(before).isEjected(router.now()));
-  broken = false;
-  runners.set([lifeOf(played, 200)]);
+  failing = false;
+  runners.set([startedRunner(fake, 200)]);
   const after = runnerId("a", 200);
   await waitUntil(() => router.fleet("service").runners[0]?.id === after);
   assert.equal((await sendRequest(router)).body, "well");
   assert.equal(router.loads.of(after).failures, 0);
 });
 
-// Two daemons see a restart seconds apart. The one that lags still tells what it
-// has at the life before, and what that one has read; the other must not count
-// either for the new life, which is empty.
-test("what a peer tells of the life before is not the new life's", () => {
+// Two daemons see a restart seconds apart. The lagging one still sends loads and
+// prompt prefixes of the previous incarnation. The other must not count them for the
+// new incarnation, which has none.
+test("a peer's state of a previous incarnation does not apply to the new one", () => {
   const lagging = new RunnerLoads();
   lagging.of(runnerId("a", 100)).place({
     unreadTokens: 13_000,
     memoryTokens: 14_000,
     tight: false,
   }, 0);
-  const told = new LoadSums(lagging).snapshot(() => true);
+  const sent = new LoadSums(lagging).snapshot(() => true);
   const ahead = new RunnerLoads();
-  for (const share of told) {
+  for (const share of sent) {
     ahead.of(share.runner).setNeighbourLoad("host-2", share, { now: 0 });
   }
   const prefixes = new PrefixIndex();
@@ -78,9 +77,9 @@
   assert.equal(prefixes.cachedTokens(after, PROMPT, 1), 0);
 });
 
-// The daemon that lags removes another runner from its list before it has heard
-// of the new life. What its peer has there must still count afterwards.
-test("a load that peers told of a life not yet listed is kept", () => {
+// A lagging daemon applies a list of runners that does not have the new incarnation
+// yet. The load that a peer has sent for that incarnation must be kept.
+test("a peer's load of an incarnation that is not listed yet is kept", () => {
   const loads = new RunnerLoads();
   const share = { ...loads.of("b").own, inFlight: 3 };
   loads.of(runnerId("a", 200)).setNeighbourLoad("host-2", share, { now: 0 });
@@ -88,11 +87,10 @@
   assert.equal(loads.of(runnerId("a", 200)).total.inFlight, 3);
 });
 
-// A runner is gone and its address belongs to another service by now, under
-// another name. What is sent there is refused as meant for somebody else; the
-// caller is told that it has not run, and another runner is tried if there is
-// one.
-test("an address that was taken over costs the caller nothing", async (t) => {
+// The address of a runner that is gone now belongs to a runner of another service.
+// That one refuses the request as misdirected, without executing it, so the router
+// must retry at another runner.
+test("an address that another runner has taken over does not fail requests", async (t) => {
   const taken = await startFakeRunner(t, "taken", (socket, _, id) => {
     socket.write(runnerResponse(id, "no", {
       status: "421 Misdirected Request",
@@ -106,10 +104,13 @@
     configurations: new SettableFeed([
       testConfiguration([testRoute({ maxAttempts: 2 })]),
     ]),
-    runners: new SettableFeed([lifeOf(taken, 100), lifeOf(other, 100)]),
+    runners: new SettableFeed([
+      startedRunner(taken, 100),
+      startedRunner(other, 100),
+    ]),
   });
   await waitUntil(() => router.ready);
-  for (let tries = 0; tries < 6; tries++) {
+  for (let attempts = 0; attempts < 6; attempts++) {
     assert.equal((await sendRequest(router)).body, "well");
   }
   assert.ok(taken.requests.length <= 3);
