--- a/packages/router/tests/crash_updates_test.ts
+++ b/packages/router/tests/crash_updates_test.ts
@@ -56,7 +56,7 @@
     assertAllRefuse(fleet.members, "bad");
   });
 
-  test(`one of ${daemons} daemons still refuses it after a restart`, async (t) => {
+  test(`one of ${daemons} daemons still refuses the request after a restart`, async (t) => {
     const { clock, fleet } = await startSettledFleet(t, shape);
     await crashThreeRunners(clock, fleet.members, "bad");
     await clock.advance(PROPAGATION_MS);
--- a/packages/router/tests/crashing_request_test.ts
+++ b/packages/router/tests/crashing_request_test.ts
@@ -74,8 +74,8 @@
   ];
   await waitUntil(() => fleet.countArrivals(CRASHING) === 2);
   await crashUntilRefused(fleet);
-  const answers = await Promise.all(waiting);
-  assert.deepEqual(answers.map(({ status }) => status), [502, 502]);
+  const responses = await Promise.all(waiting);
+  assert.deepEqual(responses.map(({ status }) => status), [502, 502]);
   assert.equal(fleet.withdrawn, 2);
 });
 
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -195,8 +195,8 @@
     }
     const { revision, values } = this.#listing;
     const names = new Set(values.map(nameOf));
-    const left = [...this.#seenNames].filter((name) => !names.has(name));
-    return { revision, updated: values, removed: left };
+    const removed = [...this.#seenNames].filter((name) => !names.has(name));
+    return { revision, updated: values, removed };
   }
 
   #recordNames(values: readonly T[]): void {
--- a/packages/router/tests/forwarding_test.ts
+++ b/packages/router/tests/forwarding_test.ts
@@ -29,11 +29,7 @@
   });
   assert.deepEqual(
     [response.status, response.body, response.headers["x-own"]],
-    [
-      200,
-      "done",
-      "1",
-    ],
+    [200, "done", "1"],
   );
   const [request = ""] = runner.requests;
   assert.match(request, /^POST \/a\/b\?c=d%20e HTTP\/1\.1\r\n/);
@@ -153,11 +149,7 @@
   const response = await sendRequest(router);
   assert.deepEqual(
     [response.status, response.body, response.headers["x-seal"]],
-    [
-      500,
-      "failed",
-      "s",
-    ],
+    [500, "failed", "s"],
   );
 });
 
--- a/packages/router/tests/leader_fleet_test.ts
+++ b/packages/router/tests/leader_fleet_test.ts
@@ -12,7 +12,7 @@
 ];
 /** Time after the start of a fleet until its leader makes calls, in ms. */
 const FIRST_CALL_MS = 6_000;
-/** Time after the loss of a leader until another one leads, in ms. */
+/** Time until the lease of a lost leader has expired and another leads, in ms. */
 const FAILOVER_MS = 6_000;
 /** Bound for the calls to the leader's store of a whole fleet, in calls a second. */
 const MAX_CALLS_PER_S = 1.5;
--- a/packages/router/tests/limit_updates_test.ts
+++ b/packages/router/tests/limit_updates_test.ts
@@ -45,7 +45,7 @@
     receiveResponse(fleet.members.at(-1)!, PER_S);
     await clock.advance(PROPAGATION_MS);
     assertLimitAtAll(fleet.members, PER_S);
-    // All daemons compute the same few share shareHolders.
+    // All daemons compute the same few holders of shares.
     assert.equal(shareHolders(fleet.members).length, SHARE_HOLDERS);
     await clock.advance(PROPAGATION_MS);
     receiveResponse(shareHolders(fleet.members)[0]!, undefined);
--- a/packages/router/tests/limited_runner_test.ts
+++ b/packages/router/tests/limited_runner_test.ts
@@ -161,10 +161,10 @@
   const first = await linked.send("work");
   const second = await linked.send("work");
   assert.deepEqual([first.status, second.status], [200, 200]);
-  const answers = await Promise.all(
+  const responses = await Promise.all(
     Array.from({ length: 20 }, () => linked.send("work")),
   );
-  const refused = answers.filter(({ status }) => status === 503);
+  const refused = responses.filter(({ status }) => status === 503);
   assert.ok(refused.length > 0 && refused.length < 20, `${refused.length}`);
   for (const { body, headers } of refused) {
     assert.deepEqual(JSON.parse(body), { error: "overloaded" });
--- a/packages/router/tests/survey_assignment_test.ts
+++ b/packages/router/tests/survey_assignment_test.ts
@@ -9,8 +9,8 @@
 /** Counts for each runner the daemons that would survey it. */
 function surveyorsOf(members: readonly Member[]): readonly number[] {
   const surveyors = Array.from({ length: RUNNERS }, () => 0);
-  for (const { fleetSync: neighbourhood } of members) {
-    const { own, names } = neighbourhood.view;
+  for (const { fleetSync } of members) {
+    const { own, names } = fleetSync.view;
     const rendezvous = new Rendezvous(names);
     surveyors.forEach((_, index) => {
       const first = rendezvous.first(`r-${index}`, () => true);
