--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { EventLog } from "../process/event_log.ts";
-import { Follower } from "../process/feed.ts";
+import { FeedFollower } from "../process/feed.ts";
 import type { ContactListener, Feed, FollowerTiming } from "../process/feed.ts";
 import { pause } from "../process/pause.ts";
 import { Pulse } from "../process/pulse.ts";
@@ -53,8 +53,8 @@
 /** Follows both kinds of objects until the process stops. */
 export class StoreFollowers {
   readonly #context: FollowerContext;
-  readonly #configurations: Follower<Configuration>;
-  readonly #runners: Follower<Runner>;
+  readonly #configurations: FeedFollower<Configuration>;
+  readonly #runners: FeedFollower<Runner>;
   /** Wakes both followers at the same time while this daemon does not watch. */
   readonly #checks = new Pulse(CHECK_MS);
 
@@ -95,7 +95,7 @@
    * time to learn from its neighbours which daemons watch.
    */
   async #follow(
-    follower: Follower<unknown>,
+    follower: FeedFollower<unknown>,
     opened: Promise<void>,
     hasData: () => boolean,
   ): Promise<void> {
@@ -106,16 +106,18 @@
   }
 
   /** Whether neither the store nor a peer has delivered data for a long time. */
-  #isUninformed({ confirmedAt }: Follower<unknown>): boolean {
+  #isUninformed({ confirmedAt }: FeedFollower<unknown>): boolean {
     const informedAt = Math.max(confirmedAt, this.#context.lastResponseAt());
     return performance.now() - informedAt >= UNINFORMED_MS;
   }
 
-  #followConfigurations(feed: Feed<Configuration>): Follower<Configuration> {
+  #followConfigurations(
+    feed: Feed<Configuration>,
+  ): FeedFollower<Configuration> {
     const adoptAll = (values: readonly Configuration[]) => {
       for (const value of values) this.#context.adopt(value);
     };
-    return new Follower(feed, {
+    return new FeedFollower(feed, {
       listed: ({ values }) => adoptAll(values),
       changed: ({ updated }) => adoptAll(updated),
     }, {
@@ -127,9 +129,9 @@
     });
   }
 
-  #followRunners(feed: Feed<Runner>): Follower<Runner> {
+  #followRunners(feed: Feed<Runner>): FeedFollower<Runner> {
     const { directory } = this.#context;
-    return new Follower(feed, {
+    return new FeedFollower(feed, {
       listed: ({ revision, values }) => {
         directory.replace({ revision, runners: values });
       },
@@ -152,7 +154,7 @@
    */
   #timing(
     hasData: () => boolean,
-    follower: () => Follower<unknown>,
+    follower: () => FeedFollower<unknown>,
   ): FollowerTiming {
     const { own, peers, random } = this.#context;
     return {
--- a/packages/router/src/process/feed.ts
+++ b/packages/router/src/process/feed.ts
@@ -83,7 +83,7 @@
 }
 
 /** Follows a feed for as long as the process lives. */
-export class Follower<T> {
+export class FeedFollower<T> {
   readonly #feed: Feed<T>;
   readonly #sink: FeedSink<T>;
   readonly #contact: ContactListener;
--- a/packages/router/src/process/feed_test.ts
+++ b/packages/router/src/process/feed_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { mock, test } from "node:test";
-import { FeedError, Follower } from "./feed.ts";
+import { FeedError, FeedFollower } from "./feed.ts";
 import type { Changes, Feed, Listing } from "./feed.ts";
 
 /** Plays the answers of a store one after the other, then is silent. */
@@ -43,7 +43,7 @@
   let feed: PlayedFeed | undefined;
   await new Promise<void>((resolve) => {
     feed = new PlayedFeed(answers, resolve);
-    const follower = new Follower(feed, {
+    const follower = new FeedFollower(feed, {
       listed: ({ values }) => seen.push(`listed ${values}`),
       changed: ({ updated: entered }) => seen.push(`changed ${entered}`),
     }, {
@@ -127,7 +127,7 @@
     () => new FeedError("unavailable", "down"),
   );
   const feed = new PlayedFeed(failures, () => {});
-  const follower = new Follower(feed, { listed() {}, changed() {} }, {
+  const follower = new FeedFollower(feed, { listed() {}, changed() {} }, {
     contact: { lost: () => follower.hurry(), regained() {} },
     timing: {
       waitMs: () => 1,
@@ -154,7 +154,7 @@
     { revision: 9, updated: ["b", "c"], removed: [] },
   ], () => {});
   const seen: string[] = [];
-  const follower = new Follower(feed, {
+  const follower = new FeedFollower(feed, {
     listed() {},
     changed: ({ updated: entered }) => seen.push(...entered),
   }, {
