--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -5,7 +5,11 @@
  */
 import type { EventLog } from "../process/event_log.ts";
 import { FeedFollower } from "../process/feed.ts";
-import type { ContactListener, Feed, FollowerTiming } from "../process/feed.ts";
+import type {
+  ConnectivityListener,
+  Feed,
+  FollowerTiming,
+} from "../process/feed.ts";
 import { pause } from "../process/pause.ts";
 import { Pulse } from "../process/pulse.ts";
 import type { RequestMetrics } from "../process/metrics.ts";
@@ -166,7 +170,7 @@
     };
   }
 
-  #connectivityListener(dependency: string): ContactListener {
+  #connectivityListener(dependency: string): ConnectivityListener {
     const { log, metrics } = this.#context;
     return {
       lost: (reason) => {
--- a/packages/router/src/process/feed.ts
+++ b/packages/router/src/process/feed.ts
@@ -77,7 +77,7 @@
  */
 const REST_MS = 100;
 /** Told of lost and regained contact. */
-export interface ContactListener {
+export interface ConnectivityListener {
   lost(reason: string): void;
   regained(afterMs: number): void;
 }
@@ -86,7 +86,7 @@
 export class FeedFollower<T> {
   readonly #feed: Feed<T>;
   readonly #sink: FeedSink<T>;
-  readonly #contact: ContactListener;
+  readonly #contact: ConnectivityListener;
   readonly #timing: FollowerTiming;
   #stopped = false;
   #revision: number | undefined;
@@ -102,7 +102,7 @@
     feed: Feed<T>,
     sink: FeedSink<T>,
     options: {
-      readonly contact: ContactListener;
+      readonly contact: ConnectivityListener;
       readonly timing: FollowerTiming;
     },
   ) {
