--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -85,8 +85,8 @@
 
   /** Ends the current watches; the next ones start on new connections. */
   restartWatches(): void {
-    this.#configurations.hurry();
-    this.#runners.hurry();
+    this.#configurations.restartWatch();
+    this.#runners.restartWatch();
   }
 
   /** Time at which the store last confirmed the list of runners, in monotonic ms. */
--- a/packages/router/src/process/feed.ts
+++ b/packages/router/src/process/feed.ts
@@ -132,7 +132,7 @@
 
   stop(): void {
     this.#stopped = true;
-    this.hurry();
+    this.restartWatch();
   }
 
   /**
@@ -140,7 +140,7 @@
    * connection. Without a wait it changes nothing, or failures that follow
    * would count as hurries and have no pause between them.
    */
-  hurry(): void {
+  restartWatch(): void {
     this.#wait?.abort();
   }
 
--- a/packages/router/src/process/feed_test.ts
+++ b/packages/router/src/process/feed_test.ts
@@ -128,7 +128,7 @@
   );
   const feed = new PlayedFeed(failures, () => {});
   const follower = new FeedFollower(feed, { listed() {}, changed() {} }, {
-    contact: { lost: () => follower.hurry(), regained() {} },
+    contact: { lost: () => follower.restartWatch(), regained() {} },
     timing: {
       waitMs: () => 1,
       active: () => true,
