--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -317,7 +317,7 @@
    *
    * @returns whether nothing was cut off.
    */
-  async leave(): Promise<boolean> {
+  async shutDown(): Promise<boolean> {
     this.#lifecycle.leave();
     void this.#leadership.leave();
     void this.#neighbourhood.leave();
--- a/packages/router/tests/graceful_shutdown_test.ts
+++ b/packages/router/tests/graceful_shutdown_test.ts
@@ -22,7 +22,7 @@
     socket.write(runnerResponse(id, "done"));
   });
   const router = await startSingleRouteRouter(t, {}, [runner]);
-  const leaving = router.leave();
+  const leaving = router.shutDown();
   assert.equal(router.ready, false);
   const response = await sendRequest(router, {
     headers: { connection: "keep-alive" },
@@ -41,7 +41,7 @@
   await once(socket, "connect");
   socket.resume();
   const closed = once(socket, "end");
-  assert.equal(await router.leave(), true);
+  assert.equal(await router.shutDown(), true);
   await closed;
 });
 
