--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -52,7 +52,7 @@
 /** What the platform provides. */
 export interface Platform extends SharedStore, LeaderPlatform {
   readonly dialect: Dialect;
-  readonly memory: EngineCache;
+  readonly engineCache: EngineCache;
 }
 
 /** Milliseconds between two looks of waiting requests whether there is room. */
@@ -166,12 +166,12 @@
       random: () => this.random(),
     });
     const mayQuery = ({ id }: Runner) => this.#mayAsk(id);
-    this.#survey = new CacheSurvey(platform.memory, {
+    this.#survey = new CacheSurvey(platform.engineCache, {
       prefixes: this.prefixes,
       log,
       mayQuery,
     });
-    this.#restarts = new RestartDetector(platform.memory, {
+    this.#restarts = new RestartDetector(platform.engineCache, {
       directory: this.#directory,
       log,
       mayQuery,
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -384,7 +384,7 @@
     configurations: parts.configurations,
     runners: parts.runners,
     daemons: NO_DAEMONS,
-    memory: {
+    engineCache: {
       cachedParts: () => Promise.resolve({ startedAtMs: undefined, parts: [] }),
       startTime: () => Promise.resolve(undefined),
     },
