--- a/packages/router/src/leadership.ts
+++ b/packages/router/src/leadership.ts
@@ -22,7 +22,7 @@
 /** Where leaders agree, and whom they call. */
 export interface LeaderPlatform {
   /** Where daemons agree who leads. */
-  readonly leaders: LeaderStore;
+  readonly leaderStore: LeaderStore;
   /** Absent where the platform has none. */
   readonly api: PlatformApi | undefined;
 }
@@ -50,7 +50,7 @@
 
   constructor(
     settings: LeadershipSettings | undefined,
-    { leaders: store, api }: LeaderPlatform,
+    { leaderStore: store, api }: LeaderPlatform,
     parts: LeadershipParts,
   ) {
     const { own, log } = parts;
--- a/packages/router/tests/fixtures.ts
+++ b/packages/router/tests/fixtures.ts
@@ -388,7 +388,7 @@
       cachedParts: () => Promise.resolve({ startedAtMs: undefined, parts: [] }),
       startTime: () => Promise.resolve(undefined),
     },
-    leaders: new MemoryLeaderStore(),
+    leaderStore: new MemoryLeaderStore(),
     api: undefined,
   }, parts.log ?? SILENT_LOG);
   await router.start();
