--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -99,7 +99,8 @@
       random: options.random,
       configured: () => state.configuration() !== undefined,
       lastResponseAt: () => this.#exchange.lastResponseAt,
-      adopt: (configuration) => state.adopt(configuration, "store"),
+      adopt: (configuration) =>
+        state.applyConfiguration(configuration, "store"),
     }, store);
     this.#registration = new Registration(store.daemons, {
       own,
--- a/packages/router/src/connection/state_exchange_test.ts
+++ b/packages/router/src/connection/state_exchange_test.ts
@@ -37,7 +37,7 @@
       ...withoutLeadership(),
       directory: new RunnerDirectory(),
       configuration: () => undefined,
-      adopt() {},
+      applyConfiguration() {},
     }, {
       own: {
         name: "a",
--- a/packages/router/src/connection/version_exchange.ts
+++ b/packages/router/src/connection/version_exchange.ts
@@ -19,7 +19,7 @@
   /** The configuration in force. */
   configuration(): Configuration | undefined;
   /** Applies a configuration from a peer. */
-  adopt(configuration: Configuration, source: string): void;
+  applyConfiguration(configuration: Configuration, source: string): void;
 }
 
 /**
@@ -133,7 +133,9 @@
     const now = performance.now();
     this.#requestedAt = -Infinity;
     this.#lastResponseAt = now;
-    if (configuration) this.#state.adopt(configuration, `peer ${peer.name}`);
+    if (configuration) {
+      this.#state.applyConfiguration(configuration, `peer ${peer.name}`);
+    }
     if (runners) this.#state.directory.applyUpdate(runners);
     for (const each of parts) this.#state.prefixes.applyUpdate(each, now);
   }
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -154,7 +154,8 @@
       limits: this.limits,
       directory: this.#directory,
       configuration: () => this.#configuration,
-      adopt: (configuration, source) => this.#adopt(configuration, source),
+      applyConfiguration: (configuration, source) =>
+        this.#adopt(configuration, source),
     }, {
       own,
       log,
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -385,7 +385,7 @@
       lease: this.lease,
       directory: this.directory,
       configuration: () => this.configuration,
-      adopt: (configuration) => this.#adopt(configuration),
+      applyConfiguration: (configuration) => this.#adopt(configuration),
     }, {
       own: contact,
       store,
