--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -99,7 +99,7 @@
       random: options.random,
       configured: () => state.configuration() !== undefined,
       lastResponseAt: () => this.#exchange.lastResponseAt,
-      adopt: (configuration) =>
+      applyConfiguration: (configuration) =>
         state.applyConfiguration(configuration, "store"),
     }, store);
     this.#registration = new Registration(store.daemons, {
@@ -195,8 +195,8 @@
   }
 
   /** Removes this daemon's registration from the store. */
-  leave(): Promise<void> {
-    return this.#registration.deregister();
+  deregister(): Promise<void> {
+    return this.#registration.leave();
   }
 
   get #reachable(): readonly Contact[] {
--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -51,7 +51,7 @@
   /** Time of the last fetch response from a peer, in monotonic ms. */
   lastResponseAt(): number;
   /** Applies a configuration from the store. */
-  adopt(configuration: Configuration): void;
+  applyConfiguration(configuration: Configuration): void;
 }
 
 /** Follows both kinds of objects until the process stops. */
@@ -119,7 +119,7 @@
     feed: Feed<Configuration>,
   ): FeedFollower<Configuration> {
     const adoptAll = (values: readonly Configuration[]) => {
-      for (const value of values) this.#context.adopt(value);
+      for (const value of values) this.#context.applyConfiguration(value);
     };
     return new FeedFollower(feed, {
       listed: ({ values }) => adoptAll(values),
--- a/packages/router/src/leadership.ts
+++ b/packages/router/src/leadership.ts
@@ -73,8 +73,8 @@
   }
 
   /** A runner has begun a request of a workspace. */
-  began(workspace: string): void {
-    this.usage?.countRequest(workspace);
+  requestStarted(workspace: string): void {
+    this.usage?.began(workspace);
   }
 
   start(): void {
@@ -88,7 +88,7 @@
   }
 
   /** Hands over, if this daemon leads. */
-  async leave(): Promise<void> {
+  async stepDown(): Promise<void> {
     await this.#leader?.leave();
   }
 
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -239,7 +239,9 @@
   requestStarted(
     { workspace }: { readonly workspace: Workspace | undefined },
   ): void {
-    if (workspace !== undefined) this.#leadership.began(workspace.name);
+    if (workspace !== undefined) {
+      this.#leadership.requestStarted(workspace.name);
+    }
   }
 
   limitQueue(service: string): LimitQueue {
@@ -320,8 +322,8 @@
    */
   async shutDown(): Promise<boolean> {
     this.#lifecycle.leave();
-    void this.#leadership.leave();
-    void this.#neighbourhood.leave();
+    void this.#leadership.stepDown();
+    void this.#neighbourhood.deregister();
     const cut = await shutDownGracefully(this.#server, {
       graceMs: () => this.#settings.graceMs,
       lifecycle: this.#lifecycle,
