--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -196,7 +196,7 @@
 
   /** Removes this daemon's registration from the store. */
   deregister(): Promise<void> {
-    return this.#registration.leave();
+    return this.#registration.deregister();
   }
 
   get #reachable(): readonly Contact[] {
--- a/packages/router/src/leadership.ts
+++ b/packages/router/src/leadership.ts
@@ -74,7 +74,7 @@
 
   /** A runner has begun a request of a workspace. */
   requestStarted(workspace: string): void {
-    this.usage?.began(workspace);
+    this.usage?.countRequest(workspace);
   }
 
   start(): void {
