--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -106,7 +106,7 @@
       own,
       log,
       host: {
-        isContact: () => this.#isContact(),
+        shouldRegister: () => this.#isContact(),
         isAlone: () => this.#peers.count === 0,
         isKnown: (address) =>
           this.#exchange.contacts().some((each) => each.address === address),
--- a/packages/router/src/process/daemon_registry.ts
+++ b/packages/router/src/process/daemon_registry.ts
@@ -37,7 +37,7 @@
 /** What the registration decides by. */
 export interface RegistrationContext {
   /** Whether others should find this daemon in the store. */
-  isContact(): boolean;
+  shouldRegister(): boolean;
   /** Whether no other daemon answers. */
   isAlone(): boolean;
   /** Whether an address is that of a daemon that is known. */
@@ -98,7 +98,7 @@
   async #enterWhenNeeded(): Promise<void> {
     while (!this.#stopped && !this.#entered) {
       await pause(spread(ENTER_LOOK_MS), { background: true });
-      if (this.#stopped || !this.#host.isContact()) continue;
+      if (this.#stopped || !this.#host.shouldRegister()) continue;
       this.#entered = await this.#done(
         "enter",
         () => this.#registry.register(this.#name, this.#address),
@@ -109,7 +109,8 @@
   async #searchWhenNeeded(): Promise<void> {
     await pause(SEEDS_MS, { background: true });
     for (let looks = 1; !this.#stopped; looks++) {
-      const reunion = looks % REUNION_LOOKS === 0 && this.#host.isContact();
+      const reunion = looks % REUNION_LOOKS === 0 &&
+        this.#host.shouldRegister();
       if (this.#host.isAlone() || reunion) await this.#search();
       await pause(spread(SEARCH_LOOK_MS), { background: true });
     }
