--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -110,7 +110,7 @@
         isAlone: () => this.#peers.count === 0,
         isKnown: (address) =>
           this.#exchange.contacts().some((each) => each.address === address),
-        found: (addresses) =>
+        addressesFound: (addresses) =>
           this.#peers.discover([...this.#seeds, ...addresses]),
       },
     });
--- a/packages/router/src/process/daemon_registry.ts
+++ b/packages/router/src/process/daemon_registry.ts
@@ -43,7 +43,7 @@
   /** Whether an address is that of a daemon that is known. */
   isKnown(address: string): boolean;
   /** Takes addresses of daemons that may be there. */
-  found(addresses: readonly string[]): void;
+  addressesFound(addresses: readonly string[]): void;
 }
 
 /**
@@ -120,7 +120,7 @@
     await this.#done("search", async () => {
       const addresses = await this.#registry.addresses();
       const unknown = addresses.filter((each) => !this.#host.isKnown(each));
-      this.#host.found(sample(unknown, MAX_FOUND));
+      this.#host.addressesFound(sample(unknown, MAX_FOUND));
     });
   }
 
