--- a/packages/router/src/process/metrics.ts
+++ b/packages/router/src/process/metrics.ts
@@ -101,7 +101,7 @@
   }
 
   /** Counts a request that ended. */
-  ended(service: string, outcome: string, elapsedMs: number): void {
+  requestEnded(service: string, outcome: string, elapsedMs: number): void {
     this.#ended.inc({ service, outcome });
     this.#seconds.observe({ service }, elapsedMs / MS_PER_SECOND);
   }
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -196,7 +196,7 @@
     const { startedAt, attempts } = this.#progress;
     const elapsedMs = this.#daemon.now() - startedAt;
     const result = outcomeName(outcome);
-    this.#daemon.metrics.ended(
+    this.#daemon.metrics.requestEnded(
       routed?.service.name ?? "none",
       result,
       elapsedMs,
