--- a/packages/router/src/process/metrics.ts
+++ b/packages/router/src/process/metrics.ts
@@ -107,7 +107,7 @@
   }
 
   /** Counts a new connection to a runner. */
-  connected(service: string): void {
+  runnerConnected(service: string): void {
     this.#connections.inc({ service });
   }
 
--- a/packages/router/src/request/create_attempt.ts
+++ b/packages/router/src/request/create_attempt.ts
@@ -51,6 +51,6 @@
     dialect: daemon.dialect,
     connections: daemon.connections,
     maxConnections: daemon.connectionShare(service),
-    onConnect: () => daemon.metrics.connected(service.name),
+    onConnect: () => daemon.metrics.runnerConnected(service.name),
   });
 }
