--- a/packages/router/src/process/lifecycle.ts
+++ b/packages/router/src/process/lifecycle.ts
@@ -18,7 +18,7 @@
   }
 
   /** Adds something without which the daemon is not ready. */
-  require(name: string, met: () => boolean): void {
+  addRequirement(name: string, met: () => boolean): void {
     this.#requirements.set(name, met);
   }
 
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -118,8 +118,14 @@
     this.crashes = new CrashRecord(log);
     this.limits = new RunnerLimits(log, () => this.#neighbourhood.view);
     this.#lifecycle = new Lifecycle(log);
-    this.#lifecycle.require("configuration", () => this.#table !== undefined);
-    this.#lifecycle.require("runners", () => this.#directory.revision > 0);
+    this.#lifecycle.addRequirement(
+      "configuration",
+      () => this.#table !== undefined,
+    );
+    this.#lifecycle.addRequirement(
+      "runners",
+      () => this.#directory.revision > 0,
+    );
     this.#server = new CallerServer(
       (request, response) => this.#handle(request, response),
       settings.maxConnections,
