--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -11,7 +11,7 @@
   FollowerTiming,
 } from "../process/feed.ts";
 import { pause } from "../process/pause.ts";
-import { Pulse } from "../process/pulse.ts";
+import { SharedTimer } from "../process/pulse.ts";
 import type { RequestMetrics } from "../process/metrics.ts";
 import type { Runner } from "../process/runner.ts";
 import type { RunnerDirectory } from "../process/runner_directory.ts";
@@ -60,7 +60,7 @@
   readonly #configurations: FeedFollower<Configuration>;
   readonly #runners: FeedFollower<Runner>;
   /** Wakes both followers at the same time while this daemon does not watch. */
-  readonly #checks = new Pulse(CHECK_MS);
+  readonly #checks = new SharedTimer(CHECK_MS);
 
   constructor(context: FollowerContext, feeds: {
     readonly configurations: Feed<Configuration>;
--- a/packages/router/src/process/pulse.ts
+++ b/packages/router/src/process/pulse.ts
@@ -15,7 +15,7 @@
  * while (!ready()) await pulse.next();
  * ```
  */
-export class Pulse {
+export class SharedTimer {
   readonly #periodMs: number;
   #waiting: (() => void)[] = [];
 
--- a/packages/router/src/process/pulse_test.ts
+++ b/packages/router/src/process/pulse_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { mock, test } from "node:test";
-import { Pulse } from "./pulse.ts";
+import { SharedTimer } from "./pulse.ts";
 
 // In a burst a daemon holds dozens of requests that look for room. Woken one by
 // one, it spends its processor on waking, and answers come late.
@@ -8,7 +8,7 @@
   mock.timers.enable({ apis: ["setTimeout"] });
   t.after(() => mock.timers.reset());
   const timers = t.mock.method(globalThis, "setTimeout");
-  const pulse = new Pulse(20);
+  const pulse = new SharedTimer(20);
   const woken: number[] = [];
   for (let index = 0; index < 25; index++) {
     void pulse.next().then(() => woken.push(index));
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -24,7 +24,7 @@
 import { LimitQueue } from "./process/limit_queue.ts";
 import { Lifecycle } from "./process/lifecycle.ts";
 import { RequestMetrics } from "./process/metrics.ts";
-import { Pulse } from "./process/pulse.ts";
+import { SharedTimer } from "./process/pulse.ts";
 import { PerService } from "./process/per_service.ts";
 import { PrefixIndex } from "./process/prefix_index.ts";
 import { RestartDetector } from "./process/restart_detector.ts";
@@ -86,7 +86,7 @@
   readonly prefixes = new PrefixIndex();
   readonly crashes: CrashRecord;
   readonly limits: RunnerLimits;
-  readonly sharedTimer = new Pulse(ROOM_LOOK_MS);
+  readonly sharedTimer = new SharedTimer(ROOM_LOOK_MS);
   readonly metrics = new RequestMetrics();
   readonly log: EventLog;
   #settings: RouterSettings;
