--- a/packages/router/src/leadership.ts
+++ b/packages/router/src/leadership.ts
@@ -111,7 +111,7 @@
       },
       demand: ordersRunners ? new Autoscaler(made.parts) : undefined,
       eligible: () => neighbourhood().mayLead,
-      changed: () => neighbourhood().leaseChanged(),
+      leaseChanged: () => neighbourhood().leaseChanged(),
       now: () => this.time.now(),
       steady: () => HOST_CLOCKS.monotonic(),
       random,
--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -58,7 +58,7 @@
   /** Whether this daemon should lead if nobody else does. */
   readonly eligible: () => boolean;
   /** Told when others should hear of the lease. */
-  readonly changed: () => void;
+  readonly leaseChanged: () => void;
   /** Epoch ms, as the fleet knows it. */
   readonly now: () => number;
   /** Steady ms. */
@@ -120,7 +120,7 @@
     this.stop();
     await this.#working;
     await this.#options.lease.release();
-    this.#options.changed();
+    this.#options.leaseChanged();
   }
 
   #restMs(): number {
@@ -131,7 +131,7 @@
   }
 
   async #step(): Promise<void> {
-    const { lease, eligible, changed, metrics } = this.#options;
+    const { lease, eligible, leaseChanged: changed, metrics } = this.#options;
     metrics.term(lease.fencing ?? 0);
     if (lease.held) return await this.#lead();
     if (!eligible()) return;
@@ -147,7 +147,7 @@
   }
 
   async #lead(): Promise<void> {
-    const { lease, eligible, changed } = this.#options;
+    const { lease, eligible, leaseChanged: changed } = this.#options;
     if (!eligible()) {
       await lease.release();
       return changed();
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -368,7 +368,7 @@
       },
       demand: undefined,
       eligible: () => this.fleetSync.mayLead,
-      changed: () => this.fleetSync.leaseChanged(),
+      leaseChanged: () => this.fleetSync.leaseChanged(),
       now: () => this.time.now(),
       steady: FAKE_CLOCKS.monotonic,
       random: Math.random,
--- a/packages/router/tests/leader_test.ts
+++ b/packages/router/tests/leader_test.ts
@@ -94,7 +94,7 @@
       usage: { meter, timing: TIMING, complete: () => true },
       demand: this.demand,
       eligible: () => true,
-      changed() {},
+      leaseChanged() {},
       now: () => time.now(),
       steady,
       random: Math.random,
