--- a/packages/router/src/leadership.ts
+++ b/packages/router/src/leadership.ts
@@ -113,7 +113,7 @@
       eligible: () => neighbourhood().mayLead,
       leaseChanged: () => neighbourhood().leaseChanged(),
       now: () => this.time.now(),
-      steady: () => HOST_CLOCKS.monotonic(),
+      monotonic: () => HOST_CLOCKS.monotonic(),
       random,
       log,
       metrics,
--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -62,7 +62,7 @@
   /** Epoch ms, as the fleet knows it. */
   readonly now: () => number;
   /** Steady ms. */
-  readonly steady: () => number;
+  readonly monotonic: () => number;
   /** In [0, 1). */
   readonly random: () => number;
   readonly log: EventLog;
@@ -165,7 +165,7 @@
 
   /** What is to be written besides a renewal. */
   #decide(): LeaderState | undefined {
-    const { lease, usage, log, metrics, steady } = this.#options;
+    const { lease, usage, log, metrics, monotonic: steady } = this.#options;
     let { state: work } = lease;
     const sources = this.#sources();
     const decision = sources && finalizeReports(work, sources);
@@ -204,7 +204,7 @@
 
   /** Sends one report that the platform has not taken. */
   async #report(): Promise<void> {
-    const { api, steady, log, metrics } = this.#options;
+    const { api, monotonic: steady, log, metrics } = this.#options;
     const report = this.#nextReport();
     if (report === undefined || steady() < this.#reportFrom) return;
     const call = this.#call();
@@ -250,7 +250,7 @@
 
   /** Sends the orders that are due, one after the other. */
   async #order(): Promise<void> {
-    const { lease, api, steady, metrics } = this.#options;
+    const { lease, api, monotonic: steady, metrics } = this.#options;
     for (const order of this.#orders.due(lease.state.orders, steady())) {
       const call = this.#call();
       if (call === undefined) return;
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -370,7 +370,7 @@
       eligible: () => this.fleetSync.mayLead,
       leaseChanged: () => this.fleetSync.leaseChanged(),
       now: () => this.time.now(),
-      steady: FAKE_CLOCKS.monotonic,
+      monotonic: FAKE_CLOCKS.monotonic,
       random: Math.random,
       log,
       metrics: { term() {}, usageWindow() {}, platformCall() {} },
--- a/packages/router/tests/leader_test.ts
+++ b/packages/router/tests/leader_test.ts
@@ -96,7 +96,7 @@
       eligible: () => true,
       leaseChanged() {},
       now: () => time.now(),
-      steady,
+      monotonic: steady,
       random: Math.random,
       log: SILENT_LOG,
       metrics: { term() {}, usageWindow() {}, platformCall() {} },
