--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -105,7 +105,7 @@
     this.#registration = new Registration(store.daemons, {
       own,
       log,
-      host: {
+      context: {
         shouldRegister: () => this.#isContact(),
         isAlone: () => this.#peers.count === 0,
         isKnown: (address) =>
--- a/packages/router/src/process/daemon_registry.ts
+++ b/packages/router/src/process/daemon_registry.ts
@@ -65,11 +65,11 @@
     registry: DaemonRegistry,
     options: {
       readonly own: { readonly name: string; readonly address: string };
-      readonly host: RegistrationContext;
+      readonly context: RegistrationContext;
       readonly log: EventLog;
     },
   ) {
-    const { own, host, log } = options;
+    const { own, context: host, log } = options;
     this.#registry = registry;
     this.#host = host;
     this.#name = own.name;
