--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -100,7 +100,7 @@
     )
   );
   readonly #paces = new PerService(() => new StreamPace());
-  readonly #limitWaits = new PerService(() => new LimitQueue());
+  readonly #limitQueues = new PerService(() => new LimitQueue());
   readonly #neighbourhood: FleetSync;
   readonly #leadership: Leadership;
   readonly #survey: CacheSurvey;
@@ -251,7 +251,7 @@
   }
 
   limitQueue(service: string): LimitQueue {
-    return this.#limitWaits.of(service);
+    return this.#limitQueues.of(service);
   }
 
   retryBudget(service: string): RetryBudget {
