--- a/packages/router/src/request/headers.ts
+++ b/packages/router/src/request/headers.ts
@@ -39,13 +39,13 @@
   dropped: ReadonlySet<string>,
 ): string[] {
   const named = connectionHeaderNames(headers);
-  const kept: string[] = [];
+  const endToEnd: string[] = [];
   for (let i = 0; i + 1 < headers.length; i += 2) {
     const name = headers[i]!.toLowerCase();
     if (HOP_BY_HOP.has(name) || named.has(name) || dropped.has(name)) continue;
-    kept.push(headers[i]!, headers[i + 1]!);
+    endToEnd.push(headers[i]!, headers[i + 1]!);
   }
-  return kept;
+  return endToEnd;
 }
 
 /** Returns the size of headers on the wire, with separators and line ends. */
--- a/packages/router/src/request/read_body.ts
+++ b/packages/router/src/request/read_body.ts
@@ -8,7 +8,7 @@
 
 /** A complete body, or why there is none. */
 export type BodyResult =
-  | { readonly kind: "whole"; readonly body: Buffer }
+  | { readonly kind: "complete"; readonly body: Buffer }
   | { readonly kind: "too-large" }
   | { readonly kind: "broken"; readonly reason: string };
 
@@ -30,7 +30,7 @@
         return resolve({ kind: "broken", reason: "ended early" });
       }
       const body = chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
-      resolve({ kind: "whole", body });
+      resolve({ kind: "complete", body });
     });
     incoming.on("error", (error) => {
       resolve({ kind: "broken", reason: error.message });
--- a/packages/router/src/request/response_relay.ts
+++ b/packages/router/src/request/response_relay.ts
@@ -118,7 +118,7 @@
     const { status, incoming } = response;
     if (response.head.sealed) this.#daemon.requestStarted(routed);
     const received = await readBody(incoming, MAX_BUFFERED_BYTES);
-    if (received.kind !== "whole") {
+    if (received.kind !== "complete") {
       return this.#handleInterruption(
         context,
         "response interrupted",
