--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -11,7 +11,7 @@
   FollowerTiming,
 } from "../process/feed.ts";
 import { pause } from "../process/pause.ts";
-import { SharedTimer } from "../process/pulse.ts";
+import { SharedTimer } from "../process/shared_timer.ts";
 import type { RequestMetrics } from "../process/metrics.ts";
 import type { Runner } from "../process/runner.ts";
 import type { RunnerDirectory } from "../process/runner_directory.ts";
--- a/packages/router/src/process/pulse_test.ts
+++ b/packages/router/src/process/shared_timer_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { mock, test } from "node:test";
-import { SharedTimer } from "./pulse.ts";
+import { SharedTimer } from "./shared_timer.ts";
 
 // In a burst a daemon holds dozens of requests that look for room. Woken one by
 // one, it spends its processor on waking, and answers come late.
--- a/packages/router/src/request/daemon.ts
+++ b/packages/router/src/request/daemon.ts
@@ -8,7 +8,7 @@
 import type { CrashRecord } from "../process/crash_record.ts";
 import type { EventLog } from "../process/event_log.ts";
 import type { LimitQueue } from "../process/limit_queue.ts";
-import type { SharedTimer } from "../process/pulse.ts";
+import type { SharedTimer } from "../process/shared_timer.ts";
 import type { PrefixIndex } from "../process/prefix_index.ts";
 import type { RetryBudget } from "../process/retry_budget.ts";
 import type { StreamPace } from "../process/stream_pace.ts";
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -24,7 +24,7 @@
 import { LimitQueue } from "./process/limit_queue.ts";
 import { Lifecycle } from "./process/lifecycle.ts";
 import { RequestMetrics } from "./process/metrics.ts";
-import { SharedTimer } from "./process/pulse.ts";
+import { SharedTimer } from "./process/shared_timer.ts";
 import { PerService } from "./process/per_service.ts";
 import { PrefixIndex } from "./process/prefix_index.ts";
 import { RestartDetector } from "./process/restart_detector.ts";
