--- a/packages/router/src/connection/overlay.ts
+++ b/packages/router/src/connection/overlay.ts
@@ -3,7 +3,10 @@
  *
  * @module
  */
-import { LINK_LOST_MS, UnreachableDaemons } from "../process/absences.ts";
+import {
+  LINK_LOST_MS,
+  UnreachableDaemons,
+} from "../process/unreachable_daemons.ts";
 import { inRankOrder, ranksBefore } from "../process/contact.ts";
 import type { Contact } from "../process/contact.ts";
 import type { ContactBook } from "../process/contact_book.ts";
