--- a/packages/router/src/connection/state_exchange.ts
+++ b/packages/router/src/connection/state_exchange.ts
@@ -11,7 +11,7 @@
 import {
   contactsForAll,
   contactsForNewPeer,
-} from "../process/known_daemons.ts";
+} from "../process/contact_selection.ts";
 import type { FleetView } from "../process/fleet_view.ts";
 import { MembershipCounts } from "./membership_counts.ts";
 import { UpdateBroadcaster } from "./update_broadcaster.ts";
