--- a/packages/router/src/connection/crash_detector_test.ts
+++ b/packages/router/src/connection/crash_detector_test.ts
@@ -7,7 +7,7 @@
 } from "../../tests/fixtures.ts";
 import type { FakeRunner } from "../../tests/fixtures.ts";
 import { CrashRecord } from "../process/crash_record.ts";
-import type { Fields } from "../process/line.ts";
+import type { Fields } from "../process/log_line.ts";
 import { CrashDetector } from "./crash_detector.ts";
 
 /** A detector, and the log lines of its probes. */
--- a/packages/router/src/process/autoscaler_test.ts
+++ b/packages/router/src/process/autoscaler_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Fields } from "./line.ts";
+import type { Fields } from "./log_line.ts";
 import { Autoscaler } from "./autoscaler.ts";
 import type { ScaledService } from "./autoscaler.ts";
 import type { Runner } from "./runner.ts";
--- a/packages/router/src/process/crash_record_test.ts
+++ b/packages/router/src/process/crash_record_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { CrashRecord } from "./crash_record.ts";
 import type { CrashedRun } from "./crash_entry.ts";
-import type { Fields } from "./line.ts";
+import type { Fields } from "./log_line.ts";
 
 /** Milliseconds from the start of a run to the crash of its runner. */
 const RUN_MS = 50;
--- a/packages/router/src/process/event_log.ts
+++ b/packages/router/src/process/event_log.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import { Logger } from "tslog";
-import { formatLine } from "./line.ts";
-import type { Fields } from "./line.ts";
+import { formatLine } from "./log_line.ts";
+import type { Fields } from "./log_line.ts";
 
 /** Writes events. */
 export interface EventLog {
--- a/packages/router/src/process/line_test.ts
+++ b/packages/router/src/process/log_line_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import { formatLine } from "./line.ts";
+import { formatLine } from "./log_line.ts";
 
 /** Splits a line into its pairs, as a reader of the log would. */
 function pairsOf(line: string): readonly (readonly [string, string])[] {
--- a/packages/router/src/process/runner_limits_test.ts
+++ b/packages/router/src/process/runner_limits_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Fields } from "./line.ts";
+import type { Fields } from "./log_line.ts";
 import { RunnerLimits } from "./runner_limits.ts";
 import type { StatedLimit } from "./runner_limits.ts";
 
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -31,7 +31,7 @@
   PlatformApi,
   PlatformCall,
 } from "../src/process/platform_api.ts";
-import type { Fields } from "../src/process/line.ts";
+import type { Fields } from "../src/process/log_line.ts";
 import { PrefixIndex } from "../src/process/prefix_index.ts";
 import type { Runner } from "../src/process/runner.ts";
 import { RunnerDirectory } from "../src/process/runner_directory.ts";
