--- a/packages/router/src/leadership.ts
+++ b/packages/router/src/leadership.ts
@@ -1,5 +1,5 @@
 /**
- * A daemon's part in what one daemon does for all, put together.
+ * Composes a daemon's part in leader election and in the tasks of the leader.
  *
  * @module
  */
@@ -19,15 +19,15 @@
 import type { LeadershipSettings } from "./process/settings.ts";
 import { UsageMeter } from "./process/usage_meter.ts";
 
-/** Where leaders agree, and whom they call. */
+/** The platform's interfaces for leaders. */
 export interface LeaderPlatform {
-  /** Where daemons agree who leads. */
+  /** The store that holds the leader's lease. */
   readonly leaderStore: LeaderStore;
-  /** Absent where the platform has none. */
+  /** The platform's API; absent where it has none. */
   readonly api: PlatformApi | undefined;
 }
 
-/** What a daemon leads with. */
+/** The parts of the router that the leader uses. */
 export interface LeadershipParts extends Omit<AutoscalerSources, "log"> {
   readonly own: Contact;
   readonly log: EventLog;
@@ -38,8 +38,8 @@
 }
 
 /**
- * Counts what the platform is told, and leads in turn. Without an API of the
- * platform it does nothing.
+ * Meters usage and takes part in leader election. Does nothing where the platform
+ * has no API.
  */
 export class Leadership implements SharedLeaderState {
   readonly time = new FleetTime(HOST_CLOCKS);
@@ -69,10 +69,10 @@
       clock: SYSTEM_CLOCK,
       log,
     });
-    this.#leader = this.#leaderBy(this.lease, api, { settings, parts });
+    this.#leader = this.#createLeader(this.lease, api, { settings, parts });
   }
 
-  /** A runner has begun a request of a workspace. */
+  /** Counts a request of a workspace that a runner has started. */
   requestStarted(workspace: string): void {
     this.usage?.countRequest(workspace);
   }
@@ -82,22 +82,22 @@
     void this.#leader?.run();
   }
 
-  /** Ends at once. */
+  /** Stops at once. */
   stop(): void {
     this.#leader?.stop();
   }
 
-  /** Hands over, if this daemon leads. */
+  /** Releases the lease, if this daemon leads. */
   async stepDown(): Promise<void> {
     await this.#leader?.leave();
   }
 
-  #leaderBy(lease: LeaderLease, api: PlatformApi, made: {
+  #createLeader(lease: LeaderLease, api: PlatformApi, options: {
     readonly settings: LeadershipSettings;
     readonly parts: LeadershipParts;
   }): Leader {
-    const { leaseMs, ordersRunners, usage: timing } = made.settings;
-    const { own, log, metrics, fleetSync: neighbourhood, random } = made.parts;
+    const { leaseMs, ordersRunners, usage: timing } = options.settings;
+    const { own, log, metrics, fleetSync, random } = options.parts;
     const meter = this.usage;
     return new Leader({
       name: own.name,
@@ -107,11 +107,11 @@
       usage: meter && timing && {
         meter,
         timing,
-        complete: () => neighbourhood().seesWholeFleet,
+        complete: () => fleetSync().seesWholeFleet,
       },
-      demand: ordersRunners ? new Autoscaler(made.parts) : undefined,
-      eligible: () => neighbourhood().mayLead,
-      leaseChanged: () => neighbourhood().leaseChanged(),
+      demand: ordersRunners ? new Autoscaler(options.parts) : undefined,
+      eligible: () => fleetSync().mayLead,
+      leaseChanged: () => fleetSync().leaseChanged(),
       now: () => this.time.now(),
       monotonic: () => HOST_CLOCKS.monotonic(),
       random,
--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * A router of language-model traffic, to be joined to a platform.
+ * A router for language-model traffic, independent of the platform it runs on.
  *
  * @module
  */
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -1,5 +1,5 @@
 /**
- * The router as one process.
+ * The router process: composes its parts and runs until shutdown.
  *
  * @module
  */
@@ -49,36 +49,36 @@
 } from "./version/configuration.ts";
 import { RoutingTable } from "./version/routing_table.ts";
 
-/** What the platform provides. */
+/** The platform's interfaces that the router uses. */
 export interface Platform extends SharedStore, LeaderPlatform {
   readonly dialect: Dialect;
   readonly engineCache: EngineCache;
 }
 
-/** Milliseconds between two looks of waiting requests whether there is room. */
-const ROOM_LOOK_MS = 20;
+/** Interval at which waiting requests check for free capacity. */
+const CAPACITY_CHECK_MS = 20;
 /**
- * Fewest daemons among which extra repeats are divided: until the others are
- * known, each takes a share that is safe for this many.
+ * Fewest daemons among which the budget for extra retries is divided. Until a
+ * daemon has found the others, its share is safe for a fleet of this size.
  */
-const LEAST_DAEMONS = 8;
+const MIN_DAEMONS = 8;
 /**
- * Part of a runner's connections that daemons take together; the rest is for
- * daemons that are not known yet.
+ * Share of a runner's connections that the known daemons may use; the rest is for
+ * daemons that have not been found yet.
  */
 const CONNECTION_SHARE = 0.8;
-/** Connections to a runner that a daemon takes in any case. */
-const LEAST_CONNECTIONS = 2;
-/** Random bytes that tell one start of a daemon from the next. */
+/** Connections to a runner that each daemon may open in any case. */
+const MIN_CONNECTIONS = 2;
+/** Random bytes that distinguish the incarnations of a daemon. */
 const INCARNATION_BYTES = 6;
 /** Settings that take effect without a restart. */
-const CHANGEABLE: ReadonlySet<keyof RouterSettings> = new Set([
+const RELOADABLE: ReadonlySet<keyof RouterSettings> = new Set([
   "seeds",
   "retries",
   "graceMs",
 ]);
 
-/** Routes requests from its start until SIGTERM. */
+/** A daemon that routes requests until it is shut down. */
 export class Router implements Daemon {
   readonly dialect: Dialect;
   readonly connections = new RunnerConnections();
@@ -86,46 +86,43 @@
   readonly prefixes = new PrefixIndex();
   readonly crashes: CrashRecord;
   readonly limits: RunnerLimits;
-  readonly sharedTimer = new SharedTimer(ROOM_LOOK_MS);
+  readonly sharedTimer = new SharedTimer(CAPACITY_CHECK_MS);
   readonly metrics = new RequestMetrics();
   readonly log: EventLog;
   #settings: RouterSettings;
   readonly #lifecycle: Lifecycle;
   readonly #server: CallerServer;
   readonly #directory = new RunnerDirectory();
-  readonly #budgets = new PerService(() =>
+  readonly #retryBudgets = new PerService(() =>
     new RetryBudget(
       this.#settings.retries,
-      () => Math.max(LEAST_DAEMONS, this.#neighbourhood.fleetSize),
+      () => Math.max(MIN_DAEMONS, this.#fleetSync.fleetSize),
     )
   );
-  readonly #paces = new PerService(() => new StreamPace());
+  readonly #streamPaces = new PerService(() => new StreamPace());
   readonly #limitQueues = new PerService(() => new LimitQueue());
-  readonly #neighbourhood: FleetSync;
+  readonly #fleetSync: FleetSync;
   readonly #leadership: Leadership;
   readonly #survey: CacheSurvey;
-  readonly #restarts: RestartDetector;
-  readonly #crashWatch: CrashDetector;
+  readonly #restartDetector: RestartDetector;
+  readonly #crashDetector: CrashDetector;
   #surveyed = false;
   #statusServers: readonly Server[] = [];
   #configuration: Configuration | undefined;
-  #table: RoutingTable | undefined;
+  #routingTable: RoutingTable | undefined;
 
   constructor(settings: RouterSettings, platform: Platform, log: EventLog) {
     this.#settings = settings;
     this.dialect = platform.dialect;
     this.log = log;
     this.crashes = new CrashRecord(log);
-    this.limits = new RunnerLimits(log, () => this.#neighbourhood.view);
+    this.limits = new RunnerLimits(log, () => this.#fleetSync.view);
     this.#lifecycle = new Lifecycle(log);
     this.#lifecycle.addRequirement(
       "configuration",
-      () => this.#table !== undefined,
-    );
-    this.#lifecycle.addRequirement(
-      "runners",
-      () => this.#directory.revision > 0,
+      () => this.#routingTable !== undefined,
     );
+    this.#lifecycle.addRequirement("runners", () => this.#directory.revision > 0);
     this.#server = new CallerServer(
       (request, response) => this.#handle(request, response),
       settings.maxConnections,
@@ -146,11 +143,11 @@
       loads: this.loads,
       runners: () => this.#directory.list.runners,
       services: () => this.#configuration?.services ?? [],
-      fleetSync: () => this.#neighbourhood,
+      fleetSync: () => this.#fleetSync,
       random: () => this.random(),
     });
     const { time, usage, lease } = this.#leadership;
-    this.#neighbourhood = new FleetSync({
+    this.#fleetSync = new FleetSync({
       time,
       usage,
       lease,
@@ -161,7 +158,7 @@
       directory: this.#directory,
       configuration: () => this.#configuration,
       applyConfiguration: (configuration, source) =>
-        this.#adopt(configuration, source),
+        this.#applyConfiguration(configuration, source),
     }, {
       own,
       log,
@@ -172,18 +169,18 @@
       controlBytesPerS: settings.controlBytesPerS,
       random: () => this.random(),
     });
-    const mayQuery = ({ id }: Runner) => this.#mayAsk(id);
+    const mayQuery = ({ id }: Runner) => this.#mayQuery(id);
     this.#survey = new CacheSurvey(platform.engineCache, {
       prefixes: this.prefixes,
       log,
       mayQuery,
     });
-    this.#restarts = new RestartDetector(platform.engineCache, {
+    this.#restartDetector = new RestartDetector(platform.engineCache, {
       directory: this.#directory,
       log,
       mayQuery,
     });
-    this.#crashWatch = new CrashDetector({
+    this.#crashDetector = new CrashDetector({
       log,
       metrics: this.metrics,
       record: this.crashes,
@@ -204,7 +201,7 @@
   }
 
   routingTable(): RoutingTable | undefined {
-    return this.#table;
+    return this.#routingTable;
   }
 
   fleet(service: string): RunnerFleet {
@@ -219,27 +216,29 @@
   }
 
   runnerListAgeMs(): number {
-    return this.now() - this.#neighbourhood.runnersConfirmedAt;
+    return this.now() - this.#fleetSync.runnersConfirmedAt;
   }
 
   connectionShare(service: Service): number {
     const share = CONNECTION_SHARE * service.maxConnections /
-      this.#neighbourhood.fleetSize;
-    return Math.max(LEAST_CONNECTIONS, Math.floor(share));
+      this.#fleetSync.fleetSize;
+    return Math.max(MIN_CONNECTIONS, Math.floor(share));
   }
 
   propagationMs(): number {
-    return this.#neighbourhood.propagationMs;
+    return this.#fleetSync.propagationMs;
   }
 
   streamPace(service: string): StreamPace {
-    return this.#paces.of(service);
+    return this.#streamPaces.of(service);
   }
 
   reportBrokenConnection(runner: Runner, run: BrokenRun): void {
-    this.#crashWatch.recordBrokenRun(runner, run);
-    if (this.#table?.service(runner.service)?.engine === undefined) return;
-    void this.#restarts.check(runner);
+    this.#crashDetector.recordBrokenRun(runner, run);
+    if (this.#routingTable?.service(runner.service)?.engine === undefined) {
+      return;
+    }
+    void this.#restartDetector.check(runner);
   }
 
   requestStarted(
@@ -255,7 +254,7 @@
   }
 
   retryBudget(service: string): RetryBudget {
-    return this.#budgets.of(service);
+    return this.#retryBudgets.of(service);
   }
 
   /** The port that callers connect to. */
@@ -263,12 +262,12 @@
     return this.#server.port;
   }
 
-  /** The port that other daemons connect to. */
+  /** The port on which links of other daemons are accepted. */
   get peersPort(): number {
-    return this.#neighbourhood.port;
+    return this.#fleetSync.port;
   }
 
-  /** Whether the daemon asks for traffic. */
+  /** Whether the daemon is ready for traffic. */
   get ready(): boolean {
     return this.#lifecycle.missing().length === 0;
   }
@@ -284,18 +283,19 @@
     this.#statusServers = [readinessServer, metricsServer];
     await Promise.all([
       this.#server.open(this.#settings.callers),
-      this.#neighbourhood.open(this.#settings.peers),
+      this.#fleetSync.open(this.#settings.peers),
       listen(readinessServer, readiness),
       listen(metricsServer, metrics),
     ]);
     this.log.event("started", { name: this.#settings.name });
-    this.#neighbourhood.start(this.#settings.seeds);
+    this.#fleetSync.start(this.#settings.seeds);
     this.#leadership.start();
   }
 
   /**
-   * Takes changed settings, as far as a running process can: seeds, the bounds
-   * of retries and the time for the hand-over. Addresses stay until a restart.
+   * Applies the changed settings that need no restart: seeds, the bounds of retries
+   * and the grace period of the shutdown. Others, such as addresses, take effect
+   * after a restart.
    */
   apply(settings: RouterSettings): void {
     const names = Object.keys(settings) as (keyof RouterSettings)[];
@@ -303,33 +303,33 @@
       JSON.stringify(settings[name]) !== JSON.stringify(this.#settings[name])
     );
     if (changed.length === 0) return;
-    const restart = changed.filter((name) => !CHANGEABLE.has(name));
+    const restart = changed.filter((name) => !RELOADABLE.has(name));
     this.log.event("settings_changed", {
       changed: changed.join(","),
       need_restart: restart.length === 0 ? undefined : restart.join(","),
     });
     this.#settings = settings;
-    this.#budgets.clear();
-    this.#neighbourhood.discover(settings.seeds);
+    this.#retryBudgets.clear();
+    this.#fleetSync.discover(settings.seeds);
   }
 
-  /** Ends at once, without hand-over. */
+  /** Stops at once, without a graceful shutdown. */
   stop(): void {
     this.#leadership.stop();
-    this.#neighbourhood.stop();
+    this.#fleetSync.stop();
     this.#server.destroy();
     for (const server of this.#statusServers) server.close();
   }
 
   /**
-   * Hands over; see {@linkcode shutDownGracefully}.
+   * Leaves the fleet and finishes requests; see {@linkcode shutDownGracefully}.
    *
-   * @returns whether nothing was cut off.
+   * @returns whether all requests were finished.
    */
   async shutDown(): Promise<boolean> {
     this.#lifecycle.leave();
     void this.#leadership.stepDown();
-    void this.#neighbourhood.deregister();
+    void this.#fleetSync.deregister();
     const cut = await shutDownGracefully(this.#server, {
       graceMs: () => this.#settings.graceMs,
       lifecycle: this.#lifecycle,
@@ -338,8 +338,8 @@
     return cut === 0;
   }
 
-  /** What daemons ask a runner counts among what it takes. */
-  #mayAsk(id: string): boolean {
+  /** Whether a query to a runner fits its rate limit; if so, it is counted. */
+  #mayQuery(id: string): boolean {
     const now = this.now();
     if (!this.limits.allowsRequest(id, now)) return false;
     this.limits.recordRequest(id, now);
@@ -359,12 +359,12 @@
     });
   }
 
-  /** Puts a configuration in force unless a newer one is. */
-  #adopt(configuration: Configuration, source: string): void {
-    const current = this.#table?.version ?? -1;
+  /** Puts a configuration into force if it is newer than the current one. */
+  #applyConfiguration(configuration: Configuration, source: string): void {
+    const current = this.#routingTable?.version ?? -1;
     if (configuration.version <= current) return;
     this.#configuration = configuration;
-    this.#table = new RoutingTable(configuration);
+    this.#routingTable = new RoutingTable(configuration);
     this.#server.limit(configuration.limits);
     this.metrics.version(configuration.version);
     this.log.event("configuration_in_force", {
@@ -373,7 +373,7 @@
       source,
       routes: configuration.routes.length,
     });
-    this.#neighbourhood.configurationChanged();
+    this.#fleetSync.configurationChanged();
     this.#surveyOnce();
   }
 
@@ -383,21 +383,21 @@
     this.loads.retain(ids);
     this.prefixes.retain(ids);
     this.limits.retain(ids);
-    for (const pace of this.#paces.all()) pace.retain(ids);
+    for (const pace of this.#streamPaces.all()) pace.retain(ids);
     this.#surveyOnce();
   }
 
-  /** Asks engines what they hold, once both lists are known. */
+  /** Surveys the engines' caches once, when configuration and runners are known. */
   #surveyOnce(): void {
-    if (this.#surveyed || this.#table === undefined) return;
+    if (this.#surveyed || this.#routingTable === undefined) return;
     if (this.#directory.revision === 0) return;
     this.#surveyed = true;
     void this.#survey.run({
       engines: () =>
         this.#directory.list.runners.filter(({ service }) =>
-          this.#table?.service(service)?.engine !== undefined
+          this.#routingTable?.service(service)?.engine !== undefined
         ),
-      view: () => this.#neighbourhood.view,
+      view: () => this.#fleetSync.view,
     });
   }
 }
