--- a/packages/router/src/version/configuration.ts
+++ b/packages/router/src/version/configuration.ts
@@ -1,79 +1,80 @@
 /**
- * What operators configure: routes, services, workspaces and limits.
+ * The operators' configuration: routes, services, workspaces and limits. Daemons
+ * send it to each other, so the names of its fields are on the wire.
  *
  * @module
  */
 
 import type { Scaling } from "../process/scaling.ts";
 
-/** When a request may be sent to a second runner after it may have run. */
+/** Whether a request may be retried at another runner after it may have run. */
 export type Repetition =
-  /** At any time: running it twice does no harm. */
+  /** Always: running it twice does no harm. */
   | "idempotent"
-  /** A broken stream may go on at another runner after the last event. */
+  /** A broken stream may be resumed at another runner after its last event. */
   | "resumable"
   /** Never. */
   | "never";
 
-/** A service that a route may lead to, and its share of the requests. */
+/** A service that a route sends requests to, and its share of them. */
 export interface Destination {
   readonly service: string;
   readonly weight: number;
 }
 
-/** One rule that maps a host and a path prefix to a class of requests. */
+/** A rule that maps a host and a path prefix to a class of requests. */
 export interface Route {
   readonly name: string;
   readonly host: string;
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   readonly pathPrefix: string;
   readonly repetition: Repetition;
-  /** Whether answers are streams of events. */
+  /** Whether responses are event streams. */
   readonly streaming: boolean;
-  /** Milliseconds after which the caller gets a final answer. */
+  /** Time-out of a request, after which the caller gets a final response. */
   readonly timeoutMs: number;
-  /** Milliseconds to the answer, or to the first event of a stream. */
+  /** Latency target for the response, or for the first event of a stream. */
   readonly targetMs: number;
-  /** Longest pause between two events that is still on time, in ms. */
+  /** Latency target for the gap between two events of a stream. */
   readonly gapTargetMs: number | undefined;
-  /** Milliseconds for which callers bear to hear nothing of a stream. */
+  /** Longest time without an event that callers of a stream tolerate. */
   readonly patienceMs: number;
   /** Tier of the route, 0 being the most urgent. */
   readonly tier: number;
   readonly destinations: readonly Destination[];
-  /** Most runners that one request is sent to. */
+  /** Most runners to which one request is sent. */
   readonly maxAttempts: number;
-  /** Whether requests need no key. */
+  /** Whether requests without a key are accepted. */
   readonly anonymous: boolean;
 }
 
-/** What a model engine holds and how it streams. */
+/** Capacity and streaming of a model engine. */
 export interface Engine {
-  /** Requests in one batch. */
+  /** Most requests in one batch. */
   readonly slots: number;
-  /** Tokens that its memory holds. */
+  /** Capacity of the KV cache, in tokens. */
   readonly memoryTokens: number;
   /** Tokens in one event of a stream. */
   readonly eventTokens: number;
   /**
-   * Milliseconds in which a runner fetches the memory of one token from another
-   * one; absent when it cannot.
+   * Milliseconds in which a runner fetches the KV cache of one token from another
+   * runner; absent where it cannot.
    */
   readonly fetchMsPerToken: number | undefined;
 }
 
-/** Runners that answer the same requests. */
+/** A group of runners that serve the same requests. */
 export interface Service {
   readonly name: string;
   /** Connections that one runner accepts from all callers together. */
   readonly maxConnections: number;
   /** Absent for a plain service. */
   readonly engine: Engine | undefined;
-  /** Absent where the number of runners is not for daemons to decide. */
+  /** Absent where daemons do not scale the service. */
   readonly scaling?: Scaling | undefined;
 }
 
-/** Who sends requests, and the keys that prove it. */
+/** A workspace that sends requests, and the keys that authenticate it. */
 export interface Workspace {
   readonly name: string;
   readonly keys: readonly string[];
@@ -81,7 +82,7 @@
   readonly tier: number | undefined;
 }
 
-/** Bounds on what callers send and how long they take. */
+/** Limits on the size of callers' requests and on the time they take. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -89,7 +90,7 @@
   readonly idleTimeoutMs: number;
 }
 
-/** One version of all that operators configure. */
+/** One version of the operators' configuration. */
 export interface Configuration {
   readonly version: number;
   readonly routes: readonly Route[];
--- a/packages/router/src/version/routing_table.ts
+++ b/packages/router/src/version/routing_table.ts
@@ -1,5 +1,5 @@
 /**
- * One version of the configuration, indexed for requests.
+ * An index of one configuration, for routing requests.
  *
  * @module
  */
@@ -12,10 +12,10 @@
 } from "./configuration.ts";
 import { groupBy } from "../process/group.ts";
 
-/** Routes of one host, by their prefixes. */
+/** Routes of one host, by path prefix. */
 interface HostRoutes {
   readonly byPrefix: ReadonlyMap<string, Route>;
-  /** Lengths of the prefixes, longest first. */
+  /** Distinct lengths of the prefixes, longest first. */
   readonly lengths: readonly number[];
 }
 
@@ -24,27 +24,31 @@
 ): ReadonlyMap<string, HostRoutes> {
   const byHost = groupBy(routes, ({ host }) => host.toLowerCase());
   const indexed = new Map<string, HostRoutes>();
-  for (const [host, own] of byHost) {
-    const byPrefix = new Map(own.map((route) => [route.pathPrefix, route]));
-    const lengths = [...new Set(own.map((route) => route.pathPrefix.length))];
+  for (const [host, hostRoutes] of byHost) {
+    const byPrefix = new Map(
+      hostRoutes.map((route) => [route.pathPrefix, route]),
+    );
+    const lengths = [
+      ...new Set(hostRoutes.map((route) => route.pathPrefix.length)),
+    ];
     lengths.sort((one, other) => other - one);
     indexed.set(host, { byPrefix, lengths });
   }
   return indexed;
 }
 
-function withoutPort(host: string): string {
+function normalizeHost(host: string): string {
   return host.replace(/:\d+$/, "").toLowerCase();
 }
 
-function withoutQuery(target: string): string {
+function pathOf(target: string): string {
   const query = target.indexOf("?");
   return query === -1 ? target : target.slice(0, query);
 }
 
 /**
- * Finds the route and the workspace of a request. A look-up costs one probe of
- * a map for each distinct length of prefix, however many routes there are.
+ * Finds the route and the workspace of a request. A route is found by one map
+ * look-up for each distinct prefix length, regardless of the number of routes.
  *
  * @example
  * ```ts
@@ -58,9 +62,9 @@
   readonly #hosts: ReadonlyMap<string, HostRoutes>;
   readonly #services: ReadonlyMap<string, Service>;
   readonly #workspaces: ReadonlyMap<string, Workspace>;
-  /** Pairs of tiers in use, each once, the most urgent first. */
+  /** Distinct pairs of workspace and route tiers, the most urgent first. */
   readonly #urgencies: readonly number[];
-  /** The same pairs with the route's tier first. */
+  /** The same pairs, ordered by the route's tier first. */
   readonly #preemptions: readonly number[];
 
   constructor(configuration: Configuration) {
@@ -71,7 +75,7 @@
       configuration.services.map((service) => [service.name, service]),
     );
     this.#urgencies = urgenciesOf(configuration);
-    this.#preemptions = this.#urgencies.map(swapped).sort(ascending);
+    this.#preemptions = this.#urgencies.map(swapTiers).sort(ascending);
     this.#workspaces = new Map(
       configuration.workspaces.flatMap((workspace) =>
         workspace.keys.map((key) => [key, workspace] as const)
@@ -79,69 +83,69 @@
     );
   }
 
-  /** Whether requests need the key of a workspace at all. */
+  /** Whether any workspace is configured; without one, requests need no key. */
   get hasWorkspaces(): boolean {
     return this.#workspaces.size > 0;
   }
 
   /** The route with the longest prefix of `target`, a path with its query. */
   route(host: string, target: string): Route | undefined {
-    const routes = this.#hosts.get(withoutPort(host));
+    const routes = this.#hosts.get(normalizeHost(host));
     if (routes === undefined) return undefined;
-    const path = withoutQuery(target);
+    const path = pathOf(target);
     for (const length of routes.lengths) {
       if (length > path.length) continue;
-      const found = routes.byPrefix.get(path.slice(0, length));
-      if (found !== undefined) return found;
+      const route = routes.byPrefix.get(path.slice(0, length));
+      if (route !== undefined) return route;
     }
     return undefined;
   }
 
-  /** The workspace that holds a key. */
+  /** The workspace with a key. */
   workspace(key: string): Workspace | undefined {
     return this.#workspaces.get(key);
   }
 
-  /** A service by its name. */
+  /** The service with a name. */
   service(name: string): Service | undefined {
     return this.#services.get(name);
   }
 
   /**
-   * The rank of a request among all kinds that may come, 0 being the most
-   * urgent. A workspace's tier goes before its routes' tiers; among requests of
-   * workspaces of one tier, the routes' tiers decide.
+   * The rank of a request among all configured classes, 0 being the most urgent.
+   * Requests are ordered by the workspace's tier, then by the route's.
    */
   rank(route: Route, workspace: Workspace | undefined): number {
     const urgency = urgencyOf(route.tier, workspace?.tier);
-    return this.#urgencies.filter((each) => each < urgency).length;
+    return this.#urgencies.filter((other) => other < urgency).length;
   }
 
   /**
-   * The rank by which an engine chooses whom it preempts, 0 being the most
-   * urgent. Here the route's tier goes before the workspace's: what an engine has
-   * begun of an urgent class is never put out for another workspace's long prompt.
+   * The rank by which an engine chooses the requests to preempt, 0 being the most
+   * urgent. Here the route's tier comes before the workspace's, so that a running
+   * request of an urgent class is never preempted for another workspace's long
+   * prompt.
    */
   preemptionRank(route: Route, workspace: Workspace | undefined): number {
     const urgency = urgencyOf(workspace?.tier ?? route.tier, route.tier);
-    return this.#preemptions.filter((each) => each < urgency).length;
+    return this.#preemptions.filter((other) => other < urgency).length;
   }
 
-  /** How many kinds of requests are less urgent than a rank. */
+  /** Number of classes of requests that are less urgent than a rank. */
   ranksBelow(rank: number): number {
     return this.#urgencies.length - 1 - rank;
   }
 }
 
-/** More than any tier of a route. */
+/** Greater than any tier of a route. */
 const TIER_RANGE = 1_000;
 
 function urgencyOf(routeTier: number, workspaceTier?: number): number {
   return (workspaceTier ?? routeTier) * TIER_RANGE + routeTier;
 }
 
-/** The same pair of tiers with the other one first. */
-function swapped(urgency: number): number {
+/** Swaps the two tiers of an urgency. */
+function swapTiers(urgency: number): number {
   const second = urgency % TIER_RANGE;
   return second * TIER_RANGE + (urgency - second) / TIER_RANGE;
 }
@@ -169,10 +173,10 @@
  */
 export function destinationAt(route: Route, point: number): string | undefined {
   const total = route.destinations.reduce((sum, { weight }) => sum + weight, 0);
-  let left = point * total;
+  let remaining = point * total;
   for (const { service, weight } of route.destinations) {
-    left -= weight;
-    if (left < 0) return service;
+    remaining -= weight;
+    if (remaining < 0) return service;
   }
   return route.destinations.at(-1)?.service;
 }
--- a/packages/router/src/version/routing_table_test.ts
+++ b/packages/router/src/version/routing_table_test.ts
@@ -57,10 +57,10 @@
   assert.equal(table.route("example.org", "/?x=/a/"), undefined);
 });
 
-// All workspaces have the same tier, and each sends quotes and cut sheets. With
-// the workspace's tier alone, both would have the same rank, and quotes would
-// wait behind prompts of 17,000 tokens.
-test("workspaces of one tier are ranked by their routes", () => {
+// All workspaces have the same tier, and each sends quotes and cut sheets. Ranked by
+// the workspace's tier alone, both would be equal, and quotes would wait behind
+// prompts of 17,000 tokens.
+test("requests of workspaces of one tier are ranked by their routes", () => {
   const quote = route({ tier: 1 });
   const cutSheet = route({ tier: 2, name: "s" });
   const first = { name: "v", keys: [], tier: 0 };
@@ -74,7 +74,7 @@
   assert.equal(table.workspace("k")?.name, "w");
 });
 
-// Guards against an urgent class put out for a long prompt of another workspace.
+// Guards against preemption of an urgent class for another workspace's long prompt.
 test("engines preempt by the route's tier, whatever the workspace's", () => {
   const answer = route({ tier: 0 });
   const report = route({ tier: 2, name: "s" });
@@ -88,7 +88,7 @@
   assert.ok(table.rank(report, first) < table.rank(answer, other));
 });
 
-test("the route's tier counts where a workspace has none", () => {
+test("the route's tier applies where a workspace has none", () => {
   const routes = [route({ tier: 0 }), route({ tier: 2, name: "s" })];
   const workspace = { name: "v", keys: [], tier: undefined };
   const table = tableOf(routes, {
