--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -122,7 +122,10 @@
       "configuration",
       () => this.#routingTable !== undefined,
     );
-    this.#lifecycle.addRequirement("runners", () => this.#directory.revision > 0);
+    this.#lifecycle.addRequirement(
+      "runners",
+      () => this.#directory.revision > 0,
+    );
     this.#server = new CallerServer(
       (request, response) => this.#handle(request, response),
       settings.maxConnections,
--- a/packages/router/src/version/routing_table.ts
+++ b/packages/router/src/version/routing_table.ts
@@ -24,13 +24,9 @@
 ): ReadonlyMap<string, HostRoutes> {
   const byHost = groupBy(routes, ({ host }) => host.toLowerCase());
   const indexed = new Map<string, HostRoutes>();
-  for (const [host, hostRoutes] of byHost) {
-    const byPrefix = new Map(
-      hostRoutes.map((route) => [route.pathPrefix, route]),
-    );
-    const lengths = [
-      ...new Set(hostRoutes.map((route) => route.pathPrefix.length)),
-    ];
+  for (const [host, group] of byHost) {
+    const byPrefix = new Map(group.map((route) => [route.pathPrefix, route]));
+    const lengths = [...new Set(group.map((route) => route.pathPrefix.length))];
     lengths.sort((one, other) => other - one);
     indexed.set(host, { byPrefix, lengths });
   }
