--- a/packages/router/src/connection/load_sums.ts
+++ b/packages/router/src/connection/load_sums.ts
@@ -13,7 +13,7 @@
 const MAX_LEFT_MS = 3_600_000;
 /**
  * Requests at the head of a runner's queue that have an entry of their own in an
- * update. The others are merge into one entry for each rank, so that a long queue
+ * update. The others are merged into one entry for each rank, so that a long queue
  * takes no more bytes than a short one. None of these is served before the first
  * ones, and by then a newer update has been sent.
  */
--- a/packages/router/src/connection/outbox.ts
+++ b/packages/router/src/connection/outbox.ts
@@ -18,7 +18,7 @@
 const MAX_PARTS = 2_000;
 /**
  * Crashed requests in one message: about 1 KB, together with as many complete
- * answers that clear some. When hundreds of runners crash at once, the others
+ * responses that clear some. When hundreds of runners crash at once, the others
  * wait for the next message.
  */
 const MAX_CRASHES = 25;
@@ -65,7 +65,7 @@
   readonly #answers: (CompleteResponse & Sourced)[] = [];
   /** The last limit stated by each runner. */
   readonly #limits = new Map<string, LimitUpdate & Sourced>();
-  /** By life and window, what was counted last for each workspace. */
+  /** The last counts of each workspace, by incarnation and window. */
   readonly #usage = new Map<string, UsageCount>();
   #lease: LeaseObservation | undefined;
 
--- a/packages/router/src/connection/peer_message.ts
+++ b/packages/router/src/connection/peer_message.ts
@@ -77,7 +77,7 @@
   readonly whole: boolean;
   readonly loads: readonly RunnerLoadEntry[];
   readonly parts: readonly PrefixUpdate[];
-  /** Requests that were at crashed runners, and complete answers that clear some of them. */
+  /** Requests that were at crashed runners, and complete responses that clear some of them. */
   readonly crashes: CrashAges;
   readonly limits: readonly LimitAge[];
 }
