--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -1,5 +1,5 @@
 /**
- * What one daemon does for all: it reports usage and orders runners.
+ * The elected leader of the fleet, which reports usage and orders runners.
  *
  * @module
  */
@@ -19,180 +19,186 @@
 import type { UsageSources, UsageTiming } from "./usage_reports.ts";
 import type { UsageMeter } from "./usage_meter.ts";
 
-/** Milliseconds after a start in which it shows who should lead. */
-const MEET_MS = 1_000;
-/** Milliseconds between two looks of a leader at what is to be done. */
-const STEP_MS = 200;
-/** The same of a daemon that would take over. */
-const WATCH_MS = 400;
-/** The same of one that would not. */
-const REST_MS = 1_000;
-/** Part of the lease after which it is renewed. */
-const RENEW_PART = 0.4;
+/** Delay in ms after the start, in which the daemon learns whether it is eligible. */
+const STARTUP_DELAY_MS = 1_000;
+/** Interval in ms between steps of the leader. */
+const LEADER_INTERVAL_MS = 200;
+/** Mean interval in ms between steps of a daemon that is eligible to lead. */
+const CANDIDATE_INTERVAL_MS = 400;
+/** Interval in ms between steps of a daemon that is not eligible. */
+const INELIGIBLE_INTERVAL_MS = 1_000;
+/** Fraction of the lease duration after which the leader renews the lease. */
+const RENEWAL_FRACTION = 0.4;
 /**
- * Part of the lease after which a daemon that would take over looks whether a
- * leader of whom nothing is heard has renewed it. Neighbours tell sooner.
+ * Fraction of the lease duration after which an eligible daemon reads the lease
+ * from the store, if it has observed no renewal. Usually neighbours report a
+ * renewal earlier.
  */
-const LOOK_PART = 0.6;
-/** Milliseconds for a call; what has not been answered then is broken off. */
-const CALL_MS = 900;
-/** Milliseconds until a failed call is tried again; doubled up to the longest. */
-const FIRST_RETRY_MS = 400;
-const LONGEST_RETRY_MS = 3_200;
+const CHECK_FRACTION = 0.6;
+/** Time-out of a call to the platform, in ms; the call is then aborted. */
+const TIMEOUT_MS = 900;
+/** Backoff in ms after the first failed call; doubled up to the maximum. */
+const INITIAL_RETRY_MS = 400;
+const MAX_RETRY_MS = 3_200;
 
-/** What a {@linkcode Leader} needs. */
+/** Options of a {@linkcode Leader}. */
 export interface LeaderOptions {
   readonly name: string;
   readonly lease: LeaderLease;
   readonly leaseMs: number;
   readonly api: PlatformApi;
-  /** Absent where nobody asks for usage. */
+  /** Absent if usage is not reported. */
   readonly usage: {
     readonly meter: UsageMeter;
     readonly timing: UsageTiming;
-    /** Whether all daemons are heard of that there were lately. */
+    /** Whether all daemons that were recently in the fleet are reachable. */
     readonly complete: () => boolean;
   } | undefined;
-  /** Absent where nobody takes orders. */
+  /** Absent if runners are not ordered. */
   readonly demand: ScalingPolicy | undefined;
-  /** Whether this daemon should lead if nobody else does. */
+  /** Whether this daemon may become or remain the leader. */
   readonly eligible: () => boolean;
-  /** Told when others should hear of the lease. */
+  /** Called when other daemons should be notified of a change of the lease. */
   readonly leaseChanged: () => void;
-  /** Epoch ms, as the fleet knows it. */
+  /** Returns the fleet's time, in epoch ms. */
   readonly now: () => number;
-  /** Steady ms. */
+  /** Returns monotonic time, in ms. */
   readonly monotonic: () => number;
-  /** In [0, 1). */
+  /** Returns a random number in [0, 1). */
   readonly random: () => number;
   readonly log: EventLog;
   readonly metrics: LeaderMetrics;
 }
 
-/** What is counted of a leader's work. */
+/** Metrics that the leader updates. */
 export type LeaderMetrics = Pick<
   RequestMetrics,
   "term" | "usageWindow" | "platformCall"
 >;
 
 /**
- * Leads while it holds the lease, and sees to it that somebody does.
+ * Performs the leader's tasks while this daemon holds the lease, and tries to
+ * take the lease when the present leader fails.
  *
- * Each step, in this order: the lease is renewed, with what is to be decided
- * now; then calls are made for what stands decided in the store, one at a time
- * and only while the lease leaves time for their end. So whoever takes over
- * makes the same calls.
+ * Each step first writes new decisions to the store together with a renewal of
+ * the lease. It then calls the platform for decisions that the store holds, one
+ * call at a time, and only if the call must end before the lease expires. A
+ * successor therefore makes the same calls.
  */
 export class Leader {
   readonly #options: LeaderOptions;
   readonly #orders: OrderTracker;
   readonly #accepted = new Set<number>();
-  /** Sends of each window in this term. */
-  readonly #tries = new Map<number, number>();
+  /** Attempts to report each window in this term. */
+  readonly #attempts = new Map<number, number>();
   #stopped = false;
-  /** Ends when nothing that was begun is under way. */
-  #working: Promise<void> = Promise.resolve();
-  #retryMs = FIRST_RETRY_MS;
-  #reportFrom = -Infinity;
+  /** Resolves when the present step has ended. */
+  #currentStep: Promise<void> = Promise.resolve();
+  #retryMs = INITIAL_RETRY_MS;
+  /** Earliest time of the next report, in monotonic ms. */
+  #reportNotBefore = -Infinity;
 
   constructor(options: LeaderOptions) {
     this.#options = options;
     this.#orders = new OrderTracker(options.demand, options.log);
   }
 
-  /** Works until {@linkcode leave}. */
+  /** Runs until {@linkcode stop} or {@linkcode leave} is called. */
   async run(): Promise<void> {
-    await pause(MEET_MS, { background: true });
+    await pause(STARTUP_DELAY_MS, { background: true });
     while (!this.#stopped) {
-      this.#working = this.#step();
-      await this.#working;
-      await pause(this.#restMs(), { background: true });
+      this.#currentStep = this.#step();
+      await this.#currentStep;
+      await pause(this.#intervalMs(), { background: true });
     }
   }
 
-  /** Makes no further calls. */
+  /** Stops; no further calls are started. */
   stop(): void {
     this.#stopped = true;
   }
 
-  /** Hands over. */
+  /** Stops, and releases the lease so that another daemon can take it at once. */
   async leave(): Promise<void> {
     this.stop();
-    await this.#working;
+    await this.#currentStep;
     await this.#options.lease.release();
     this.#options.leaseChanged();
   }
 
-  #restMs(): number {
+  #intervalMs(): number {
     const { lease, eligible, random } = this.#options;
-    if (lease.held) return STEP_MS;
-    // Those that would take over do not ask in step.
-    return eligible() ? WATCH_MS * (0.5 + random()) : REST_MS;
+    if (lease.held) return LEADER_INTERVAL_MS;
+    // Jitter keeps candidates from reading the store at the same time.
+    return eligible()
+      ? CANDIDATE_INTERVAL_MS * (0.5 + random())
+      : INELIGIBLE_INTERVAL_MS;
   }
 
   async #step(): Promise<void> {
-    const { lease, eligible, leaseChanged: changed, metrics } = this.#options;
+    const { lease, eligible, leaseChanged, metrics } = this.#options;
     metrics.term(lease.fencing ?? 0);
     if (lease.held) return await this.#lead();
     if (!eligible()) return;
-    const look = lease.isReleased ||
-      lease.unchangedMs >= LOOK_PART * this.#options.leaseMs;
-    if (!look) return;
+    const shouldCheck = lease.isReleased ||
+      lease.unchangedMs >= CHECK_FRACTION * this.#options.leaseMs;
+    if (!shouldCheck) return;
     await lease.tryTake();
     if (!lease.held) return;
     this.#orders.reset();
     this.#accepted.clear();
-    this.#tries.clear();
-    changed();
+    this.#attempts.clear();
+    leaseChanged();
   }
 
   async #lead(): Promise<void> {
-    const { lease, eligible, leaseChanged: changed } = this.#options;
+    const { lease, eligible, leaseChanged } = this.#options;
     if (!eligible()) {
       await lease.release();
-      return changed();
+      return leaseChanged();
     }
     const decided = this.#decide();
-    const due = lease.sinceRenewalMs >= RENEW_PART * this.#options.leaseMs;
-    if (decided !== undefined || due) {
-      const work = this.#checkpointed(decided ?? lease.state);
-      if (!await lease.update(work)) return;
-      changed();
+    const renewalDue =
+      lease.sinceRenewalMs >= RENEWAL_FRACTION * this.#options.leaseMs;
+    if (decided !== undefined || renewalDue) {
+      const state = this.#withCheckpoint(decided ?? lease.state);
+      if (!await lease.update(state)) return;
+      leaseChanged();
     }
-    await this.#report();
-    await this.#order();
+    await this.#sendReport();
+    await this.#sendOrders();
   }
 
-  /** What is to be written besides a renewal. */
+  /** Returns the state with new decisions, or nothing if there are none. */
   #decide(): LeaderState | undefined {
-    const { lease, usage, log, metrics, monotonic: steady } = this.#options;
-    let { state: work } = lease;
+    const { lease, usage, log, metrics, monotonic } = this.#options;
+    let { state } = lease;
     const sources = this.#sources();
-    const decision = sources && finalizeReports(work, sources);
+    const decision = sources && finalizeReports(state, sources);
     if (decision !== undefined) {
-      work = decision.work;
-      for (const { window, counts } of decision.fixed) {
+      state = decision.state;
+      for (const { window, counts } of decision.finalized) {
         const requests = Object.values(counts)
-          .reduce((sum, each) => sum + each, 0);
-        const lives = usage?.meter.incarnations(window).size;
+          .reduce((sum, count) => sum + count, 0);
+        const daemons = usage?.meter.incarnations(window).size;
         metrics.usageWindow("fixed", window);
-        log.event("usage_fixed", { window, requests, daemons: lives });
+        log.event("usage_fixed", { window, requests, daemons });
       }
       for (const window of decision.missed) {
         metrics.usageWindow("missed", window);
         log.event("usage_missed", { window });
       }
     }
-    const orders = this.#orders.reconcile(work.orders, steady());
-    if (orders !== undefined) work = { ...work, orders };
-    return work === lease.state ? undefined : work;
+    const orders = this.#orders.reconcile(state.orders, monotonic());
+    if (orders !== undefined) state = { ...state, orders };
+    return state === lease.state ? undefined : state;
   }
 
-  #checkpointed(work: LeaderState): LeaderState {
+  #withCheckpoint(state: LeaderState): LeaderState {
     const sources = this.#sources();
-    if (sources === undefined) return work;
-    const checkpoint = checkpointOf(work, sources);
-    return withAccepted({ ...work, checkpoint }, this.#accepted);
+    if (sources === undefined) return state;
+    const checkpoint = checkpointOf(state, sources);
+    return withAccepted({ ...state, checkpoint }, this.#accepted);
   }
 
   #sources(): UsageSources | undefined {
@@ -202,80 +208,86 @@
     return { meter, timing, now: now(), complete: complete() };
   }
 
-  /** Sends one report that the platform has not taken. */
-  async #report(): Promise<void> {
-    const { api, monotonic: steady, log, metrics } = this.#options;
+  /** Sends one report that the platform has not accepted yet. */
+  async #sendReport(): Promise<void> {
+    const { api, monotonic, log, metrics } = this.#options;
     const report = this.#nextReport();
-    if (report === undefined || steady() < this.#reportFrom) return;
-    const call = this.#call();
+    if (report === undefined || monotonic() < this.#reportNotBefore) return;
+    const call = this.#beginCall();
     if (call === undefined) return;
-    this.#tries.set(report.window, this.#triesOf(report) + 1);
-    const end = await this.#made(api.reportUsage(report, call));
+    this.#attempts.set(report.window, this.#attemptsOf(report) + 1);
+    const outcome = await this.#endCall(api.reportUsage(report, call));
     log.event("usage_reported", {
       window: report.window,
       fencing: call.fence.fencing,
-      end: end.kind,
-      reason: end.kind === "failed" ? end.reason : undefined,
+      end: outcome.kind,
+      reason: outcome.kind === "failed" ? outcome.reason : undefined,
     });
-    metrics.platformCall("usage", end.kind);
-    if (end.kind === "accepted") {
+    metrics.platformCall("usage", outcome.kind);
+    if (outcome.kind === "accepted") {
       metrics.usageWindow("accepted", report.window);
       this.#accepted.add(report.window);
-      this.#retryMs = FIRST_RETRY_MS;
+      this.#retryMs = INITIAL_RETRY_MS;
       return;
     }
-    this.#reportFrom = steady() + this.#retryMs;
-    this.#retryMs = Math.min(LONGEST_RETRY_MS, 2 * this.#retryMs);
+    this.#reportNotBefore = monotonic() + this.#retryMs;
+    this.#retryMs = Math.min(MAX_RETRY_MS, 2 * this.#retryMs);
   }
 
-  /** The one that was tried least, so that one that is refused holds up none. */
+  /**
+   * Returns the pending report with the fewest attempts, so that one that the
+   * platform refuses does not hold up the others.
+   */
   #nextReport(): UsageReport | undefined {
     let next: UsageReport | undefined;
-    for (const each of this.#options.lease.state.reports) {
-      if (!this.#isOpen(each)) continue;
-      const less = next === undefined ||
-        this.#triesOf(each) < this.#triesOf(next);
-      if (less) next = each;
+    for (const report of this.#options.lease.state.reports) {
+      if (!this.#isPending(report)) continue;
+      const fewer = next === undefined ||
+        this.#attemptsOf(report) < this.#attemptsOf(next);
+      if (fewer) next = report;
     }
     return next;
   }
 
-  #triesOf({ window }: UsageReport): number {
-    return this.#tries.get(window) ?? 0;
+  #attemptsOf({ window }: UsageReport): number {
+    return this.#attempts.get(window) ?? 0;
   }
 
-  #isOpen({ window, accepted }: UsageReport): boolean {
+  #isPending({ window, accepted }: UsageReport): boolean {
     return !accepted && !this.#accepted.has(window);
   }
 
   /** Sends the orders that are due, one after the other. */
-  async #order(): Promise<void> {
-    const { lease, api, monotonic: steady, metrics } = this.#options;
-    for (const order of this.#orders.due(lease.state.orders, steady())) {
-      const call = this.#call();
+  async #sendOrders(): Promise<void> {
+    const { lease, api, monotonic, metrics } = this.#options;
+    for (const order of this.#orders.due(lease.state.orders, monotonic())) {
+      const call = this.#beginCall();
       if (call === undefined) return;
-      const end = await this.#made(api.orderRunners(order, call));
-      metrics.platformCall("runners", end.kind);
-      this.#orders.recordResult(order, end, {
+      const outcome = await this.#endCall(api.orderRunners(order, call));
+      metrics.platformCall("runners", outcome.kind);
+      this.#orders.recordResult(order, outcome, {
         fencing: call.fence.fencing,
-        now: steady(),
+        now: monotonic(),
       });
     }
   }
 
-  /** The right to a call, if the lease leaves time for it. */
-  #call(): PlatformCall | undefined {
+  /**
+   * Returns the parameters of a call, or nothing if the call could outlast the
+   * lease.
+   */
+  #beginCall(): PlatformCall | undefined {
     const { lease, name } = this.#options;
     const { fencing } = lease;
-    if (fencing === undefined || !lease.mayAct(CALL_MS)) return undefined;
+    if (fencing === undefined || !lease.mayAct(TIMEOUT_MS)) return undefined;
     if (this.#stopped) return undefined;
     lease.recordAction();
-    return { fence: { holder: name, fencing }, timeoutMs: CALL_MS };
+    return { fence: { holder: name, fencing }, timeoutMs: TIMEOUT_MS };
   }
 
-  async #made(call: Promise<CallOutcome>): Promise<CallOutcome> {
-    const end = await call;
+  async #endCall(call: Promise<CallOutcome>): Promise<CallOutcome> {
+    const outcome = await call;
     this.#options.lease.recordAction();
-    return end;
+    return outcome;
   }
 }
--- a/packages/router/src/process/usage_reports.ts
+++ b/packages/router/src/process/usage_reports.ts
@@ -1,5 +1,5 @@
 /**
- * Which windows of usage are reported, and with which counts.
+ * Decides which usage windows are reported, and with which counts.
  *
  * @module
  */
@@ -11,123 +11,136 @@
 import type { Counts, UsageMeter } from "./usage_meter.ts";
 
 /**
- * Part of the time for a report after which its counts are fixed, while all
- * daemons are heard of: another daemon that has to take over from the leader
- * needs the rest of the time.
+ * Fraction of the reporting delay after which the counts of a window are
+ * finalized, while all daemons are reachable. The rest of the delay is left for
+ * a successor, should the leader fail.
  */
-const FIXED_AFTER = 0.45;
+const FINALIZE_FRACTION = 0.45;
 /**
- * The same while some are not heard of. One that is cut off from the others for
- * some seconds still serves its callers, and tells its counts when it is back.
+ * The same fraction while some daemons are unreachable. A daemon that is
+ * partitioned from the others for some seconds still serves its callers, and
+ * sends its counts when it is reconnected.
  */
-const FIXED_INCOMPLETE_AFTER = 0.75;
-/** Reports that the platform has taken which are kept, for the operators' eyes. */
-const KEPT_ACCEPTED = 2;
-/** Reports that wait; of more the oldest are given up. */
-const MAX_WAITING = 24;
+const INCOMPLETE_FINALIZE_FRACTION = 0.75;
+/** Accepted reports that are kept for inspection by operators. */
+const MAX_ACCEPTED = 2;
+/** Maximum number of pending reports; the oldest are dropped first. */
+const MAX_PENDING = 24;
 
-/** When windows are due. */
+/** Length of usage windows, and when their reports are due. */
 export interface UsageTiming {
   readonly windowMs: number;
   /** Milliseconds after the end of a window by which its report is due. */
   readonly delayMs: number;
 }
 
-/** What a leader reports from. */
+/** Inputs of a decision on usage. */
 export interface UsageSources {
   readonly meter: UsageMeter;
   readonly timing: UsageTiming;
-  /** Epoch ms. */
+  /** The fleet's time, in epoch ms. */
   readonly now: number;
-  /** Whether all daemons are heard of that there were lately. */
+  /** Whether all daemons that were recently in the fleet are reachable. */
   readonly complete: boolean;
 }
 
-/** A decision on usage, and windows for which it comes too late. */
+/** New reports, and the state of the leader that holds them. */
 export interface UsageDecision {
-  readonly work: LeaderState;
-  readonly fixed: readonly UsageReport[];
+  readonly state: LeaderState;
+  readonly finalized: readonly UsageReport[];
+  /** Windows that are too old to be reported. */
   readonly missed: readonly number[];
 }
 
 /**
- * Fixes the counts of the windows whose time has come.
+ * Finalizes the counts of all windows that are due.
  *
- * @returns nothing if there is nothing to decide.
+ * @returns the decision, or nothing if no window is due.
  *
  * @example
  * ```ts
- * const decision = fixReports(lease.work, { meter, timing, now: time.now() });
- * if (decision !== undefined) await lease.update(decision.work);
+ * const sources = { meter, timing, now: time.now(), complete: true };
+ * const decision = finalizeReports(lease.state, sources);
+ * if (decision !== undefined) await lease.update(decision.state);
  * ```
  */
 export function finalizeReports(
-  work: LeaderState,
+  state: LeaderState,
   sources: UsageSources,
 ): UsageDecision | undefined {
   const { windowMs, delayMs } = sources.timing;
   const present = Math.floor(sources.now / windowMs);
-  if (work.nextWindow === undefined) {
-    return { work: { ...work, nextWindow: present }, fixed: [], missed: [] };
+  if (state.nextWindow === undefined) {
+    return {
+      state: { ...state, nextWindow: present },
+      finalized: [],
+      missed: [],
+    };
   }
-  const part = sources.complete ? FIXED_AFTER : FIXED_INCOMPLETE_AFTER;
-  const fixedAfterMs = windowMs + part * delayMs;
-  const last = Math.floor((sources.now - fixedAfterMs) / windowMs);
-  if (last < work.nextWindow) return undefined;
-  // A report that comes a window late is of use; the counts of older ones are
-  // forgotten.
+  const fraction = sources.complete
+    ? FINALIZE_FRACTION
+    : INCOMPLETE_FINALIZE_FRACTION;
+  const finalizeAfterMs = windowMs + fraction * delayMs;
+  const last = Math.floor((sources.now - finalizeAfterMs) / windowMs);
+  if (last < state.nextWindow) return undefined;
+  // A report that is one window late is still useful; the counts of older
+  // windows are no longer kept.
   const dueWindows = Math.ceil((windowMs + delayMs) / windowMs);
-  const first = Math.max(work.nextWindow, present - dueWindows - 1);
-  const missed = range(work.nextWindow, Math.min(first, last + 1));
-  const fixed = range(first, last + 1).map((window): UsageReport => ({
+  const first = Math.max(state.nextWindow, present - dueWindows - 1);
+  const missed = range(state.nextWindow, Math.min(first, last + 1));
+  const finalized = range(first, last + 1).map((window): UsageReport => ({
     window,
-    counts: countsOf(window, work.checkpoint, sources.meter),
+    counts: countsOf(window, state.checkpoint, sources.meter),
     accepted: false,
   }));
-  const reports = kept([...work.reports, ...fixed]);
-  return { work: { ...work, nextWindow: last + 1, reports }, fixed, missed };
+  const reports = prune([...state.reports, ...finalized]);
+  return {
+    state: { ...state, nextWindow: last + 1, reports },
+    finalized,
+    missed,
+  };
 }
 
 /**
- * What is known of the windows without a report, so that it outlasts the loss of
- * all daemons.
+ * Returns the known counts of all windows without a report. They are stored, so
+ * that they survive the loss of all daemons.
  */
 export function checkpointOf(
-  work: LeaderState,
+  state: LeaderState,
   { meter, timing, now }: UsageSources,
 ): UsageCheckpoint {
   const present = Math.floor(now / timing.windowMs);
-  const first = Math.max(work.nextWindow ?? present, present - MAX_WAITING);
+  const first = Math.max(state.nextWindow ?? present, present - MAX_PENDING);
   const windows = range(first, present + 1);
-  const lives = new Set(
-    windows.flatMap((each) => [...meter.incarnations(each)]),
+  const incarnations = new Set(
+    windows.flatMap((window) => [...meter.incarnations(window)]),
   );
   return {
-    lives: [...lives],
+    lives: [...incarnations],
     windows: windows.map((window) => ({
       window,
-      counts: countsOf(window, work.checkpoint, meter),
+      counts: countsOf(window, state.checkpoint, meter),
     })),
   };
 }
 
 /**
- * Notes which reports the platform has taken, and leaves out those that nothing
- * is to be done for any more.
+ * Marks the reports that the platform has accepted, and drops all but the latest
+ * of these.
  */
 export function withAccepted(
-  work: LeaderState,
+  state: LeaderState,
   accepted: ReadonlySet<number>,
 ): LeaderState {
-  const reports = work.reports.map((each) =>
-    accepted.has(each.window) ? { ...each, accepted: true } : each
+  const reports = state.reports.map((report) =>
+    accepted.has(report.window) ? { ...report, accepted: true } : report
   );
-  return { ...work, reports: kept(reports) };
+  return { ...state, reports: prune(reports) };
 }
 
 /**
- * Requests of a window: those that daemons tell, and of those in the checkpoint
- * the part of daemons that nobody has heard of since.
+ * Returns the requests of a window: those that the meter knows, plus the part of
+ * the checkpoint that comes from daemons whose counts the meter lacks.
  */
 function countsOf(
   window: number,
@@ -135,28 +148,32 @@
   meter: UsageMeter,
 ): Counts {
   const counts = new Map(meter.totals(window));
-  const before = checkpoint.windows.find((each) => each.window === window);
-  const lives = new Set(checkpoint.lives);
-  const heard = meter.totals(window, (life) => lives.has(life));
-  for (const [workspace, requests] of Object.entries(before?.counts ?? {})) {
-    const lost = requests - (heard.get(workspace) ?? 0);
+  const stored = checkpoint.windows.find((entry) => entry.window === window);
+  const incarnations = new Set(checkpoint.lives);
+  const known = meter.totals(
+    window,
+    (incarnation) => incarnations.has(incarnation),
+  );
+  for (const [workspace, requests] of Object.entries(stored?.counts ?? {})) {
+    const lost = requests - (known.get(workspace) ?? 0);
     if (lost <= 0) continue;
     counts.set(workspace, (counts.get(workspace) ?? 0) + lost);
   }
-  const sorted = [...counts].sort(([one], [other]) => one < other ? -1 : 1);
+  const sorted = [...counts].sort(([a], [b]) => a < b ? -1 : 1);
   return Object.fromEntries(sorted);
 }
 
-function kept(reports: readonly UsageReport[]): readonly UsageReport[] {
-  const accepted = reports.filter((each) => each.accepted);
-  const waiting = reports.filter((each) => !each.accepted);
+/** Drops the oldest accepted and pending reports beyond their limits. */
+function prune(reports: readonly UsageReport[]): readonly UsageReport[] {
+  const accepted = reports.filter((report) => report.accepted);
+  const pending = reports.filter((report) => !report.accepted);
   return [
-    ...accepted.slice(-KEPT_ACCEPTED),
-    ...waiting.slice(-MAX_WAITING),
-  ].sort((one, other) => one.window - other.window);
+    ...accepted.slice(-MAX_ACCEPTED),
+    ...pending.slice(-MAX_PENDING),
+  ].sort((a, b) => a.window - b.window);
 }
 
-/** Whole numbers from one up to another one, without it. */
+/** Returns the integers from `from` up to, but not including, `to`. */
 function range(from: number, to: number): readonly number[] {
   return Array.from(
     { length: Math.max(0, to - from) },
--- a/packages/router/src/process/usage_reports_test.ts
+++ b/packages/router/src/process/usage_reports_test.ts
@@ -11,16 +11,16 @@
 
 const TIMING = { windowMs: 5_000, delayMs: 10_000 };
 
-function meterAt(clock: { now: number }, life = "a"): UsageMeter {
+function meterAt(clock: { now: number }, incarnation = "a"): UsageMeter {
   const { windowMs } = TIMING;
-  return new UsageMeter({ incarnation: life, windowMs, now: () => clock.now });
+  return new UsageMeter({ incarnation, windowMs, now: () => clock.now });
 }
 
-function workFrom(nextWindow: number): LeaderState {
+function stateFrom(nextWindow: number): LeaderState {
   return { ...INITIAL_STATE, nextWindow };
 }
 
-test("a window is fixed once, after news of it can have come", () => {
+test("a window is finalized once, after its counts can have arrived", () => {
   const clock = { now: 1_000 };
   const meter = meterAt(clock);
   meter.countRequest("fitters");
@@ -28,34 +28,34 @@
     clock.now = now;
     return { meter, timing: TIMING, now, complete: true };
   };
-  const before = workFrom(0);
+  const before = stateFrom(0);
   assert.equal(finalizeReports(before, at(9_000)), undefined);
   const decision = finalizeReports(before, at(9_600));
-  assert.deepEqual(decision?.fixed, [
+  assert.deepEqual(decision?.finalized, [
     { window: 0, counts: { fitters: 1 }, accepted: false },
   ]);
-  assert.equal(decision.work.nextWindow, 1);
-  assert.equal(finalizeReports(decision.work, at(9_700)), undefined);
+  assert.equal(decision.state.nextWindow, 1);
+  assert.equal(finalizeReports(decision.state, at(9_700)), undefined);
 });
 
-// Guards against reports without what daemons count that are cut off from others.
-test("a window waits longer while some daemons are not heard of", () => {
+// Guards against reports that lack the counts of partitioned daemons.
+test("a window is finalized later while some daemons are unreachable", () => {
   const clock = { now: 1_000 };
   const meter = meterAt(clock);
   meter.countRequest("fitters");
   clock.now = 12_400;
-  const cut = { meter, timing: TIMING, now: 12_400, complete: false };
-  assert.equal(finalizeReports(workFrom(0), cut), undefined);
+  const partitioned = { meter, timing: TIMING, now: 12_400, complete: false };
+  assert.equal(finalizeReports(stateFrom(0), partitioned), undefined);
   meter.applyUpdates([{
     incarnation: "b",
     window: 0,
     counts: [["fitters", 7]],
   }]);
-  const late = finalizeReports(workFrom(0), { ...cut, now: 12_500 });
-  assert.deepEqual(late?.fixed[0]?.counts, { fitters: 8 });
+  const late = finalizeReports(stateFrom(0), { ...partitioned, now: 12_500 });
+  assert.deepEqual(late?.finalized[0]?.counts, { fitters: 8 });
 });
 
-test("the first leader begins with the present window", () => {
+test("the first leader starts with the current window", () => {
   const clock = { now: 52_000 };
   const sources = {
     meter: meterAt(clock),
@@ -63,15 +63,15 @@
     now: clock.now,
     complete: true,
   };
-  assert.equal(finalizeReports(INITIAL_STATE, sources)?.work.nextWindow, 10);
+  assert.equal(finalizeReports(INITIAL_STATE, sources)?.state.nextWindow, 10);
 });
 
-test("a report stays the same whatever is heard later", () => {
+test("a finalized report ignores counts that arrive later", () => {
   const clock = { now: 1_000 };
   const meter = meterAt(clock);
   meter.countRequest("fitters");
   clock.now = 9_600;
-  const first = finalizeReports(workFrom(0), {
+  const first = finalizeReports(stateFrom(0), {
     meter,
     timing: TIMING,
     now: 9_600,
@@ -84,11 +84,11 @@
   }]);
   clock.now = 14_600;
   const sources = { meter, timing: TIMING, now: 14_600, complete: true };
-  const second = finalizeReports(first!.work, sources);
-  assert.deepEqual(second?.work.reports[0]?.counts, { fitters: 1 });
+  const second = finalizeReports(first!.state, sources);
+  assert.deepEqual(second?.state.reports[0]?.counts, { fitters: 1 });
 });
 
-test("counts of all daemons outlast their loss", () => {
+test("a checkpoint preserves the counts when all daemons are lost", () => {
   const clock = { now: 1_000 };
   const meter = meterAt(clock);
   meter.countRequest("fitters");
@@ -97,7 +97,7 @@
     window: 0,
     counts: [["fitters", 4], ["office", 2]],
   }]);
-  const checkpoint = checkpointOf(workFrom(0), {
+  const checkpoint = checkpointOf(stateFrom(0), {
     meter,
     timing: TIMING,
     now: clock.now,
@@ -112,11 +112,11 @@
     now: clock.now,
     complete: true,
   };
-  const decision = finalizeReports({ ...workFrom(0), checkpoint }, sources);
-  assert.deepEqual(decision?.fixed[0]?.counts, { fitters: 5, office: 3 });
+  const decision = finalizeReports({ ...stateFrom(0), checkpoint }, sources);
+  assert.deepEqual(decision?.finalized[0]?.counts, { fitters: 5, office: 3 });
 });
 
-test("counts that a checkpoint and living daemons both tell count once", () => {
+test("counts in both the checkpoint and the meter are counted once", () => {
   const clock = { now: 1_000 };
   const meter = meterAt(clock);
   meter.countRequest("fitters");
@@ -126,7 +126,7 @@
     counts: [["fitters", 4]],
   }]);
   const sources = { meter, timing: TIMING, now: clock.now, complete: true };
-  const checkpoint = checkpointOf(workFrom(0), sources);
+  const checkpoint = checkpointOf(stateFrom(0), sources);
   // The daemon "a" is lost; "b" lives and has counted more since.
   const next = meterAt(clock, "c");
   next.applyUpdates([{
@@ -134,14 +134,14 @@
     window: 0,
     counts: [["fitters", 4]],
   }]);
-  const again = checkpointOf({ ...workFrom(0), checkpoint }, {
+  const again = checkpointOf({ ...stateFrom(0), checkpoint }, {
     ...sources,
     meter: next,
   });
   assert.deepEqual(again.windows[0]?.counts, { fitters: 5 });
 });
 
-test("windows that are due no more are told as missed", () => {
+test("windows that are too old to report are returned as missed", () => {
   const clock = { now: 100_000 };
   const sources = {
     meter: meterAt(clock),
@@ -149,16 +149,20 @@
     now: clock.now,
     complete: true,
   };
-  const decision = finalizeReports(workFrom(10), sources);
+  const decision = finalizeReports(stateFrom(10), sources);
   assert.deepEqual(decision?.missed, [10, 11, 12, 13, 14, 15]);
-  assert.deepEqual(decision.fixed.map(({ window }) => window), [16, 17, 18]);
+  assert.deepEqual(decision.finalized.map(({ window }) => window), [
+    16,
+    17,
+    18,
+  ]);
 });
 
-test("reports that wait are kept, accepted ones only for a while", () => {
+test("pending reports are kept, and only the latest accepted ones", () => {
   const reports = [1, 2, 3, 4, 5]
     .map((window) => ({ window, counts: {}, accepted: false }));
   const { reports: kept } = withAccepted(
-    { ...workFrom(6), reports },
+    { ...stateFrom(6), reports },
     new Set([1, 2, 3, 5]),
   );
   assert.deepEqual(kept.map(({ window }) => window), [3, 4, 5]);
