--- a/packages/router/src/connection/crash_ages.ts
+++ b/packages/router/src/connection/crash_ages.ts
@@ -27,11 +27,11 @@
 /** A crash update in ms before the message, because hosts share no clock. */
 export interface CrashAges {
   readonly crashed: readonly RunnerCrash[];
-  readonly answers: readonly AnswerAge[];
+  readonly responses: readonly AnswerAge[];
 }
 
 /** A report without crashes. */
-export const NO_CRASHES: CrashAges = { crashed: [], answers: [] };
+export const NO_CRASHES: CrashAges = { crashed: [], responses: [] };
 
 /** Milliseconds from a time until now, both in monotonic ms; 0 if it is later. */
 export function ageOf(at: number, now: number): number {
@@ -53,7 +53,7 @@
         endedAgoMs: ageOf(endedAt, now),
       })),
     })),
-    answers: responses.map(({ fingerprint, at }) => ({
+    responses: responses.map(({ fingerprint, at }) => ({
       fingerprint,
       agoMs: ageOf(at, now),
     })),
@@ -62,7 +62,7 @@
 
 /** Converts ages to times, for a message that arrived now. */
 export function fromAges(
-  { crashed, answers }: CrashAges,
+  { crashed, responses: answers }: CrashAges,
   now: number,
 ): CrashUpdate {
   return {
--- a/packages/router/src/connection/crash_encoding.ts
+++ b/packages/router/src/connection/crash_encoding.ts
@@ -23,7 +23,9 @@
 const ANSWER_FIELDS = 2;
 
 /** Converts a crash report to its layout: some 20 bytes for each request. */
-export function packCrashes({ crashed, answers }: CrashAges): PackedCrashes {
+export function packCrashes(
+  { crashed, responses: answers }: CrashAges,
+): PackedCrashes {
   return [
     crashed.map(({ runner, runs }) => [
       runner,
@@ -62,7 +64,7 @@
 export function unpackCrashes([crashed, answers]: PackedCrashes): CrashAges {
   return {
     crashed: crashed.map(unpackCrash),
-    answers: rowsOf(answers, ANSWER_FIELDS).map(([fingerprint, ago]) => ({
+    responses: rowsOf(answers, ANSWER_FIELDS).map(([fingerprint, ago]) => ({
       fingerprint: String(fingerprint),
       agoMs: checkCount(ago, "crashes.agoMs"),
     })),
@@ -70,6 +72,8 @@
 }
 
 /** Whether a crash report is not empty. */
-export function hasCrashes({ crashed, answers }: CrashAges): boolean {
+export function hasCrashes(
+  { crashed, responses: answers }: CrashAges,
+): boolean {
   return crashed.length + answers.length > 0;
 }
--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -106,7 +106,7 @@
       own,
       log,
       context: {
-        shouldRegister: () => this.#isContact(),
+        shouldRegister: () => this.#shouldRegister(),
         isAlone: () => this.#peers.count === 0,
         isKnown: (address) =>
           this.#exchange.contacts().some((each) => each.address === address),
@@ -214,8 +214,8 @@
     return this.#peers.count === 0 || before.length < INITIAL_READERS;
   }
 
-  /** Whether this daemon is registered: it watches the store for its domain. */
-  #isContact(): boolean {
+  /** Whether to register: others discover the daemons that watch the store. */
+  #shouldRegister(): boolean {
     return this.#peers.count === 0 ||
       isWatcher(this.#own, [this.#own, ...this.#reachable]);
   }
--- a/packages/router/src/connection/peer_link_test.ts
+++ b/packages/router/src/connection/peer_link_test.ts
@@ -145,7 +145,7 @@
       { fingerprint: "two", beganAgoMs: 70, endedAgoMs: 40 },
     ],
   }],
-  answers: [{ fingerprint: "three", agoMs: 10 }],
+  responses: [{ fingerprint: "three", agoMs: 10 }],
 };
 
 test("a crash report is decoded unchanged", async (t) => {
@@ -162,7 +162,7 @@
 
 test("an invalid age closes the link", async (t) => {
   const { far, closed, faults } = await openLink(t, () => {});
-  const [answer] = CRASHES.answers;
+  const [answer] = CRASHES.responses;
   const crashes = { crashed: [], answers: [{ ...answer!, agoMs: NaN }] };
   far.end(encodeMessage(testUpdate({ crashes })));
   await closed;
--- a/packages/router/src/connection/state_exchange.ts
+++ b/packages/router/src/connection/state_exchange.ts
@@ -68,8 +68,8 @@
  *
  * Every daemon chooses runners by itself. With only its own part of their load,
  * several daemons would choose the same runner at the same time. Each update
- * includes the sender's versions, so that a change reaches daemons that the
- * store rejects through the others.
+ * includes the sender's versions, so that a change also reaches daemons whose
+ * calls the store rejects.
  *
  * In a small fleet each daemon sends its own load at each runner to all others.
  * In a large one it sends its neighbours in a tree the sum of its own load and
--- a/packages/router/src/connection/update_broadcaster.ts
+++ b/packages/router/src/connection/update_broadcaster.ts
@@ -91,7 +91,7 @@
 /**
  * Collects changes of this daemon and its neighbours and sends them. The parent,
  * or the other heads, get the state of this daemon and its children; each child
- * gets the state of downstream daemons but itself. In a small fleet every peer gets the
+ * gets the state of all daemons but itself. In a small fleet every peer gets the
  * state of this daemon.
  */
 export class UpdateBroadcaster {
--- a/packages/router/src/connection/version_exchange.ts
+++ b/packages/router/src/connection/version_exchange.ts
@@ -24,8 +24,8 @@
 
 /**
  * Tracks the versions of each peer, requests newer data and responds to requests.
- * Each state update includes the sender's versions, so that a change reaches
- * daemons that the store rejects through the others.
+ * Each state update includes the sender's versions, so that a change also
+ * reaches daemons whose calls the store rejects.
  */
 export class VersionExchange {
   readonly #state: VersionedState;
