--- a/packages/router/src/connection/crash_ages.ts
+++ b/packages/router/src/connection/crash_ages.ts
@@ -13,13 +13,13 @@
   readonly runner: string;
   readonly runs: readonly {
     readonly fingerprint: string;
-    readonly beganAgoMs: number;
+    readonly startedAgoMs: number;
     readonly endedAgoMs: number;
   }[];
 }
 
 /** A request that got a complete response. */
-export interface AnswerAge {
+export interface ResponseAge {
   readonly fingerprint: string;
   readonly agoMs: number;
 }
@@ -27,7 +27,7 @@
 /** A crash update in ms before the message, because hosts share no clock. */
 export interface CrashAges {
   readonly crashed: readonly RunnerCrash[];
-  readonly responses: readonly AnswerAge[];
+  readonly responses: readonly ResponseAge[];
 }
 
 /** A report without crashes. */
@@ -49,7 +49,7 @@
       runner,
       runs: runs.map(({ fingerprint, startedAt, endedAt }) => ({
         fingerprint,
-        beganAgoMs: ageOf(startedAt, now),
+        startedAgoMs: ageOf(startedAt, now),
         endedAgoMs: ageOf(endedAt, now),
       })),
     })),
@@ -62,19 +62,21 @@
 
 /** Converts ages to times, for a message that arrived now. */
 export function fromAges(
-  { crashed, responses: answers }: CrashAges,
+  { crashed, responses }: CrashAges,
   now: number,
 ): CrashUpdate {
   return {
     crashed: crashed.flatMap(({ runner, runs }) =>
-      runs.map(({ fingerprint, beganAgoMs, endedAgoMs }): CrashedRun => ({
+      runs.map((
+        { fingerprint, startedAgoMs, endedAgoMs },
+      ): CrashedRun => ({
         fingerprint,
         runner,
-        startedAt: now - beganAgoMs,
+        startedAt: now - startedAgoMs,
         endedAt: now - endedAgoMs,
       }))
     ),
-    responses: answers.map(({ fingerprint, agoMs }): CompleteResponse => ({
+    responses: responses.map(({ fingerprint, agoMs }): CompleteResponse => ({
       fingerprint,
       at: now - agoMs,
     })),
--- a/packages/router/src/connection/crash_encoding.ts
+++ b/packages/router/src/connection/crash_encoding.ts
@@ -20,20 +20,20 @@
 
 /** Number of fields of one run in a flat array. */
 const RUN_FIELDS = 3;
-const ANSWER_FIELDS = 2;
+const RESPONSE_FIELDS = 2;
 
 /** Converts a crash report to its layout: some 20 bytes for each request. */
 export function packCrashes(
-  { crashed, responses: answers }: CrashAges,
+  { crashed, responses }: CrashAges,
 ): PackedCrashes {
   return [
     crashed.map(({ runner, runs }) => [
       runner,
       runs.flatMap((
-        { fingerprint, beganAgoMs, endedAgoMs },
-      ) => [fingerprint, beganAgoMs, endedAgoMs]),
+        { fingerprint, startedAgoMs, endedAgoMs },
+      ) => [fingerprint, startedAgoMs, endedAgoMs]),
     ]),
-    answers.flatMap(({ fingerprint, agoMs }) => [fingerprint, agoMs]),
+    responses.flatMap(({ fingerprint, agoMs }) => [fingerprint, agoMs]),
   ];
 }
 
@@ -52,19 +52,19 @@
 function unpackCrash([runner, runs]: PackedCrash): RunnerCrash {
   return {
     runner: String(runner),
-    runs: rowsOf(runs, RUN_FIELDS).map(([fingerprint, began, ended]) => ({
+    runs: rowsOf(runs, RUN_FIELDS).map(([fingerprint, started, ended]) => ({
       fingerprint: String(fingerprint),
-      beganAgoMs: checkCount(began, "crashes.beganAgoMs"),
+      startedAgoMs: checkCount(started, "crashes.startedAgoMs"),
       endedAgoMs: checkCount(ended, "crashes.endedAgoMs"),
     })),
   };
 }
 
 /** Reads a crash report in the layout of {@linkcode packCrashes}. */
-export function unpackCrashes([crashed, answers]: PackedCrashes): CrashAges {
+export function unpackCrashes([crashed, responses]: PackedCrashes): CrashAges {
   return {
     crashed: crashed.map(unpackCrash),
-    responses: rowsOf(answers, ANSWER_FIELDS).map(([fingerprint, ago]) => ({
+    responses: rowsOf(responses, RESPONSE_FIELDS).map(([fingerprint, ago]) => ({
       fingerprint: String(fingerprint),
       agoMs: checkCount(ago, "crashes.agoMs"),
     })),
@@ -73,7 +73,7 @@
 
 /** Whether a crash report is not empty. */
 export function hasCrashes(
-  { crashed, responses: answers }: CrashAges,
+  { crashed, responses }: CrashAges,
 ): boolean {
-  return crashed.length + answers.length > 0;
+  return crashed.length + responses.length > 0;
 }
--- a/packages/router/src/connection/outbox.ts
+++ b/packages/router/src/connection/outbox.ts
@@ -62,7 +62,7 @@
   #parts: (PrefixUpdate & Sourced)[] = [];
   #contacts: ContactUpdates[] = [];
   readonly #crashed: (CrashedRun & Sourced)[] = [];
-  readonly #answers: (CompleteResponse & Sourced)[] = [];
+  readonly #responses: (CompleteResponse & Sourced)[] = [];
   /** The last limit stated by each runner. */
   readonly #limits = new Map<string, LimitUpdate & Sourced>();
   /** The last counts of each workspace, by incarnation and window. */
@@ -97,7 +97,7 @@
     from?: string,
   ): void {
     enqueue(this.#crashed, crashed, from);
-    enqueue(this.#answers, responses, from);
+    enqueue(this.#responses, responses, from);
   }
 
   addLimits(limits: readonly LimitUpdate[], from?: string): void {
@@ -130,7 +130,7 @@
   get empty(): boolean {
     return this.#urgent.size === 0 && this.#normal.size === 0 &&
       this.#parts.length === 0 && this.#contacts.length === 0 &&
-      this.#crashed.length === 0 && this.#answers.length === 0 &&
+      this.#crashed.length === 0 && this.#responses.length === 0 &&
       this.#limits.size === 0 && this.#lease?.holderId !== "";
   }
 
@@ -155,7 +155,7 @@
       },
       crashes: {
         crashed: this.#crashed.splice(0, MAX_CRASHES),
-        responses: this.#answers.splice(0, MAX_CRASHES),
+        responses: this.#responses.splice(0, MAX_CRASHES),
       },
       limits: [...this.#limits.values()].slice(0, MAX_LIMITS),
       usage: [...this.#usage.values()],
--- a/packages/router/src/connection/peer_encoding.ts
+++ b/packages/router/src/connection/peer_encoding.ts
@@ -65,7 +65,7 @@
 type PackedLimit = readonly [runner: string, agoMs: number, perS?: number];
 
 type PackedUsage = readonly [
-  life: string,
+  incarnation: string,
   window: number,
   workspacesAndCounts: readonly (string | number)[],
 ];
@@ -221,19 +221,19 @@
 }
 
 function packUsage(
-  { incarnation: life, window, counts }: UsageCount,
+  { incarnation, window, counts }: UsageCount,
 ): PackedUsage {
-  return [life, window, counts.flat()];
+  return [incarnation, window, counts.flat()];
 }
 
-function unpackUsage([life, window, packed]: PackedUsage): UsageCount {
+function unpackUsage([incarnation, window, packed]: PackedUsage): UsageCount {
   const counts: WorkspaceCount[] = [];
   for (let index = 0; index + 1 < packed.length; index += 2) {
     const requests = checkCount(packed[index + 1] as number, "usage.counts");
     counts.push([String(packed[index]), requests]);
   }
   return {
-    incarnation: String(life),
+    incarnation: String(incarnation),
     window: checkCount(window, "usage.window"),
     counts,
   };
--- a/packages/router/src/connection/peer_link_test.ts
+++ b/packages/router/src/connection/peer_link_test.ts
@@ -141,8 +141,8 @@
   crashed: [{
     runner: "r",
     runs: [
-      { fingerprint: "one", beganAgoMs: 90, endedAgoMs: 40 },
-      { fingerprint: "two", beganAgoMs: 70, endedAgoMs: 40 },
+      { fingerprint: "one", startedAgoMs: 90, endedAgoMs: 40 },
+      { fingerprint: "two", startedAgoMs: 70, endedAgoMs: 40 },
     ],
   }],
   responses: [{ fingerprint: "three", agoMs: 10 }],
@@ -162,8 +162,8 @@
 
 test("an invalid age closes the link", async (t) => {
   const { far, closed, faults } = await openLink(t, () => {});
-  const [answer] = CRASHES.responses;
-  const crashes = { crashed: [], answers: [{ ...answer!, agoMs: NaN }] };
+  const [response] = CRASHES.responses;
+  const crashes = { crashed: [], responses: [{ ...response!, agoMs: NaN }] };
   far.end(encodeMessage(testUpdate({ crashes })));
   await closed;
   assert.match(faults[0]!, /"crashes.agoMs"/);
