--- a/packages/router/src/process/leader_lease.ts
+++ b/packages/router/src/process/leader_lease.ts
@@ -1,5 +1,5 @@
 /**
- * Which daemon leads, by a lease in the platform's store.
+ * Leader election by a lease in the platform's store.
  *
  * @module
  */
@@ -21,59 +21,69 @@
   StoredRecord,
 } from "./leader_record.ts";
 
-/** Milliseconds beyond the lease for which calls of an earlier leader may arrive. */
+/**
+ * Time in ms after the end of a lease in which calls of the earlier leader may
+ * still arrive.
+ */
 const SETTLE_MS = 200;
 
-/** What other daemons are told of the lease, so that they need not read it. */
+/**
+ * A revision of the lease, as seen in the store. Daemons send it to each other so
+ * that most of them need not read the store.
+ */
 export interface LeaseObservation {
   readonly revision: number;
+  /** Incarnation of the holder; empty if the lease was released. */
   readonly holderId: string;
-  /** Steady ms at which the revision was there. */
+  /** Monotonic ms at which the store held the revision. */
   readonly at: number;
 }
 
-/** One life of a daemon. */
+/** One incarnation of a daemon. */
 export interface LeaderIdentity {
   readonly name: string;
   readonly incarnation: string;
 }
 
-/** What a {@linkcode LeaderLease} needs. */
+/** Options of a {@linkcode LeaderLease}. */
 export interface LeaderLeaseOptions {
   readonly store: LeaderStore;
   readonly own: LeaderIdentity;
-  /** How long a silent leader keeps the lease, in ms. */
+  /** Time in ms after which an unrenewed lease can be taken by another daemon. */
   readonly leaseMs: number;
   readonly clock: Clock;
   readonly log: EventLog;
 }
 
-/** A time of leading. */
+/** A term of leadership. */
 interface Term {
+  /** Fencing token. */
   readonly fencing: number;
+  /** Monotonic ms at which the term started. */
   readonly since: number;
-  /** When the last write that is known to stand was sent. */
+  /** When the last write that is known to have succeeded was sent. */
   renewedAt: Moment;
   revision: number;
-  work: LeaderState;
+  state: LeaderState;
 }
 
-/** A write whose answer was lost. */
-interface UnsureWrite {
+/** A write whose response was lost. */
+interface UnconfirmedWrite {
   readonly attempt: number;
   readonly sentAt: Moment;
 }
 
 /**
- * Holds the lease of the leader, and with it what the leader has decided: both
- * are one object, so that a decision stands exactly if its leader held the lease
- * when it was written. Another daemon takes the lease when its object has stood
- * for the whole duration, or the holder gave it up.
+ * Acquires, renews and releases the leader's lease, and stores the leader's state
+ * with it. Both are one object, so that a decision is stored exactly if its leader
+ * held the lease at the time of the write. Another daemon takes the lease when its
+ * object has been unchanged for the whole lease duration, or after its release.
  *
- * A leader acts while {@linkcode mayAct} says so. After another one has led, it
- * first lets a whole duration pass since its own last act, and since its start,
- * as a start may have forgotten one: the platform must never see two daemons
- * act in turns within that time.
+ * A leader may call the platform while {@linkcode mayAct} returns true. If another
+ * daemon led before, the new leader first waits until a whole lease duration has
+ * passed since its own last action and since the start of its process, as an
+ * earlier process may have acted before a restart. The platform must never see
+ * calls of two daemons alternate within a lease duration.
  */
 export class LeaderLease {
   readonly #store: LeaderStore;
@@ -84,12 +94,12 @@
   readonly #sight: LeaseSight;
   readonly #startedAt: Moment;
   #holderId = "";
-  #writtenHere = false;
+  #ownWrite = false;
   #actedAt: Moment;
   #attempts = 0;
   #term: Term | undefined;
-  #unsure: UnsureWrite | undefined;
-  /** Steady ms from which this leader may act. */
+  #unconfirmed: UnconfirmedWrite | undefined;
+  /** Monotonic ms from which this leader may act. */
   #actsFrom = Infinity;
 
   constructor(options: LeaderLeaseOptions) {
@@ -104,71 +114,71 @@
     this.#actedAt = this.#startedAt;
   }
 
-  /** Number of the present term; none while another daemon may lead. */
+  /** Fencing token of the current term; undefined while another daemon may lead. */
   get fencing(): number | undefined {
     return this.#remainingMs() > 0 ? this.#term!.fencing : undefined;
   }
 
-  /** Whether this daemon leads. */
+  /** Whether this daemon holds the lease. */
   get held(): boolean {
     return this.fencing !== undefined;
   }
 
-  /** What was decided, as it stands in the store. */
+  /** State of the leader, as the store holds it. */
   get state(): LeaderState {
-    return this.#term?.work ?? INITIAL_STATE;
+    return this.#term?.state ?? INITIAL_STATE;
   }
 
-  /** Milliseconds since the lease was renewed last. */
+  /** Milliseconds since the last renewal of the lease. */
   get sinceRenewalMs(): number {
     const renewedAt = this.#term?.renewedAt.monotonic ?? -Infinity;
     return this.#clock.monotonic() - renewedAt;
   }
 
-  /** What others may be told; none before anything was seen. */
+  /** The latest observation; undefined before the first one. */
   get observation(): LeaseObservation | undefined {
     const { version: revision, since: at } = this.#sight;
     if (revision === 0) return undefined;
     return { revision, holderId: this.#holderId, at };
   }
 
-  /** Whether what was seen last was written by this daemon. */
+  /** Whether this daemon wrote the revision that was observed last. */
   get isOwnWrite(): boolean {
-    return this.#writtenHere;
+    return this.#ownWrite;
   }
 
-  /** Milliseconds for which the revision that was seen last has stood. */
+  /** Milliseconds for which the revision that was observed last is unchanged. */
   get unchangedMs(): number {
     return this.#clock.monotonic() - this.#sight.since;
   }
 
-  /** Whether the lease was given up, as far as seen. */
+  /** Whether the lease was released, according to the latest observation. */
   get isReleased(): boolean {
     return this.#sight.version > 0 && this.#holderId === "";
   }
 
-  /** Takes what a neighbour told. */
+  /** Records an observation of a neighbour; older revisions are ignored. */
   observe({ revision, holderId, at }: LeaseObservation): void {
     if (revision <= this.#sight.version) return;
     this.#sight.see(revision, at);
     this.#holderId = holderId;
-    this.#writtenHere = false;
+    this.#ownWrite = false;
   }
 
-  /** Whether a call that takes up to `callMs` may begin now. */
+  /** Whether a call that takes up to `callMs` may start now. */
   mayAct(callMs: number): boolean {
     return this.#clock.monotonic() >= this.#actsFrom &&
       this.#remainingMs() > callMs;
   }
 
-  /** Notes that something was done under the lease just now. */
+  /** Records that the leader has acted just now. */
   recordAction(): void {
     this.#actedAt = momentOf(this.#clock);
   }
 
-  /** Looks at the lease and takes it if it is free. */
+  /** Reads the lease from the store, and takes it if it is free. */
   async tryTake(): Promise<void> {
-    const found = await this.#asked(() => this.#store.read());
+    const found = await this.#tryStore(() => this.#store.read());
     if (found === "unknown") return;
     const seen = found && {
       version: found.revision,
@@ -176,67 +186,68 @@
     };
     const free = this.#sight.isFree(seen, this.#clock.monotonic());
     this.#holderId = found?.record.holding.holderId ?? "";
-    this.#writtenHere = false;
+    this.#ownWrite = false;
     if (free) await this.#take(found);
   }
 
   /**
-   * Writes what was decided, and renews the lease with it.
+   * Writes the state, and renews the lease with it.
    *
-   * @returns whether it stands in the store.
+   * @returns whether the store is known to hold the state.
    */
-  async update(work: LeaderState): Promise<boolean> {
-    if (this.#unsure !== undefined && !await this.#resolve()) return false;
+  async update(state: LeaderState): Promise<boolean> {
+    if (this.#unconfirmed !== undefined && !await this.#resolve()) return false;
     const term = this.#term;
     if (term === undefined || this.#remainingMs() <= 0) return false;
     const sentAt = momentOf(this.#clock);
-    const record = this.#record(term.fencing, work);
-    const written = await this.#write(record, term.revision, sentAt);
-    if (written === "unknown") return false;
-    if (written.kind === "written") {
-      this.#stands(term, { revision: written.revision, sentAt, work });
+    const record = this.#record(term.fencing, state);
+    const result = await this.#write(record, term.revision, sentAt);
+    if (result === "unknown") return false;
+    if (result.kind === "written") {
+      this.#confirm(term, { revision: result.revision, sentAt, state });
       return true;
     }
-    this.#met(written.found);
+    this.#reconcile(result.found);
     return false;
   }
 
   /**
-   * Gives the lease up, so that another daemon need not wait for its end. No call
-   * may be under way: the next leader makes its first one at once.
+   * Releases the lease, so that another daemon can take it before it expires. No
+   * call may be in progress, as the next leader may make its first call at once.
    */
   async release(): Promise<void> {
     const term = this.#term;
     if (term === undefined) return;
-    // Nothing may be done under it from here on, whether the write arrives.
+    // From here on this daemon must not act, whether or not the write arrives.
     this.#end("released");
-    const { holding, work } = this.#record(term.fencing, term.work);
+    const { holding, work } = this.#record(term.fencing, term.state);
     const free = { ...holding, holder: "", holderId: "" };
     const record = { holding: free, work };
-    const written = await this.#asked(() =>
+    const result = await this.#tryStore(() =>
       this.#store.write(record, term.revision)
     );
-    if (written === "unknown" || written.kind === "conflict") return;
-    this.#see(written.revision, this.#clock.monotonic());
+    if (result === "unknown" || result.kind === "conflict") return;
+    this.#recordOwnWrite(result.revision, this.#clock.monotonic());
     this.#holderId = "";
   }
 
   async #take(found: StoredRecord | undefined): Promise<void> {
     const ifRevision = found?.revision ?? 0;
     const fencing = fencingAfter(ifRevision);
-    const work = found?.record.work ?? INITIAL_STATE;
+    const state = found?.record.work ?? INITIAL_STATE;
     const sentAt = momentOf(this.#clock);
-    const record = this.#record(fencing, work);
-    const written = await this.#write(record, ifRevision, sentAt);
-    // Whether a lost write stands shows at the next look: it is this life's own.
-    this.#unsure = undefined;
-    if (written === "unknown" || written.kind === "conflict") return;
-    const { revision } = written;
+    const record = this.#record(fencing, state);
+    const result = await this.#write(record, ifRevision, sentAt);
+    // If the response was lost, the next read shows whether the write succeeded,
+    // as the record then holds this incarnation.
+    this.#unconfirmed = undefined;
+    if (result === "unknown" || result.kind === "conflict") return;
+    const { revision } = result;
     const since = this.#clock.monotonic();
-    this.#term = { fencing, since, renewedAt: sentAt, revision, work };
-    this.#see(revision, since);
+    this.#term = { fencing, since, renewedAt: sentAt, revision, state };
+    this.#recordOwnWrite(revision, since);
     const before = found?.record.holding.holder ?? "";
-    this.#actsFrom = this.#firstAct(found);
+    this.#actsFrom = this.#firstActionAt(found);
     this.#log.event("leader_term_began", {
       fencing,
       revision,
@@ -245,8 +256,11 @@
     });
   }
 
-  /** Steady ms from which nothing done here comes between acts of others. */
-  #firstAct(found: StoredRecord | undefined): number {
+  /**
+   * Returns the monotonic ms from which actions of this daemon cannot fall between
+   * actions of other leaders.
+   */
+  #firstActionAt(found: StoredRecord | undefined): number {
     const now = this.#clock.monotonic();
     const own = found?.record.holding.holderId === this.#own.incarnation;
     if (own && Number.isFinite(this.#actsFrom)) return this.#actsFrom;
@@ -257,7 +271,7 @@
     return Math.max(now, since + this.#leaseMs) + SETTLE_MS;
   }
 
-  #record(fencing: number, work: LeaderState): LeaderRecord {
+  #record(fencing: number, state: LeaderState): LeaderRecord {
     this.#attempts += 1;
     return {
       holding: {
@@ -267,7 +281,7 @@
         attempt: this.#attempts,
         durationMs: this.#leaseMs,
       },
-      work,
+      work: state,
     };
   }
 
@@ -276,68 +290,77 @@
     ifRevision: number,
     sentAt: Moment,
   ): Promise<RecordWriteResult | "unknown"> {
-    const written = await this.#asked(() =>
+    const result = await this.#tryStore(() =>
       this.#store.write(record, ifRevision)
     );
-    if (written === "unknown") {
+    if (result === "unknown") {
       const { attempt } = record.holding;
-      this.#unsure = { attempt, sentAt };
+      this.#unconfirmed = { attempt, sentAt };
     }
-    return written;
+    return result;
   }
 
-  /** Learns what became of a write whose answer was lost; whether it is known. */
+  /**
+   * Reads the store to find out whether an unconfirmed write has succeeded.
+   *
+   * @returns whether the store has responded.
+   */
   async #resolve(): Promise<boolean> {
-    const found = await this.#asked(() => this.#store.read());
+    const found = await this.#tryStore(() => this.#store.read());
     if (found === "unknown") return false;
-    this.#met(found);
+    this.#reconcile(found);
     return true;
   }
 
-  /** Takes the object as it is after a conflict or a lost answer. */
-  #met(found: StoredRecord | undefined): void {
-    const unsure = this.#unsure;
-    this.#unsure = undefined;
+  /** Adopts the stored record after a conflict or a lost response. */
+  #reconcile(found: StoredRecord | undefined): void {
+    const pending = this.#unconfirmed;
+    this.#unconfirmed = undefined;
     const term = this.#term;
     if (term === undefined) return;
     const holding = found?.record.holding;
     const own = holding?.holderId === this.#own.incarnation &&
       holding.fencing === term.fencing;
-    if (found === undefined || !own) return this.#end("taken by another one");
+    if (found === undefined || !own) {
+      return this.#end("taken by another daemon");
+    }
     term.revision = found.revision;
-    term.work = found.record.work;
-    this.#see(found.revision, this.#clock.monotonic());
-    // Others count from the write that stands. Counting from a later attempt
-    // would let this leader act while another one takes over.
-    if (unsure?.attempt === holding.attempt) term.renewedAt = unsure.sentAt;
+    term.state = found.record.work;
+    this.#recordOwnWrite(found.revision, this.#clock.monotonic());
+    // Other daemons measure the lease from the stored write. Measuring it from a
+    // later attempt would let this leader act while another one takes over.
+    if (pending?.attempt === holding.attempt) term.renewedAt = pending.sentAt;
   }
 
-  #stands(term: Term, written: {
+  #confirm(term: Term, write: {
     readonly revision: number;
     readonly sentAt: Moment;
-    readonly work: LeaderState;
+    readonly state: LeaderState;
   }): void {
-    term.revision = written.revision;
-    term.renewedAt = written.sentAt;
-    term.work = written.work;
-    this.#see(written.revision, this.#clock.monotonic());
+    term.revision = write.revision;
+    term.renewedAt = write.sentAt;
+    term.state = write.state;
+    this.#recordOwnWrite(write.revision, this.#clock.monotonic());
   }
 
-  #see(revision: number, at: number): void {
+  #recordOwnWrite(revision: number, at: number): void {
     this.#sight.see(revision, at);
     this.#holderId = this.#own.incarnation;
-    this.#writtenHere = true;
+    this.#ownWrite = true;
   }
 
   #end(reason: string): void {
     const { fencing, since } = this.#term!;
     this.#term = undefined;
-    this.#unsure = undefined;
+    this.#unconfirmed = undefined;
     const heldMs = Math.round(this.#clock.monotonic() - since);
     this.#log.event("leader_term_ended", { fencing, reason, held_ms: heldMs });
   }
 
-  /** A term whose time is over ends here, also after a pause. */
+  /**
+   * Returns the remaining time of the lease, and ends the term if it has expired,
+   * for example after the process was suspended.
+   */
   #remainingMs(): number {
     if (this.#term === undefined) return 0;
     const { renewedAt } = this.#term;
@@ -346,10 +369,10 @@
     return left;
   }
 
-  /** What the store answers, unless it does not. */
-  async #asked<T>(ask: () => Promise<T>): Promise<T | "unknown"> {
+  /** Returns the result of a call to the store, or "unknown" without a response. */
+  async #tryStore<T>(call: () => Promise<T>): Promise<T | "unknown"> {
     try {
-      return await ask();
+      return await call();
     } catch (error) {
       if (!(error instanceof FeedError)) throw error;
       return "unknown";
--- a/packages/router/src/process/leader_lease_test.ts
+++ b/packages/router/src/process/leader_lease_test.ts
@@ -9,38 +9,38 @@
 const LEASE_MS = 3_000;
 const CALL_MS = 900;
 
-/** How the store treats the calls of one host. */
-type Mood = "sound" | "down" | "loses-answers" | "late";
+/** How the store handles the calls of one host. */
+type StoreMode = "normal" | "down" | "loses-responses" | "late";
 
-/** Time that a test lets pass, and a store that may act late. */
+/** Simulated time, a store that may delay writes, and the platform's calls. */
 class World {
   now = 0;
   stored: StoredRecord | undefined;
-  /** Writes that the store will try later. */
-  readonly #late: (() => void)[] = [];
+  /** Delayed writes. */
+  readonly #delayed: (() => void)[] = [];
   readonly calls: Call[] = [];
 
-  read(mood: Mood): StoredRecord | undefined {
-    if (mood === "down") throw new FeedError("unavailable", "down");
+  read(mode: StoreMode): StoredRecord | undefined {
+    if (mode === "down") throw new FeedError("unavailable", "down");
     return this.stored;
   }
 
-  write(record: LeaderRecord, ifRevision: number, mood: Mood) {
-    if (mood === "down") throw new FeedError("unavailable", "down");
-    if (mood === "late") {
-      this.#late.push(() => void this.#replace(record, ifRevision));
-      throw new FeedError("unavailable", "no answer");
+  write(record: LeaderRecord, ifRevision: number, mode: StoreMode) {
+    if (mode === "down") throw new FeedError("unavailable", "down");
+    if (mode === "late") {
+      this.#delayed.push(() => void this.#replace(record, ifRevision));
+      throw new FeedError("unavailable", "no response");
     }
-    const written = this.#replace(record, ifRevision);
-    if (mood === "loses-answers") {
-      throw new FeedError("unavailable", "answer lost");
+    const result = this.#replace(record, ifRevision);
+    if (mode === "loses-responses") {
+      throw new FeedError("unavailable", "response lost");
     }
-    return written;
+    return result;
   }
 
-  /** The store acts on what came late. */
-  actLate(): void {
-    for (const act of this.#late.splice(0)) act();
+  /** Tries the delayed writes now. */
+  applyDelayed(): void {
+    for (const apply of this.#delayed.splice(0)) apply();
   }
 
   #replace(record: LeaderRecord, ifRevision: number) {
@@ -53,25 +53,25 @@
   }
 }
 
-/** A call to the platform that has arrived. */
+/** A call that has reached the platform. */
 interface Call {
   readonly host: number;
   readonly fencing: number;
   readonly at: number;
 }
 
-/** A host with clocks of its own, on which one daemon after the other runs. */
+/** A host with its own clocks, on which one daemon runs at a time. */
 class Host {
   readonly #world: World;
   readonly #number: number;
-  #lives = 0;
-  /** What the steady clock lacks, because the host was suspended. */
+  #starts = 0;
+  /** Time that the monotonic clock lacks, because the host was suspended. */
   #suspendedMs = 0;
-  #shownAheadMs = 0;
-  /** When the last call has ended; a leader makes one at a time. */
+  #wallAheadMs = 0;
+  /** When the last call ends; a leader makes one call at a time. */
   #busyUntil = 0;
   #lease: LeaderLease;
-  mood: Mood = "sound";
+  storeMode: StoreMode = "normal";
 
   constructor(world: World, number: number) {
     this.#world = world;
@@ -83,19 +83,20 @@
     this.#lease = this.#start();
   }
 
-  suspended(ms: number): void {
+  suspend(ms: number): void {
     this.#suspendedMs += ms;
   }
 
-  step(ms: number): void {
-    this.#shownAheadMs += ms;
+  stepWallClock(ms: number): void {
+    this.#wallAheadMs += ms;
   }
 
   get leads(): boolean {
     return this.#lease.held;
   }
 
-  async look(): Promise<void> {
+  /** Renews the lease, or tries to take it. */
+  async renewOrTake(): Promise<void> {
     if (this.#lease.held) await this.#lease.update(this.#lease.state);
     else await this.#lease.tryTake();
   }
@@ -105,57 +106,63 @@
     await this.#lease.release();
   }
 
-  /** Calls the platform if it may; the call arrives some time later. */
-  act(takesMs: number): void {
+  /** Calls the platform if allowed; the call arrives after `delayMs`. */
+  act(delayMs: number): void {
     const { fencing } = this.#lease;
     if (this.#world.now < this.#busyUntil) return;
     if (fencing === undefined || !this.#lease.mayAct(CALL_MS)) return;
     this.#lease.recordAction();
-    const at = this.#world.now + takesMs;
+    const at = this.#world.now + delayMs;
     this.#busyUntil = at;
     this.#world.calls.push({ host: this.#number, fencing, at });
   }
 
   #start(): LeaderLease {
-    this.#lives += 1;
+    this.#starts += 1;
     return new LeaderLease({
       store: {
-        read: () => this.#ask(() => this.#world.read(this.mood)),
+        read: () => this.#call(() => this.#world.read(this.storeMode)),
         write: (record, revision) =>
-          this.#ask(() => this.#world.write(record, revision, this.mood)),
+          this.#call(() => this.#world.write(record, revision, this.storeMode)),
       },
       own: {
         name: `host-${this.#number}`,
-        incarnation: `${this.#number}-${this.#lives}`,
+        incarnation: `${this.#number}-${this.#starts}`,
       },
       leaseMs: LEASE_MS,
       clock: {
         monotonic: () => this.#world.now - this.#suspendedMs,
-        now: () => this.#world.now + this.#shownAheadMs,
+        now: () => this.#world.now + this.#wallAheadMs,
       },
       log: SILENT_LOG,
     });
   }
 
-  #ask<T>(ask: () => T): Promise<T> {
-    return new Promise((resolve) => resolve(ask()));
+  #call<T>(call: () => T): Promise<T> {
+    return new Promise((resolve) => resolve(call()));
   }
 }
 
 type Step =
-  | { readonly kind: "look" | "release" | "restart"; readonly host: number }
+  | {
+    readonly kind: "renewOrTake" | "release" | "restart";
+    readonly host: number;
+  }
   | { readonly kind: "act"; readonly host: number; readonly ms: number }
   | { readonly kind: "pass"; readonly ms: number }
   | { readonly kind: "suspend"; readonly host: number; readonly ms: number }
-  | { readonly kind: "jump"; readonly host: number; readonly ms: number }
-  | { readonly kind: "mood"; readonly host: number; readonly mood: Mood }
-  | { readonly kind: "late" };
+  | { readonly kind: "stepClock"; readonly host: number; readonly ms: number }
+  | { readonly kind: "mode"; readonly host: number; readonly mode: StoreMode }
+  | { readonly kind: "applyDelayed" };
 
 const HOSTS = 2;
 const host = fc.nat(HOSTS - 1);
 
 function steps(): fc.Arbitrary<readonly Step[]> {
-  const look = fc.record({ kind: fc.constant("look" as const), host });
+  const renewOrTake = fc.record({
+    kind: fc.constant("renewOrTake" as const),
+    host,
+  });
   const act = fc.record({
     kind: fc.constant("act" as const),
     host,
@@ -176,20 +183,25 @@
       ms: fc.constantFrom(400, 2_000, 6_000),
     }),
     fc.record({
-      kind: fc.constant("jump" as const),
+      kind: fc.constant("stepClock" as const),
       host,
       ms: fc.constantFrom(-2_400, 700, 2_400),
     }),
     fc.record({
-      kind: fc.constant("mood" as const),
+      kind: fc.constant("mode" as const),
       host,
-      mood: fc.constantFrom<Mood>("sound", "down", "loses-answers", "late"),
+      mode: fc.constantFrom<StoreMode>(
+        "normal",
+        "down",
+        "loses-responses",
+        "late",
+      ),
     }),
-    fc.record({ kind: fc.constant("late" as const) }),
+    fc.record({ kind: fc.constant("applyDelayed" as const) }),
   );
   return fc.array(
     fc.oneof(
-      { weight: 5, arbitrary: look },
+      { weight: 5, arbitrary: renewOrTake },
       { weight: 5, arbitrary: act },
       { weight: 4, arbitrary: pass },
       { weight: 3, arbitrary: others },
@@ -198,15 +210,16 @@
   );
 }
 
-async function play(history: readonly Step[]): Promise<readonly Call[]> {
+/** Runs a history, and returns its calls in the order of their arrival. */
+async function replay(history: readonly Step[]): Promise<readonly Call[]> {
   const world = new World();
   const hosts = Array.from({ length: HOSTS }, (_, at) => new Host(world, at));
-  // By then a host may act as soon as it leads.
+  // Late enough that a host may act as soon as it leads.
   world.now = 2 * LEASE_MS;
   for (const step of history) {
     switch (step.kind) {
-      case "look":
-        await hosts[step.host]!.look();
+      case "renewOrTake":
+        await hosts[step.host]!.renewOrTake();
         break;
       case "act":
         hosts[step.host]!.act(step.ms);
@@ -215,18 +228,18 @@
         world.now += step.ms;
         break;
       case "suspend":
-        // All time passes at once; the others find the lease as it was.
+        // The time passes in one step; the other hosts do nothing meanwhile.
         world.now += step.ms;
-        hosts[step.host]!.suspended(step.ms);
+        hosts[step.host]!.suspend(step.ms);
         break;
-      case "jump":
-        hosts[step.host]!.step(step.ms);
+      case "stepClock":
+        hosts[step.host]!.stepWallClock(step.ms);
         break;
-      case "mood":
-        hosts[step.host]!.mood = step.mood;
+      case "mode":
+        hosts[step.host]!.storeMode = step.mode;
         break;
-      case "late":
-        world.actLate();
+      case "applyDelayed":
+        world.applyDelayed();
         break;
       case "release":
         await hosts[step.host]!.release();
@@ -236,118 +249,118 @@
         break;
     }
   }
-  return [...world.calls].sort((one, other) => one.at - other.at);
+  return [...world.calls].sort((a, b) => a.at - b.at);
 }
 
-/** What is wrong with the calls as the platform sees them. */
-function faultIn(calls: readonly Call[]): string | undefined {
+/** Returns the first violation in the calls as the platform sees them. */
+function violationIn(calls: readonly Call[]): string | undefined {
   for (const [at, call] of calls.entries()) {
     const before = calls.slice(0, at);
-    const shown = JSON.stringify(call);
+    const text = JSON.stringify(call);
     if (before.some(({ fencing }) => fencing > call.fencing)) {
-      return `a lower number after a higher one: ${shown}`;
+      return `fencing token decreased: ${text}`;
     }
-    const same = before.some((each) =>
-      each.fencing === call.fencing && each.host !== call.host
+    const shared = before.some((other) =>
+      other.fencing === call.fencing && other.host !== call.host
     );
-    if (same) return `a number of two hosts: ${shown}`;
-    const lately = before.filter((each) => each.at > call.at - LEASE_MS);
-    const first = lately.findIndex((each) => each.host === call.host);
-    const between = lately.slice(first + 1)
-      .some((each) => each.host !== call.host);
-    if (first >= 0 && between) return `in turns with another host: ${shown}`;
+    if (shared) return `fencing token used by two hosts: ${text}`;
+    const recent = before.filter((other) => other.at > call.at - LEASE_MS);
+    const first = recent.findIndex((other) => other.host === call.host);
+    const between = recent.slice(first + 1)
+      .some((other) => other.host !== call.host);
+    if (first >= 0 && between) return `calls of two hosts alternate: ${text}`;
   }
   return undefined;
 }
 
-test("no history has two hosts act as leaders at once or in turns", async () => {
+test("two hosts never act as leaders at once or alternately", async () => {
   let calls = 0;
   let changes = 0;
   await fc.assert(
     fc.asyncProperty(steps(), async (history) => {
-      const made = await play(history);
+      const made = await replay(history);
       calls += made.length;
       changes += made.filter(({ host }, at) =>
         at > 0 && host !== made[at - 1]!.host
       ).length;
-      assert.equal(faultIn(made), undefined);
+      assert.equal(violationIn(made), undefined);
     }),
     { numRuns: 6_000, seed: 20_261_203 },
   );
-  // Histories without calls or changes of the leader would prove nothing.
+  // Histories without calls or changes of the leader would test nothing.
   assert.ok(calls > 1_000 && changes > 100, `${calls} calls, ${changes}`);
 });
 
-/** Hosts of which the first has led, and the world. */
+/** Returns two hosts, of which one has taken the lease and acted. */
 async function ledBy(first: number) {
   const world = new World();
   const hosts = Array.from({ length: 2 }, (_, at) => new Host(world, at));
   world.now = 10_000;
-  await hosts[first]!.look();
+  await hosts[first]!.renewOrTake();
   world.now += 300;
   hosts[first]!.act(0);
   assert.equal(world.calls.length, 1);
   return { world, hosts };
 }
 
-test("a leader that gives up is followed at once", async () => {
+test("a released lease is taken at once", async () => {
   const { world, hosts } = await ledBy(0);
   await hosts[0]!.release();
-  await hosts[1]!.look();
+  await hosts[1]!.renewOrTake();
   world.now += 300;
   hosts[1]!.act(0);
   assert.equal(world.calls.length, 2);
   assert.ok(world.calls[1]!.fencing > world.calls[0]!.fencing);
 });
 
-test("a silent leader is followed after its lease", async () => {
+test("a lease that is not renewed is taken after its duration", async () => {
   const { world, hosts } = await ledBy(0);
-  await hosts[1]!.look();
+  await hosts[1]!.renewOrTake();
   world.now += LEASE_MS;
-  await hosts[1]!.look();
+  await hosts[1]!.renewOrTake();
   world.now += 300;
   hosts[1]!.act(0);
   assert.equal(world.calls.length, 2);
 });
 
-test("a leader that was suspended does nothing before it has looked again", async () => {
+test("a leader that was suspended does not act before it reads the lease", async () => {
   const { world, hosts } = await ledBy(0);
   world.now += 5_000;
-  hosts[0]!.suspended(5_000);
+  hosts[0]!.suspend(5_000);
   hosts[0]!.act(0);
   assert.equal(world.calls.length, 1);
 });
 
-test("a lost answer to a renewal does not end the term", async () => {
+test("a lost response to a renewal does not end the term", async () => {
   const { world, hosts } = await ledBy(0);
   for (let times = 0; times < 6; times++) {
-    hosts[0]!.mood = times % 2 === 0 ? "loses-answers" : "sound";
+    hosts[0]!.storeMode = times % 2 === 0 ? "loses-responses" : "normal";
     world.now += 700;
-    await hosts[0]!.look();
+    await hosts[0]!.renewOrTake();
   }
   hosts[0]!.act(0);
   assert.equal(world.calls.length, 2);
   assert.equal(world.calls[1]!.fencing, world.calls[0]!.fencing);
 });
 
-test("a lease that stands for less than its duration is not taken", async () => {
+test("a lease is not taken before its duration has passed", async () => {
   const { world, hosts } = await ledBy(0);
-  await hosts[1]!.look();
+  await hosts[1]!.renewOrTake();
   world.now += LEASE_MS - 1;
-  await hosts[1]!.look();
+  await hosts[1]!.renewOrTake();
   assert.equal(hosts[1]!.leads, false);
 });
 
-test("a host that led before does not act in turns with another one", async () => {
+test("a host that led before does not act alternately with another one", async () => {
   const { world, hosts } = await ledBy(0);
   await hosts[0]!.release();
-  await hosts[1]!.look();
+  await hosts[1]!.renewOrTake();
   world.now += 300;
   hosts[1]!.act(0);
   await hosts[1]!.release();
-  await hosts[0]!.look();
+  await hosts[0]!.renewOrTake();
   world.now += LEASE_MS - 600;
-  await hosts[0]!.look();
+  await hosts[0]!.renewOrTake();
   hosts[0]!.act(0);
   assert.equal(world.calls.length, 2);
   world.now += 700;
@@ -355,12 +368,12 @@
   assert.equal(world.calls.length, 3);
 });
 
-test("a renewal that the store has not taken yet gives no more time", async () => {
+test("a delayed renewal does not extend the lease", async () => {
   const { world, hosts } = await ledBy(0);
-  hosts[0]!.mood = "late";
+  hosts[0]!.storeMode = "late";
   for (let times = 0; times < 3; times++) {
     world.now += 500;
-    await hosts[0]!.look();
+    await hosts[0]!.renewOrTake();
   }
   world.now += 100;
   hosts[0]!.act(0);
--- a/packages/router/src/process/leader_record.ts
+++ b/packages/router/src/process/leader_record.ts
@@ -1,5 +1,5 @@
 /**
- * What daemons keep in the platform's store of what one of them does for all.
+ * The leader's record in the platform's store.
  *
  * @module
  */
@@ -7,17 +7,17 @@
 import type { RunnerOrder } from "./runner_order.ts";
 import type { Counts } from "./usage_meter.ts";
 
-/** The requests of one window as they are reported, always with these counts. */
+/** The final counts of one window. Every attempt to report it sends the same. */
 export interface UsageReport {
   readonly window: number;
   readonly counts: Counts;
-  /** Whether the platform has taken it. */
+  /** Whether the platform has accepted the report. */
   readonly accepted: boolean;
 }
 
-/** What is known of the windows that are not reported yet. */
+/** Known counts of the windows that have no report yet. */
 export interface UsageCheckpoint {
-  /** Lives of daemons whose counts are in it. */
+  /** Incarnations of the daemons whose counts are included. */
   readonly lives: readonly string[];
   readonly windows: readonly {
     readonly window: number;
@@ -25,47 +25,51 @@
   }[];
 }
 
-/** What a leader hands on to the next one. */
+/** State that a leader hands over to its successor. */
 export interface LeaderState {
-  /** First window without a report; none before the first leader's look. */
+  /** First window without a report; undefined before the first leader's first step. */
   readonly nextWindow: number | undefined;
-  /** The last windows that have a report, in their order. */
+  /** The latest reports, ordered by window. */
   readonly reports: readonly UsageReport[];
   readonly checkpoint: UsageCheckpoint;
-  /** The last order for each place and kind. */
+  /** The latest order for each pool of runners. */
   readonly orders: readonly RunnerOrder[];
 }
 
-/** The object in the store: who leads, and what was decided. */
+/** The stored object: the lease, and the state of the leader. */
 export interface LeaderRecord {
   readonly holding: LeaseHolding;
   readonly work: LeaderState;
 }
 
-/** A leader's record at a revision of the store. */
+/** The record, with the revision at which the store holds it. */
 export interface StoredRecord {
   readonly revision: number;
   readonly record: LeaderRecord;
 }
 
-/** What became of a conditional write. */
+/** Result of a conditional write. */
 export type RecordWriteResult =
   | { readonly kind: "written"; readonly revision: number }
-  /** Another revision is there, or none. */
+  /** The store holds another revision, or no record. */
   | { readonly kind: "conflict"; readonly found: StoredRecord | undefined };
 
 /**
- * The record in the platform's store. Both calls throw `FeedError` when there is
- * no answer, also when the write may have taken effect.
+ * Access to the record in the platform's store. Both calls throw `FeedError`
+ * without a response, even though a write may have taken effect.
  */
 export interface LeaderStore {
-  /** The record, if there is one. */
+  /** Returns the record, if there is one. */
   read(): Promise<StoredRecord | undefined>;
-  /** @param ifRevision revision that it replaces; 0 when there is none. */
+  /**
+   * Replaces the record.
+   *
+   * @param ifRevision revision to be replaced; 0 if there is no record.
+   */
   write(record: LeaderRecord, ifRevision: number): Promise<RecordWriteResult>;
 }
 
-/** Work of a fleet that nobody has led yet. */
+/** State of a fleet that has had no leader yet. */
 export const INITIAL_STATE: LeaderState = {
   nextWindow: undefined,
   reports: [],
--- a/packages/router/src/process/platform_api.ts
+++ b/packages/router/src/process/platform_api.ts
@@ -1,29 +1,29 @@
 /**
- * Calls to the platform that one daemon makes for all.
+ * Calls of the leader to the platform.
  *
  * @module
  */
 import type { RunnerOrder } from "./runner_order.ts";
 import type { UsageReport } from "./leader_record.ts";
 
-/** Who calls, and by which right. */
+/** Identifies the term of the calling leader, so that stale calls are rejected. */
 export interface Fence {
-  /** Name of the daemon that leads. */
+  /** Name of the leader. */
   readonly holder: string;
-  /** Number of its term. */
+  /** Fencing token of its term. */
   readonly fencing: number;
 }
 
-/** How a call ended. */
+/** Outcome of a call. */
 export type CallOutcome =
-  /** The platform has taken it. */
+  /** The platform has accepted the call. */
   | { readonly kind: "accepted" }
-  /** There are no runners to be had at the moment. */
+  /** The platform has no more runners at the moment. */
   | { readonly kind: "none-left" }
-  /** It was refused, or there was no answer. */
+  /** The platform refused the call, or did not respond in time. */
   | { readonly kind: "failed"; readonly reason: string };
 
-/** The platform's API. A call ends within the time that it is given. */
+/** The platform's API. A call ends within its time-out. */
 export interface PlatformApi {
   /** Reports the requests of one window. */
   reportUsage(report: UsageReport, call: PlatformCall): Promise<CallOutcome>;
@@ -31,9 +31,9 @@
   orderRunners(order: RunnerOrder, call: PlatformCall): Promise<CallOutcome>;
 }
 
-/** What goes with each call. */
+/** Parameters of every call. */
 export interface PlatformCall {
   readonly fence: Fence;
-  /** Milliseconds after which nothing of the call may arrive any more. */
+  /** Time-out in ms, after which no part of the call may reach the platform. */
   readonly timeoutMs: number;
 }
--- a/packages/router/src/process/usage_meter.ts
+++ b/packages/router/src/process/usage_meter.ts
@@ -1,10 +1,11 @@
 /**
- * How many requests of each workspace runners began, counted by all daemons.
+ * Counts of the requests that runners started for each workspace, shared by all
+ * daemons.
  *
  * @module
  */
 
-/** What one life of a daemon counted in one window. Counts only grow. */
+/** Counts of one incarnation of a daemon in one window. They never decrease. */
 export interface UsageCount {
   /** Incarnation of the daemon. */
   readonly incarnation: string;
@@ -20,120 +21,128 @@
 /** Counts by workspace. */
 export type Counts = Readonly<Record<string, number>>;
 
-/** Windows that are kept: the present one and those that may be still to report. */
+/** Windows that are kept: the current one and those that may not be reported yet. */
 const KEPT_WINDOWS = 8;
-/** Windows that a count may lie ahead, where its daemon's clock is. */
+/** Windows by which a count may be ahead, if the clock of its daemon is fast. */
 const MAX_AHEAD = 1;
-/** Lives of daemons that are kept for one window. */
-const MAX_LIVES = 4_096;
-/** Workspaces that are kept for one life and window. */
+/** Maximum number of incarnations that are kept for one window. */
+const MAX_INCARNATIONS = 4_096;
+/** Maximum number of workspaces that are kept for one incarnation and window. */
 const MAX_WORKSPACES = 4_096;
 
-/** Counts of one life in one window. */
+/** Counts of one incarnation in one window, by workspace. */
 type Tally = Map<string, number>;
 
-/** How a meter tells the time. */
+/** Options of a {@linkcode UsageMeter}. */
 export interface UsageMeterOptions {
   /** Incarnation of this daemon. */
   readonly incarnation: string;
   readonly windowMs: number;
-  /** Epoch milliseconds. */
+  /** Returns the time in epoch milliseconds. */
   readonly now: () => number;
 }
 
 /**
- * Counts the requests of this daemon that runners began, and keeps what others
- * tell. Counts of a life and window are merged by the maximum, so that news that
- * come twice, late or by two ways add nothing.
+ * Counts the requests of this daemon that runners started, and merges the counts
+ * of other daemons. Counts of an incarnation and window are merged by the
+ * maximum, so that duplicated, late or rerouted updates do not change the totals.
  *
  * @example
  * ```ts
- * const meter = new UsageMeter({ life, windowMs: 5_000, now: () => time.now() });
- * meter.began("fitters");
+ * const meter = new UsageMeter({
+ *   incarnation,
+ *   windowMs: 5_000,
+ *   now: () => time.now(),
+ * });
+ * meter.countRequest("fitters");
  * meter.totals(meter.window); // Map { "fitters" => 1 }
  * ```
  */
 export class UsageMeter {
   readonly #options: UsageMeterOptions;
-  /** By window, then by life. */
+  /** Counts by window, then by incarnation. */
   readonly #windows = new Map<number, Map<string, Tally>>();
-  /** Own counts that have changed since they were told. */
-  readonly #untold = new Map<number, Set<string>>();
+  /** Workspaces whose own counts have changed since the last update, by window. */
+  readonly #changed = new Map<number, Set<string>>();
 
   constructor(options: UsageMeterOptions) {
     this.#options = options;
   }
 
-  /** Number of the present window. */
+  /** Number of the current window. */
   get window(): number {
     return Math.floor(this.#options.now() / this.#options.windowMs);
   }
 
-  /** Counts a request of a workspace that a runner began. */
+  /** Counts a request of a workspace that a runner has started. */
   countRequest(workspace: string): void {
     const { window } = this;
-    const { incarnation: life } = this.#options;
-    const tally = this.#tally(window, life);
+    const { incarnation } = this.#options;
+    const tally = this.#tally(window, incarnation);
     if (tally === undefined) return;
     tally.set(workspace, (tally.get(workspace) ?? 0) + 1);
-    const untold = this.#untold.get(window) ?? new Set();
-    this.#untold.set(window, untold.add(workspace));
+    const changed = this.#changed.get(window) ?? new Set();
+    this.#changed.set(window, changed.add(workspace));
   }
 
-  /** Own counts that have changed since the last call. */
+  /** Returns own counts that have changed since the last call. */
   takeUpdates(): readonly UsageCount[] {
-    const { incarnation: life } = this.#options;
-    const news = [...this.#untold].flatMap(([window, workspaces]) => {
-      const tally = this.#windows.get(window)?.get(life);
+    const { incarnation } = this.#options;
+    const updates = [...this.#changed].flatMap(([window, workspaces]) => {
+      const tally = this.#windows.get(window)?.get(incarnation);
       if (tally === undefined) return [];
       const counts = [...workspaces]
-        .map((each) => [each, tally.get(each) ?? 0] as const);
-      return [{ incarnation: life, window, counts }];
+        .map((workspace) => [workspace, tally.get(workspace) ?? 0] as const);
+      return [{ incarnation, window, counts }];
     });
-    this.#untold.clear();
-    return news;
+    this.#changed.clear();
+    return updates;
   }
 
   /**
-   * Takes what a neighbour told.
+   * Merges the counts that a neighbour sent.
    *
-   * @returns what of it was not known here.
+   * @returns the counts that were not known yet.
    */
-  applyUpdates(told: readonly UsageCount[]): readonly UsageCount[] {
-    return told.flatMap((each) => {
-      const tally = this.#tally(each.window, each.incarnation);
+  applyUpdates(updates: readonly UsageCount[]): readonly UsageCount[] {
+    return updates.flatMap((update) => {
+      const tally = this.#tally(update.window, update.incarnation);
       if (tally === undefined) return [];
-      const counts = each.counts.filter(([workspace, requests]) =>
+      const counts = update.counts.filter(([workspace, requests]) =>
         raise(tally, workspace, requests)
       );
-      return counts.length === 0 ? [] : [{ ...each, counts }];
+      return counts.length === 0 ? [] : [{ ...update, counts }];
     });
   }
 
-  /** All that is known. */
+  /** Returns all known counts. */
   snapshot(): readonly UsageCount[] {
-    return [...this.#windows].flatMap(([window, lives]) =>
-      [...lives].map(([life, tally]) => ({
-        incarnation: life,
+    return [...this.#windows].flatMap(([window, tallies]) =>
+      [...tallies].map(([incarnation, tally]) => ({
+        incarnation,
         window,
         counts: [...tally],
       }))
     );
   }
 
-  /** Lives of daemons that counted anything in a window. */
+  /** Returns the incarnations that counted requests in a window. */
   incarnations(window: number): ReadonlySet<string> {
     return new Set(this.#windows.get(window)?.keys());
   }
 
-  /** Requests of each workspace in a window, counted by some lives or by all. */
+  /**
+   * Returns the requests of each workspace in a window.
+   *
+   * @param includes selects the incarnations whose counts are added up.
+   */
   totals(
     window: number,
-    counts: (life: string) => boolean = () => true,
+    includes: (incarnation: string) => boolean = () => true,
   ): ReadonlyMap<string, number> {
     const totals = new Map<string, number>();
-    for (const [life, tally] of this.#windows.get(window) ?? []) {
-      if (!counts(life)) continue;
+    for (const [incarnation, tally] of this.#windows.get(window) ?? []) {
+      if (!includes(incarnation)) continue;
       for (const [workspace, requests] of tally) {
         totals.set(workspace, (totals.get(workspace) ?? 0) + requests);
       }
@@ -141,35 +150,40 @@
     return totals;
   }
 
-  #tally(window: number, life: string): Tally | undefined {
-    const present = this.window;
-    const known = window > present - KEPT_WINDOWS &&
-      window <= present + MAX_AHEAD;
-    if (!known) return undefined;
-    let lives = this.#windows.get(window);
-    if (lives === undefined) {
-      this.#forgetBefore(present - KEPT_WINDOWS);
-      this.#windows.set(window, lives = new Map());
+  /** Returns the tally to count in, or nothing if the limits exclude it. */
+  #tally(window: number, incarnation: string): Tally | undefined {
+    const current = this.window;
+    const inRange = window > current - KEPT_WINDOWS &&
+      window <= current + MAX_AHEAD;
+    if (!inRange) return undefined;
+    let tallies = this.#windows.get(window);
+    if (tallies === undefined) {
+      this.#removeUpTo(current - KEPT_WINDOWS);
+      this.#windows.set(window, tallies = new Map());
     }
-    const tally = lives.get(life);
+    const tally = tallies.get(incarnation);
     if (tally !== undefined) return tally;
-    if (lives.size >= MAX_LIVES) return undefined;
-    const begun: Tally = new Map();
-    lives.set(life, begun);
-    return begun;
+    if (tallies.size >= MAX_INCARNATIONS) return undefined;
+    const created: Tally = new Map();
+    tallies.set(incarnation, created);
+    return created;
   }
 
-  #forgetBefore(window: number): void {
-    for (const each of this.#windows.keys()) {
-      if (each <= window) this.#windows.delete(each);
+  #removeUpTo(last: number): void {
+    for (const window of this.#windows.keys()) {
+      if (window <= last) this.#windows.delete(window);
     }
-    for (const each of this.#untold.keys()) {
-      if (each <= window) this.#untold.delete(each);
+    for (const window of this.#changed.keys()) {
+      if (window <= last) this.#changed.delete(window);
     }
   }
 }
 
-/** Raises a count; whether it was lower. */
+/**
+ * Raises a count to `requests`.
+ *
+ * @returns whether the count was lower.
+ */
 function raise(tally: Tally, workspace: string, requests: number): boolean {
   const before = tally.get(workspace);
   if (before === undefined && tally.size >= MAX_WORKSPACES) return false;
