--- a/packages/router/src/connection/apply_update.ts
+++ b/packages/router/src/connection/apply_update.ts
@@ -53,7 +53,7 @@
     changed.add(load.runner);
     applyLoad(shared.loads, neighbour, { load, now });
   }
-  for (const each of parts) shared.prefixes.applyUpdate(each, now);
+  for (const prefix of parts) shared.prefixes.applyUpdate(prefix, now);
   return {
     changed,
     parts,
--- a/packages/router/src/connection/broadcast_interval.ts
+++ b/packages/router/src/connection/broadcast_interval.ts
@@ -1,14 +1,15 @@
 /**
- * Intervals between state updates, and the time until all daemons receive a change.
+ * Intervals between state updates, and the time until all daemons receive a
+ * change.
  *
  * @module
  */
 import { relayCount } from "../process/link_plan.ts";
 
 /**
- * Milliseconds between two updates for each peer of a fleet without relays: with 7
- * daemons one every 28 ms. A daemon thus sends and receives at most 250 updates a
- * second, about 1% of a core.
+ * Milliseconds between two updates for each peer of a fleet without relays:
+ * with 7 daemons one every 28 ms. A daemon thus sends and receives at most 250
+ * updates a second, about 1% of a core.
  */
 const INTERVAL_PER_PEER_MS = 4;
 const MIN_INTERVAL_MS = 20;
@@ -18,14 +19,14 @@
  */
 const HOP_INTERVAL_MS = 40;
 /**
- * The same while no requests wait. Stale loads matter when several daemons compete
- * for the last capacity of one runner, and then requests wait.
+ * The same while no requests wait. Stale loads matter when several daemons
+ * compete for the last capacity of one runner, and then requests wait.
  */
 const IDLE_HOP_INTERVAL_MS = 80;
 /**
- * The same where only the list of runners is unsent. The list changes many times a
- * second while runners start. A change passes five daemons at most, well within
- * the seconds for which a draining runner keeps serving.
+ * The same where only the list of runners is unsent. The list changes many
+ * times a second while runners start. A change passes five daemons at most,
+ * well within the seconds for which a draining runner keeps serving.
  */
 const RUNNERS_HOP_INTERVAL_MS = 100;
 /**
@@ -34,7 +35,10 @@
  * send a free runner 240,000 tokens of prompts at once instead of 30,000.
  */
 const PROPAGATION_INTERVALS = 1.5;
-/** Delay that each relay on the path adds, in ms: three quarters of its longest wait. */
+/**
+ * Delay that each relay on the path adds, in ms: three quarters of its longest
+ * wait.
+ */
 const PROPAGATION_PER_RELAY_MS = 30;
 /** Relays on the path between two failure domains with one relay each. */
 const RELAYS_OF_SMALL_DOMAINS = 2;
--- a/packages/router/src/connection/broadcast_interval_test.ts
+++ b/packages/router/src/connection/broadcast_interval_test.ts
@@ -14,8 +14,9 @@
   };
 }
 
-// Each update costs its receivers CPU time. While runners have capacity, daemons need
-// not see each other's loads at once; while requests wait, they compete for capacity.
+// Each update costs its receivers CPU time. While runners have capacity,
+// daemons need not see each other's loads at once; while requests wait, they
+// compete for capacity.
 test("while no requests wait, updates are half as frequent", () => {
   const idle = broadcastIntervalMs(inputsOf());
   assert.ok(
@@ -23,8 +24,9 @@
   );
 });
 
-// Guards against a new configuration that takes effect late at every daemon on the
-// path, because it waits for the next load update while no requests are sent.
+// Guards against a new configuration that takes effect late at every daemon on
+// the path, because it waits for the next load update while no requests are
+// sent.
 test("a newer configuration does not wait for the interval of loads", () => {
   const newer = { configuration: true, runners: false };
   assert.ok(
--- a/packages/router/src/connection/broadcast_timer.ts
+++ b/packages/router/src/connection/broadcast_timer.ts
@@ -17,7 +17,10 @@
   readonly #timing: BroadcastTiming;
   readonly #tick: () => void;
   #timer: NodeJS.Timeout | undefined;
-  /** Whether the timer is set for the next update rather than to the idle interval. */
+  /**
+   * Whether the timer is set for the next update rather than to the idle
+   * interval.
+   */
   #awake = false;
   #started = false;
   #tickedAt = -Infinity;
--- a/packages/router/src/connection/caller_server.ts
+++ b/packages/router/src/connection/caller_server.ts
@@ -12,8 +12,8 @@
 /** Milliseconds between checks for requests that take too long to arrive. */
 const CHECK_MS = 500;
 /**
- * Largest head that the server parses. The configured limit, which may change while
- * connections are open, is checked afterwards.
+ * Largest head that the server parses. The configured limit, which may change
+ * while connections are open, is checked afterwards.
  */
 const MAX_HEAD_BYTES = 64 * 1024;
 
@@ -81,8 +81,9 @@
   }
 
   /**
-   * Stops accepting connections and closes those without a request in flight. These
-   * include connections that never had a request, which Node does not count as idle.
+   * Stops accepting connections and closes those without a request in flight.
+   * These include connections that never had a request, which Node does not
+   * count as idle.
    */
   stopAccepting(): void {
     this.#server.close();
@@ -99,7 +100,9 @@
 
   #count(socket: Socket, change: number): void {
     this.#inFlight += change;
-    const before = this.#connections.get(socket);
-    if (before !== undefined) this.#connections.set(socket, before + change);
+    const previous = this.#connections.get(socket);
+    if (previous !== undefined) {
+      this.#connections.set(socket, previous + change);
+    }
   }
 }
--- a/packages/router/src/connection/compressed_item_test.ts
+++ b/packages/router/src/connection/compressed_item_test.ts
@@ -59,10 +59,10 @@
   } as const;
 }
 
-// An operator adds 1,600 routes while the store rejects a third of the daemons. They
-// fetch the version from peers, many from the same one, whose link has 7 Mbit/s:
-// uncompressed, the last got it 5 s later, and callers were sent to services that the
-// operator had removed from their routes.
+// An operator adds 1,600 routes while the store rejects a third of the daemons.
+// They fetch the version from peers, many from the same one, whose link has 7
+// Mbit/s: uncompressed, the last got it 5 s later, and callers were sent to
+// services that the operator had removed from their routes.
 test("a configuration of many routes is compressed to a tenth of its size", () => {
   const configuration = configurationOf(ROUTES);
   const plain = encodeItem(configuration).length;
@@ -70,9 +70,10 @@
   assert.ok(packed < plain / 10, `${packed} of ${plain} bytes`);
 });
 
-// All daemons of a large fleet lose power. After their start they fetch a thousand
-// runners each from the same few seeds: uncompressed, a response has 170 KB, and a seed
-// behind 7 Mbit/s has sent the last of 34 responses after 6 s.
+// All daemons of a large fleet lose power. After their start they fetch a
+// thousand runners each from the same few seeds: uncompressed, a response has
+// 170 KB, and a seed behind 7 Mbit/s has sent the last of 34 responses after 6
+// s.
 test("a list of a thousand runners is compressed to a fifth of its size", () => {
   const update = runnerListOf(1_000);
   const plain = encodeItem(update).length;
--- a/packages/router/src/connection/crash_detector.ts
+++ b/packages/router/src/connection/crash_detector.ts
@@ -11,8 +11,8 @@
 import type { Runner } from "../process/runner.ts";
 
 /**
- * Delay from the first broken response until the runner is probed. The responses of
- * the other requests at the runner break off in this time, too.
+ * Delay from the first broken response until the runner is probed. The
+ * responses of the other requests at the runner break off in this time, too.
  */
 const PROBE_DELAY_MS = 30;
 /** Shortest time between two probes of a runner that breaks many responses. */
@@ -29,9 +29,9 @@
 export type BrokenRun = Pick<CrashedRun, "fingerprint" | "startedAt">;
 
 /**
- * Probes a runner once after responses of it broke off. The runner has crashed only
- * if it refuses a connection: a single response also breaks off when the network
- * resets its connection, or when the runner fails some of its requests.
+ * Probes a runner once after responses of it broke off. The runner has crashed
+ * only if it refuses a connection: a single response also breaks off when the
+ * network resets its connection, or when the runner fails some of its requests.
  */
 export class CrashDetector {
   readonly #log: EventLog;
@@ -52,7 +52,10 @@
     this.#metrics = options.metrics;
   }
 
-  /** Records a response that broke off at the runner's side, and schedules a probe. */
+  /**
+   * Records a response that broke off at the runner's side, and schedules a
+   * probe.
+   */
   recordBrokenRun(runner: Runner, broken: BrokenRun): void {
     const run = { ...broken, runner: runner.id, endedAt: performance.now() };
     const pending = this.#broken.get(runner.id);
@@ -75,7 +78,7 @@
     setTimeout(() => this.#probed.delete(runner.id), PROBE_INTERVAL_MS).unref();
     if (crashed) this.#metrics.runnerEnded(runner.service);
     if (crashed) this.#record.recordCrashes(runs, performance.now());
-    const logged = runs.slice(0, MAX_LOGGED).map((each) => each.fingerprint);
+    const logged = runs.slice(0, MAX_LOGGED).map((run) => run.fingerprint);
     this.#log.event("runner_probed", {
       runner: runner.id,
       service: runner.service,
--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -23,7 +23,9 @@
 import type { SharedState } from "./state_exchange.ts";
 import { StoreFollowers } from "./store_followers.ts";
 
-/** Number of daemons that read the store at their start on behalf of the others. */
+/**
+ * Number of daemons that read the store at their start on behalf of the others.
+ */
 const INITIAL_READERS = 2;
 
 /** The contents of the platform's store. */
@@ -42,7 +44,10 @@
   readonly metrics: Pick<RequestMetrics, "dependency">;
   /** Fleet size from which loads go through relays. */
   readonly relaysFrom: number;
-  /** Average bytes per second sent to one neighbour where loads go through relays. */
+  /**
+   * Average bytes per second sent to one neighbour where loads go through
+   * relays.
+   */
   readonly controlBytesPerS: number;
   /** In [0, 1). */
   readonly random: () => number;
@@ -53,9 +58,9 @@
  * store.
  *
  * A daemon starts as follows. It opens its ports and dials the addresses in its
- * settings. It waits a moment for a neighbour to offer newer data, then reads the
- * store. Later some daemons register in the store, where others discover them, and
- * some watch the store for all.
+ * settings. It waits a moment for a neighbour to offer newer data, then reads
+ * the store. Later some daemons register in the store, where others discover
+ * them, and some watch the store for all.
  */
 export class FleetSync {
   readonly #own: Contact;
@@ -109,7 +114,9 @@
         shouldRegister: () => this.#shouldRegister(),
         isAlone: () => this.#peers.count === 0,
         isKnown: (address) =>
-          this.#exchange.contacts().some((each) => each.address === address),
+          this.#exchange.contacts().some((contact) =>
+            contact.address === address
+          ),
         addressesFound: (addresses) =>
           this.#peers.discover([...this.#seeds, ...addresses]),
       },
@@ -137,7 +144,9 @@
     return this.#exchange.view;
   }
 
-  /** Whether this daemon may lead: it receives the updates that a leader needs. */
+  /**
+   * Whether this daemon may lead: it receives the updates that a leader needs.
+   */
   get mayLead(): boolean {
     const alone = this.#peers.count === 0 && this.fleetSize > 1;
     return !alone && this.#exchange.receivesFleetUpdates;
@@ -153,7 +162,10 @@
     this.#exchange.wake();
   }
 
-  /** Time at which the store last confirmed the list of runners, in monotonic ms. */
+  /**
+   * Time at which the store last confirmed the list of runners, in monotonic
+   * ms.
+   */
   get runnersConfirmedAt(): number {
     return this.#followers.runnersConfirmedAt;
   }
@@ -204,13 +216,15 @@
   }
 
   /**
-   * Whether this daemon reads the store although a neighbour may deliver the same
-   * data. It ranks itself among all contacts, because it has few of its own failure
-   * domain while all daemons start.
+   * Whether this daemon reads the store although a neighbour may deliver the
+   * same data. It ranks itself among all contacts, because it has few of its
+   * own failure domain while all daemons start.
    */
   #readsForOthers(): boolean {
     const contacts = this.#exchange.contacts();
-    const before = contacts.filter((each) => ranksBefore(each, this.#own));
+    const before = contacts.filter((contact) =>
+      ranksBefore(contact, this.#own)
+    );
     return this.#peers.count === 0 || before.length < INITIAL_READERS;
   }
 
--- a/packages/router/src/connection/graceful_shutdown.ts
+++ b/packages/router/src/connection/graceful_shutdown.ts
@@ -19,8 +19,8 @@
 const CHECK_MS = 50;
 
 /**
- * Serves new requests until the load balancer stops sending them, then finishes the
- * requests in flight within the grace period.
+ * Serves new requests until the load balancer stops sending them, then finishes
+ * the requests in flight within the grace period.
  *
  * @returns how many requests were cut off.
  */
--- a/packages/router/src/connection/load_sums.ts
+++ b/packages/router/src/connection/load_sums.ts
@@ -12,10 +12,10 @@
 /** Longest time left in an update, for a request without a latency target. */
 const MAX_LEFT_MS = 3_600_000;
 /**
- * Requests at the head of a runner's queue that have an entry of their own in an
- * update. The others are merged into one entry for each rank, so that a long queue
- * takes no more bytes than a short one. None of these is served before the first
- * ones, and by then a newer update has been sent.
+ * Requests at the head of a runner's queue that have an entry of their own in
+ * an update. The others are merged into one entry for each rank, so that a long
+ * queue takes no more bytes than a short one. None of these is served before
+ * the first ones, and by then a newer update has been sent.
  */
 const MAX_SINGLE_ENTRIES = 4;
 
@@ -28,8 +28,9 @@
   }
 
   /**
-   * Loads on the given runners, summed over this daemon and the neighbours selected
-   * by `includes`. The caller leaves out the neighbour that the update is for.
+   * Loads on the given runners, summed over this daemon and the neighbours
+   * selected by `includes`. The caller leaves out the neighbour that the update
+   * is for.
    */
   forRunners(
     runners: Iterable<string>,
@@ -45,10 +46,10 @@
     loads: readonly RunnerLoadEntry[],
   ): readonly RunnerLoadEntry[] {
     const now = performance.now();
-    return loads.map((each) =>
-      this.#loads.of(each.runner).hasLoadFrom(neighbour)
-        ? this.#sum(each.runner, (name) => name !== neighbour, now)
-        : each
+    return loads.map((load) =>
+      this.#loads.of(load.runner).hasLoadFrom(neighbour)
+        ? this.#sum(load.runner, (name) => name !== neighbour, now)
+        : load
     );
   }
 
@@ -67,7 +68,7 @@
     return {
       runner,
       ...load.sumFrom(includes),
-      waiting: waiting.map((each) => toQueuedRequests(each, now)),
+      waiting: waiting.map((entry) => toQueuedRequests(entry, now)),
     };
   }
 }
@@ -87,7 +88,9 @@
   };
 }
 
-/** Compacts a queue into a few entries: the first ones, then one for each rank. */
+/**
+ * Compacts a queue into a few entries: the first ones, then one for each rank.
+ */
 function compact(
   waiting: readonly WaitingEntry[],
   now: number,
@@ -111,11 +114,11 @@
   let unreadTokens = 0;
   let arrivedAt = 0;
   let startBy = 0;
-  for (const each of waiting) {
-    requests += each.requests;
-    unreadTokens += each.unreadTokens;
-    arrivedAt += each.arrivedAt * each.requests;
-    startBy += each.startBy * each.requests;
+  for (const entry of waiting) {
+    requests += entry.requests;
+    unreadTokens += entry.unreadTokens;
+    arrivedAt += entry.arrivedAt * entry.requests;
+    startBy += entry.startBy * entry.requests;
   }
   return {
     rank: first!.rank,
--- a/packages/router/src/connection/load_sums_test.ts
+++ b/packages/router/src/connection/load_sums_test.ts
@@ -25,8 +25,9 @@
   assert.equal(sent?.inFlight, 6);
 });
 
-// In a burst hundreds of requests wait for one runner. An entry for each would fill the
-// links; the merged entries must keep the order and the number of the requests.
+// In a burst hundreds of requests wait for one runner. An entry for each would
+// fill the links; the merged entries must keep the order and the number of the
+// requests.
 test("a long queue is sent in few entries, by rank and without loss", () => {
   const loads = new RunnerLoads();
   const many = Array.from(
--- a/packages/router/src/connection/membership_counts.ts
+++ b/packages/router/src/connection/membership_counts.ts
@@ -7,9 +7,9 @@
 import type { MemberCounts } from "./peer_message.ts";
 
 /**
- * Window of the maximum of the fleet size. Retries and connections to runners are
- * divided by this size: if it were too small, each daemon would take more than its
- * share.
+ * Window of the maximum of the fleet size. Retries and connections to runners
+ * are divided by this size: if it were too small, each daemon would take more
+ * than its share.
  */
 const FLEET_WINDOW_MS = 60_000;
 /**
@@ -32,9 +32,10 @@
    * @returns whether they differ from its previous ones.
    */
   setNeighbourCounts(neighbour: string, members: MemberCounts): boolean {
-    const before = this.#reported.get(neighbour);
+    const previous = this.#reported.get(neighbour);
     this.#reported.set(neighbour, members);
-    return before?.fleet !== members.fleet || before.domain !== members.domain;
+    return previous?.fleet !== members.fleet ||
+      previous.domain !== members.domain;
   }
 
   /** Removes the counts of a neighbour. */
--- a/packages/router/src/connection/outbox.ts
+++ b/packages/router/src/connection/outbox.ts
@@ -12,8 +12,8 @@
 import type { PrefixUpdate } from "../process/prefix_index.ts";
 
 /**
- * Prompt updates in one message; beyond them the oldest are dropped. An engine may
- * then prefill, once, a prompt that another one has cached.
+ * Prompt updates in one message; beyond them the oldest are dropped. An engine
+ * may then prefill, once, a prompt that another one has cached.
  */
 const MAX_PARTS = 2_000;
 /**
@@ -69,7 +69,10 @@
   readonly #usage = new Map<string, UsageCount>();
   #lease: LeaseObservation | undefined;
 
-  /** Adds runners with changed loads; urgent ones, where requests wait, go first. */
+  /**
+   * Adds runners with changed loads; urgent ones, where requests wait, go
+   * first.
+   */
   addRunners(runners: Iterable<string>, urgent: boolean): void {
     for (const runner of runners) {
       if (urgent) {
@@ -88,8 +91,8 @@
     }
   }
 
-  addContacts(news: ContactUpdates): void {
-    this.#contacts.push(news);
+  addContacts(update: ContactUpdates): void {
+    this.#contacts.push(update);
   }
 
   addCrashes(
@@ -106,15 +109,17 @@
     }
   }
 
-  /** Adds usage counts. They do not trigger a message but go with the next one. */
+  /**
+   * Adds usage counts. They do not trigger a message but go with the next one.
+   */
   addUsage(usage: readonly UsageCount[]): void {
-    for (const each of usage) {
-      const key = `${each.incarnation} ${each.window}`;
+    for (const update of usage) {
+      const key = `${update.incarnation} ${update.window}`;
       const counts = new Map(this.#usage.get(key)?.counts);
-      for (const [workspace, requests] of each.counts) {
+      for (const [workspace, requests] of update.counts) {
         counts.set(workspace, requests);
       }
-      this.#usage.set(key, { ...each, counts: [...counts] });
+      this.#usage.set(key, { ...update, counts: [...counts] });
     }
   }
 
@@ -184,10 +189,10 @@
 /** Removes up to `max` items from a set, in insertion order, and returns them. */
 function takeFrom(set: Set<string>, max: number): readonly string[] {
   const taken = [];
-  for (const each of set) {
+  for (const item of set) {
     if (taken.length >= max) break;
-    taken.push(each);
-    set.delete(each);
+    taken.push(item);
+    set.delete(item);
   }
   return taken;
 }
--- a/packages/router/src/connection/outbox_test.ts
+++ b/packages/router/src/connection/outbox_test.ts
@@ -2,8 +2,9 @@
 import { test } from "node:test";
 import { Outbox } from "./outbox.ts";
 
-// A link has less bandwidth than there are changes. Runners for which requests wait
-// go first; loads that do not fit stay for the next message and are not lost.
+// A link has less bandwidth than there are changes. Runners for which requests
+// wait go first; loads that do not fit stay for the next message and are not
+// lost.
 test("urgent runners are sent first, and the others later", () => {
   const outbox = new Outbox();
   outbox.addRunners(["normal-1", "normal-2", "moved"], false);
--- a/packages/router/src/connection/overlay.ts
+++ b/packages/router/src/connection/overlay.ts
@@ -35,8 +35,9 @@
  */
 const MAX_DIALS_DIRECT = 30;
 /**
- * Contacts of a failure domain that are kept even if they are unreachable. After a
- * partition that cut off the whole domain, both sides find each other by them.
+ * Contacts of a failure domain that are kept even if they are unreachable.
+ * After a partition that cut off the whole domain, both sides find each other
+ * by them.
  */
 const MIN_DOMAIN_CONTACTS = 2;
 /** Milliseconds for which a link that this daemon no longer needs stays open. */
@@ -72,11 +73,11 @@
  * Links all daemons of a small fleet to each other, and maintains the links that
  * {@linkcode planLinks} plans in a fleet that is too large for that.
  *
- * Roles follow from subscriptions: a child subscribes to its parent, a head to the
- * other heads, and a daemon serves its subscribers whatever its own plan says.
- * Where the views of two daemons differ, they have a needless link, or miss
- * updates for a while. A parent always ranks before its children, so no load is
- * counted twice.
+ * Roles follow from subscriptions: a child subscribes to its parent, a head to
+ * the other heads, and a daemon serves its subscribers whatever its own plan
+ * says. Where the views of two daemons differ, they have a needless link, or
+ * miss updates for a while. A parent always ranks before its children, so no
+ * load is counted twice.
  */
 export class Overlay {
   readonly #context: OverlayContext;
@@ -110,7 +111,10 @@
     return this.#relayed;
   }
 
-  /** Whether this daemon receives the updates of its failure domain and of the others. */
+  /**
+   * Whether this daemon receives the updates of its failure domain and of the
+   * others.
+   */
   get isHead(): boolean {
     return this.#head;
   }
@@ -163,7 +167,7 @@
   /** Handles an address at which dials fail repeatedly. */
   unreachable(address: string): void {
     const { book, log } = this.#context;
-    const contact = book.all().find((each) => each.address === address);
+    const contact = book.all().find((entry) => entry.address === address);
     if (contact === undefined) return;
     const now = performance.now();
     const dials = this.#unreachable.dialFailed(contact, now);
@@ -181,7 +185,7 @@
   /** Other daemons that are presumed alive. */
   reachable(now: number): readonly Contact[] {
     return this.#context.book.all()
-      .filter((each) => this.#unreachable.isReachable(each, now));
+      .filter((entry) => this.#unreachable.isReachable(entry, now));
   }
 
   /** Closes a link that the peer does not need, unless this daemon does. */
@@ -251,13 +255,15 @@
     return sameDomain && ranksBefore(this.#own, peer);
   }
 
-  /** Whether a daemon counts as gone. A daemon that reaches no peer cannot tell. */
+  /**
+   * Whether a daemon counts as gone. A daemon that reaches no peer cannot tell.
+   */
   #isGone({ failureDomain }: Contact, dials: number): boolean {
     const { book, peers } = this.#context;
     if (peers.count === 0) return false;
     if (dials < (this.#relayed ? MAX_DIALS : MAX_DIALS_DIRECT)) return false;
     const ofDomain = book.all()
-      .filter((each) => each.failureDomain === failureDomain);
+      .filter((entry) => entry.failureDomain === failureDomain);
     return ofDomain.length > MIN_DOMAIN_CONTACTS;
   }
 
--- a/packages/router/src/connection/peer_link_test.ts
+++ b/packages/router/src/connection/peer_link_test.ts
@@ -59,9 +59,9 @@
   assert.deepEqual(received, [WANT, WANT]);
 });
 
-// State updates are nearly all of the traffic between daemons. With field names they
-// saturated slow links: loads reached other daemons after a second, and at a third
-// of all requests a cached prompt was prefilled again.
+// State updates are nearly all of the traffic between daemons. With field names
+// they saturated slow links: loads reached other daemons after a second, and at
+// a third of all requests a cached prompt was prefilled again.
 test("a state update is decoded unchanged and encoded without field names", async (t) => {
   const state = testUpdate({
     configuration: 3,
@@ -120,8 +120,9 @@
   await closed;
 });
 
-// A faulty daemon reports a negative load. In the sums it would attract the requests of
-// all daemons to that runner; only the faulty daemon's link may be affected.
+// A faulty daemon reports a negative load. In the sums it would attract the
+// requests of all daemons to that runner; only the faulty daemon's link may be
+// affected.
 test("a negative load closes the link", async (t) => {
   const received: PeerMessage[] = [];
   const { far, closed, faults } = await openLink(
@@ -169,8 +170,8 @@
   assert.match(faults[0]!, /"crashes.agoMs"/);
 });
 
-// Guards against links that break during a rolling update, because older daemons omit
-// the optional fields.
+// Guards against links that break during a rolling update, because older
+// daemons omit the optional fields.
 test("an update without the optional fields is accepted", async (t) => {
   const received: PeerMessage[] = [];
   const { far, closed } = await openLink(
@@ -183,7 +184,8 @@
   assert.deepEqual(received, [testUpdate()]);
 });
 
-// Guards against one invalid address that makes all contacts of a message unusable.
+// Guards against one invalid address that makes all contacts of a message
+// unusable.
 test("a contact with an invalid address is skipped", async (t) => {
   const received: PeerMessage[] = [];
   const { far, closed } = await openLink(
@@ -209,8 +211,8 @@
   assert.deepEqual(received, [{ ...hello, known: [valid] }]);
 });
 
-// Guards against a head without power that is presumed alive: updates of its failure
-// domain are then missing for eleven seconds.
+// Guards against a head without power that is presumed alive: updates of its
+// failure domain are then missing for eleven seconds.
 test("a link closes when nothing comes, though this side goes on telling", async (t) => {
   const { link, closed } = await openLink(t, () => {});
   const sending = setInterval(() => link.send(WANT), 100);
--- a/packages/router/src/connection/peer_message.ts
+++ b/packages/router/src/connection/peer_message.ts
@@ -40,7 +40,9 @@
   readonly waiting: readonly QueuedRequests[];
 }
 
-/** First message on a link, in both directions. Its field names are on the wire. */
+/**
+ * First message on a link, in both directions. Its field names are on the wire.
+ */
 export interface Hello extends Contact {
   readonly kind: "hello";
   readonly protocol: number;
@@ -66,7 +68,9 @@
 /** A rate limit that a runner stated, with its age when the message was sent. */
 export type LimitAge = Omit<LimitUpdate, "at"> & { readonly agoMs: number };
 
-/** An observation of the leader's lease, with its age when the message was sent. */
+/**
+ * An observation of the leader's lease, with its age when the message was sent.
+ */
 export type LeaseAge = Omit<LeaseObservation, "at"> & {
   readonly agoMs: number;
 };
@@ -77,7 +81,7 @@
   readonly whole: boolean;
   readonly loads: readonly RunnerLoadEntry[];
   readonly parts: readonly PrefixUpdate[];
-  /** Requests that were at crashed runners, and complete responses that clear some of them. */
+  /** Requests at crashed runners, and complete responses that clear some. */
   readonly crashes: CrashAges;
   readonly limits: readonly LimitAge[];
 }
@@ -86,7 +90,7 @@
 export interface StateUpdate extends Versions, RunnerUpdate, ContactUpdates {
   readonly kind: "state";
   readonly members: MemberCounts;
-  /** The sender's estimate of the time, in epoch ms; absent where usage is not metered. */
+  /** The sender's estimate of the time in epoch ms; absent without metering. */
   readonly timeMs: number | undefined;
   /** Requests that runners started, counted for the daemons that may lead. */
   readonly usage: readonly UsageCount[];
@@ -122,7 +126,10 @@
   readonly scope: "fleet" | "domain" | "none";
 }
 
-/** Tells the peer that the sender no longer needs the link; the peer may keep it. */
+/**
+ * Tells the peer that the sender no longer needs the link; the peer may keep
+ * it.
+ */
 export interface LinkUnneeded {
   readonly kind: "unneeded";
 }
--- a/packages/router/src/connection/peers.ts
+++ b/packages/router/src/connection/peers.ts
@@ -25,7 +25,10 @@
  */
 const MAX_LINKS = 500;
 
-/** Remembered addresses of daemons of another version, each of which is logged once. */
+/**
+ * Remembered addresses of daemons of another version, each of which is logged
+ * once.
+ */
 const MAX_MISMATCHED = 1_000;
 
 /** A daemon whose link is up. */
@@ -225,8 +228,8 @@
         this.#linkClosed(dialledAddress ?? peer?.address, peer !== undefined);
       },
     });
-    // The dialling side sends its hello first; the reply then includes the contacts
-    // that are useful to it.
+    // The dialling side sends its hello first; the reply then includes the
+    // contacts that are useful to it.
     if (dialledAddress !== undefined) link.send(this.#hello(undefined));
   }
 
--- a/packages/router/src/connection/runner_connections.ts
+++ b/packages/router/src/connection/runner_connections.ts
@@ -11,16 +11,19 @@
 /** Idle time-out of connections to a runner that does not state one. */
 const DEFAULT_IDLE_MS = 1_500;
 /**
- * Share of the runner's own idle time-out for which a connection is kept. Data that
- * is sent while the runner closes the connection is lost, and with it a request
- * that must not be repeated. The margin covers network delay and a late timer.
+ * Share of the runner's own idle time-out for which a connection is kept. Data
+ * that is sent while the runner closes the connection is lost, and with it a
+ * request that must not be repeated. The margin covers network delay and a late
+ * timer.
  */
 const IDLE_SHARE = 0.6;
 const MS_PER_SECOND = 1_000;
 const TIMEOUT_HINT = /timeout=(\d+)/i;
 
 interface KeptSocket extends Socket {
-  /** Where Node's agent keeps the request and its response until they are done. */
+  /**
+   * Where Node's agent keeps the request and its response until they are done.
+   */
   readonly _httpMessage?: {
     readonly res?: { readonly headers: Record<string, unknown> };
   };
@@ -60,7 +63,8 @@
    * The agent for a runner; incarnations share no connections.
    *
    * @param maxConnections this daemon's share of the connections that the runner
-   * accepts. Beyond its limit the runner resets connections, and requests with them.
+   * accepts. Beyond its limit the runner resets connections, and requests with
+   * them.
    */
   agent(runner: Runner, maxConnections: number): Agent {
     const existing = this.#agents.get(runner.id);
@@ -70,8 +74,9 @@
     }
     const agent = new RunnerAgent({
       keepAlive: true,
-      // Reuses the connection that has been idle longest: a duplicate response to an
-      // earlier request has had the most time to arrive there and be detected.
+      // Reuses the connection that has been idle longest: a duplicate response
+      // to an earlier request has had the most time to arrive there and be
+      // detected.
       scheduling: "fifo",
       maxSockets: maxConnections,
     });
@@ -80,8 +85,8 @@
   }
 
   /**
-   * Closes the idle connections to a runner. A device on the network path that lost
-   * the state of one connection has often lost that of the others, too.
+   * Closes the idle connections to a runner. A device on the network path that
+   * lost the state of one connection has often lost that of the others, too.
    */
   dropIdle(runner: Runner): void {
     const agent = this.#agents.get(runner.id);
--- a/packages/router/src/connection/state_exchange.ts
+++ b/packages/router/src/connection/state_exchange.ts
@@ -57,7 +57,10 @@
   readonly log: EventLog;
   /** Fleet size from which loads go through relays. */
   readonly relaysFrom: number;
-  /** Average bytes per second sent to one neighbour where loads go through relays. */
+  /**
+   * Average bytes per second sent to one neighbour where loads go through
+   * relays.
+   */
   readonly controlBytesPerS: number;
   /** Called when newer data is requested from a peer. */
   readonly onNewerVersion: () => void;
@@ -178,8 +181,8 @@
   }
 
   /**
-   * Whether this daemon receives the updates of all others, as a leader must: in a
-   * small fleet those that watch the store, in a large one the heads.
+   * Whether this daemon receives the updates of all others, as a leader must:
+   * in a small fleet those that watch the store, in a large one the heads.
    */
   get receivesFleetUpdates(): boolean {
     if (this.#overlay.relayed) return this.#overlay.isHead;
@@ -208,7 +211,7 @@
 
   joined(peer: Peer, contacts: readonly Contact[]): void {
     this.#book.addReachable(contactOf(peer));
-    for (const each of contacts) this.#book.add(each, performance.now());
+    for (const contact of contacts) this.#book.add(contact, performance.now());
     this.#overlay.joined(peer);
     this.#setIdleTimeouts();
     peer.link.send(this.#broadcaster.snapshotFor(peer));
@@ -260,12 +263,14 @@
   #applyContacts({ contacts, gone }: ContactUpdates): void {
     const now = performance.now();
     let changed = false;
-    for (const each of contacts) changed = this.#book.add(each, now) || changed;
-    for (const each of gone) {
+    for (const contact of contacts) {
+      changed = this.#book.add(contact, now) || changed;
+    }
+    for (const contact of gone) {
       // A daemon that others cannot reach may still be linked to this one.
-      const linked = this.#peers().get(each.name);
-      if (linked?.incarnation === each.incarnation) continue;
-      changed = this.#book.remove(each, now) || changed;
+      const linked = this.#peers().get(contact.name);
+      if (linked?.incarnation === contact.incarnation) continue;
+      changed = this.#book.remove(contact, now) || changed;
     }
     if (!changed) return;
     this.#overlay.invalidate();
--- a/packages/router/src/connection/state_exchange_test.ts
+++ b/packages/router/src/connection/state_exchange_test.ts
@@ -87,8 +87,8 @@
   }
 }
 
-// Guards against needless timers: 60 idle daemons that checked for changes every 20 ms
-// used a third of the CPU time that they use under traffic.
+// Guards against needless timers: 60 idle daemons that checked for changes
+// every 20 ms used a third of the CPU time that they use under traffic.
 test("a daemon without requests is woken a few times a second", (t) => {
   const recorder = new BroadcastRecorder(t);
   recorder.advance(1_000);
--- a/packages/router/src/connection/status_server.ts
+++ b/packages/router/src/connection/status_server.ts
@@ -8,7 +8,10 @@
 import type { Lifecycle } from "../process/lifecycle.ts";
 import type { RequestMetrics } from "../process/metrics.ts";
 
-/** Responds 200 while the daemon is ready, otherwise 503 with the unmet requirements. */
+/**
+ * Responds 200 while the daemon is ready, otherwise 503 with the unmet
+ * requirements.
+ */
 export function createReadinessServer(
   path: string,
   lifecycle: Lifecycle,
--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -19,12 +19,15 @@
 import type { WatchCandidate } from "../process/watch_plan.ts";
 import type { Configuration } from "../version/configuration.ts";
 
-/** Milliseconds in which a starting daemon connects to those that rank before it. */
+/**
+ * Milliseconds in which a starting daemon connects to those that rank before
+ * it.
+ */
 const DISCOVERY_MS = 500;
 
 /**
- * Milliseconds after which a daemon without a configuration reads the store itself
- * although it has neighbours. Until an operator has written the first
+ * Milliseconds after which a daemon without a configuration reads the store
+ * itself although it has neighbours. Until an operator has written the first
  * configuration, each daemon that waited for it at the store would cost a call
  * every few seconds.
  */
@@ -89,7 +92,10 @@
     this.#runners.restartWatch();
   }
 
-  /** Time at which the store last confirmed the list of runners, in monotonic ms. */
+  /**
+   * Time at which the store last confirmed the list of runners, in monotonic
+   * ms.
+   */
   get runnersConfirmedAt(): number {
     return this.#runners.confirmedAt;
   }
--- a/packages/router/src/connection/update_broadcaster.ts
+++ b/packages/router/src/connection/update_broadcaster.ts
@@ -25,7 +25,9 @@
 import type { RunnerLoadEntry, StateUpdate, Versions } from "./peer_message.ts";
 import type { Peer, Peers } from "./peers.ts";
 
-/** Approximate bytes of a runner's load in a message while requests wait for it. */
+/**
+ * Approximate bytes of a runner's load in a message while requests wait for it.
+ */
 const LOAD_BYTES = 100;
 /**
  * Seconds over which the bytes sent to a neighbour are averaged. Bursts of some
@@ -71,7 +73,10 @@
   readonly contactsFor: (peer: Peer) => readonly Contact[];
   /** Versions included in each update. */
   readonly versions: () => Versions;
-  /** Average bytes per second sent to one neighbour where loads go through relays. */
+  /**
+   * Average bytes per second sent to one neighbour where loads go through
+   * relays.
+   */
   readonly controlBytesPerS: number;
 }
 
@@ -147,7 +152,9 @@
     }
   }
 
-  /** Collects the leader's lease, which its holder sends to possible successors. */
+  /**
+   * Collects the leader's lease, which its holder sends to possible successors.
+   */
   #collectLease(): void {
     const { lease } = this.#sources;
     const observation = lease?.observation;
@@ -202,7 +209,9 @@
     this.#sendDownstream(now);
   }
 
-  /** A snapshot for a peer that becomes a neighbour, or whose link has come up. */
+  /**
+   * A snapshot for a peer that becomes a neighbour, or whose link has come up.
+   */
   snapshotFor(peer: Peer): StateUpdate {
     const includes = this.#sourcesFor(peer);
     const versionsOnly = this.#sources.overlay.isSpare(peer);
@@ -220,9 +229,9 @@
   }
 
   /**
-   * Contacts for a peer's snapshot. A child missed the updates between the opening
-   * of its link and its subscription; without this it would permanently lack the
-   * contacts in them, and choose other relays than the rest.
+   * Contacts for a peer's snapshot. A child missed the updates between the
+   * opening of its link and its subscription; without this it would permanently
+   * lack the contacts in them, and choose other relays than the rest.
    */
   #contactsFor(peer: Peer): ContactUpdates {
     const isChild = this.#sources.overlay.role(peer.name) === "child";
--- a/packages/router/src/connection/version_exchange.ts
+++ b/packages/router/src/connection/version_exchange.ts
@@ -137,6 +137,6 @@
       this.#state.applyConfiguration(configuration, `peer ${peer.name}`);
     }
     if (runners) this.#state.directory.applyUpdate(runners);
-    for (const each of parts) this.#state.prefixes.applyUpdate(each, now);
+    for (const update of parts) this.#state.prefixes.applyUpdate(update, now);
   }
 }
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -296,9 +296,9 @@
   }
 
   /**
-   * Applies the changed settings that need no restart: seeds, the bounds of retries
-   * and the grace period of the shutdown. Others, such as addresses, take effect
-   * after a restart.
+   * Applies the changed settings that need no restart: seeds, the bounds of
+   * retries and the grace period of the shutdown. Others, such as addresses,
+   * take effect after a restart.
    */
   apply(settings: RouterSettings): void {
     const names = Object.keys(settings) as (keyof RouterSettings)[];
@@ -390,7 +390,9 @@
     this.#surveyOnce();
   }
 
-  /** Surveys the engines' caches once, when configuration and runners are known. */
+  /**
+   * Surveys the engines' caches once, when configuration and runners are known.
+   */
   #surveyOnce(): void {
     if (this.#surveyed || this.#routingTable === undefined) return;
     if (this.#directory.revision === 0) return;
--- a/packages/router/src/version/routing_table_test.ts
+++ b/packages/router/src/version/routing_table_test.ts
@@ -57,9 +57,9 @@
   assert.equal(table.route("example.org", "/?x=/a/"), undefined);
 });
 
-// All workspaces have the same tier, and each sends quotes and cut sheets. Ranked by
-// the workspace's tier alone, both would be equal, and quotes would wait behind
-// prompts of 17,000 tokens.
+// All workspaces have the same tier, and each sends quotes and cut sheets.
+// Ranked by the workspace's tier alone, both would be equal, and quotes would
+// wait behind prompts of 17,000 tokens.
 test("requests of workspaces of one tier are ranked by their routes", () => {
   const quote = route({ tier: 1 });
   const cutSheet = route({ tier: 2, name: "s" });
@@ -74,7 +74,8 @@
   assert.equal(table.workspace("k")?.name, "w");
 });
 
-// Guards against preemption of an urgent class for another workspace's long prompt.
+// Guards against preemption of an urgent class for another workspace's long
+// prompt.
 test("engines preempt by the route's tier, whatever the workspace's", () => {
   const answer = route({ tier: 0 });
   const report = route({ tier: 2, name: "s" });
