--- a/packages/router/src/process/feed.ts
+++ b/packages/router/src/process/feed.ts
@@ -1,5 +1,5 @@
 /**
- * A set of objects in the platform's store, listed once and then watched.
+ * Reading of one kind of object in the platform's store: a list, then watches.
  *
  * @module
  */
@@ -12,17 +12,21 @@
   readonly values: readonly T[];
 }
 
-/** What changed up to a revision. */
+/** Changes up to a revision. */
 export interface Changes<T> {
   readonly revision: number;
+  /** Objects that were added or changed. */
   readonly updated: readonly T[];
-  /** Names of objects that are gone. */
+  /** Names of removed objects. */
   readonly removed: readonly string[];
 }
 
-/** A call to the store that gave nothing to go on with. */
+/** A failed call to the store. */
 export class FeedError extends Error {
-  /** `expired`: the changes since that revision are gone; list again. */
+  /**
+   * `expired` if the store no longer holds the changes since the given revision,
+   * so that a new list is needed.
+   */
   readonly kind: "expired" | "unavailable";
 
   constructor(kind: "expired" | "unavailable", message: string) {
@@ -33,12 +37,16 @@
 
 /** Reads one kind of object. Both calls throw {@linkcode FeedError}. */
 export interface Feed<T> {
-  /** @param options `stale` takes a list that is seconds old and costs less. */
+  /**
+   * Lists all objects.
+   *
+   * @param options `stale` accepts a list that is seconds old and costs less.
+   */
   list(options?: { readonly stale?: boolean }): Promise<Listing<T>>;
   /**
-   * Waits up to `waitMs` for changes; none when the time is over.
+   * Waits up to `waitMs` for changes, and returns an empty set after that time.
    *
-   * @param signal ends the wait early, as unavailable.
+   * @param signal ends the wait early; the call then fails as `unavailable`.
    */
   watch(
     since: number,
@@ -47,55 +55,56 @@
   ): Promise<Changes<T>>;
 }
 
-/** Takes what a follower reads. */
+/** Receives the objects that a follower reads. */
 export interface FeedSink<T> {
   listed(listing: Listing<T>): void;
   changed(changes: Changes<T>): void;
 }
 
-/** How a follower waits. */
+/** Decides when a follower reads the store, and for how long it waits. */
 export interface FollowerTiming {
   /**
-   * Longest wait of the next watch, in ms. A connection that went silent is
-   * found when the wait and the time for an answer are over, so this bounds how
-   * long a change can be missed; each wait costs one call.
+   * Maximum wait of the next watch, in ms. A dead connection is detected only
+   * when the wait and the response time-out are over, so this bounds how long a
+   * change can be missed. Each wait costs one call.
    */
   waitMs(): number;
   /** Whether to read the store now. */
   active(): boolean;
-  /** Waits until {@linkcode active} is to be asked again. */
+  /** Resolves when {@linkcode active} should be checked again. */
   untilActive(): Promise<void>;
 }
 
-/** First pause after a failure, in ms; doubled up to the longest. */
-const FIRST_PAUSE_MS = 50;
-const LONGEST_PAUSE_MS = 400;
+/** Backoff in ms after the first failure; doubled up to the maximum. */
+const INITIAL_BACKOFF_MS = 50;
+const MAX_BACKOFF_MS = 400;
 /**
- * Milliseconds after a change until the next wait begins. Runners that start or
- * leave together, and edits in a storm, come some tens of ms apart; without the
- * rest each of them costs each watcher a call.
+ * Delay in ms between a change and the next watch. Runners that start or leave
+ * together, and edits in rapid succession, arrive some tens of ms apart. Without
+ * the delay, every change would cost every watcher a call.
  */
-const REST_MS = 100;
-/** Told of lost and regained contact. */
+const COALESCE_MS = 100;
+/** Is notified when the store becomes unavailable, and when it responds again. */
 export interface ConnectivityListener {
   lost(reason: string): void;
+  /** @param afterMs duration of the failure, in ms. */
   regained(afterMs: number): void;
 }
 
-/** Follows a feed for as long as the process lives. */
+/** Follows a feed until it is stopped, with a backoff after failures. */
 export class FeedFollower<T> {
   readonly #feed: Feed<T>;
   readonly #sink: FeedSink<T>;
-  readonly #contact: ConnectivityListener;
+  readonly #connectivity: ConnectivityListener;
   readonly #timing: FollowerTiming;
   #stopped = false;
   #revision: number | undefined;
-  /** Whether the next list is the first of this process. */
-  #first = true;
+  /** Whether the next list is the first one of this process. */
+  #firstList = true;
   #confirmedAt = -Infinity;
   #lostAt: number | undefined;
-  #pauseMs = FIRST_PAUSE_MS;
-  /** Ends the wait for changes, while there is one. */
+  #backoffMs = INITIAL_BACKOFF_MS;
+  /** Aborts the current watch, if there is one. */
   #wait: AbortController | undefined;
 
   constructor(
@@ -108,21 +117,21 @@
   ) {
     this.#feed = feed;
     this.#sink = sink;
-    this.#contact = options.contact;
+    this.#connectivity = options.contact;
     this.#timing = options.timing;
   }
 
-  /** Steady milliseconds at which the store last answered. */
+  /** Time of the store's last response, in monotonic ms. */
   get confirmedAt(): number {
     return this.#confirmedAt;
   }
 
-  /** Reads everything once; a failure is left to {@linkcode run}. */
+  /** Tries to read all objects once. {@linkcode run} retries after a failure. */
   async readOnce(): Promise<void> {
     if (!this.#stopped) await this.#tryStep();
   }
 
-  /** Reads until {@linkcode stop}. */
+  /** Follows the feed until {@linkcode stop} is called. */
   async run(): Promise<void> {
     while (!this.#stopped) {
       if (this.#timing.active()) await this.#tryStep();
@@ -136,9 +145,9 @@
   }
 
   /**
-   * Ends the present wait for changes, so that the next one starts on a new
-   * connection. Without a wait it changes nothing, or failures that follow
-   * would count as hurries and have no pause between them.
+   * Aborts the current watch, so that the next one starts on a new connection.
+   * Without a current watch this has no effect. Otherwise later failures would be
+   * taken for restarts and be retried without a backoff.
    */
   restartWatch(): void {
     this.#wait?.abort();
@@ -146,13 +155,13 @@
 
   async #tryStep(): Promise<void> {
     try {
-      if (await this.#step()) this.#heard();
+      if (await this.#step()) this.#recordResponse();
     } catch (error) {
-      await this.#caught(error);
+      await this.#handleError(error);
     }
   }
 
-  /** @returns whether the store has answered. */
+  /** @returns whether the store has responded. */
   async #step(): Promise<boolean> {
     if (this.#revision === undefined) {
       await this.#list();
@@ -163,25 +172,25 @@
     if (changes.revision <= this.#revision) return true;
     this.#sink.changed(changes);
     this.#revision = changes.revision;
-    await pause(REST_MS);
+    await pause(COALESCE_MS);
     return true;
   }
 
   /**
-   * Reads everything. The first list of a process may be seconds old: what has
-   * changed since follows from the watch that goes on from its revision, or from
-   * peers. It costs a tenth, and 65 daemons that start together read 260 pages.
-   * After a failure only the present state will do.
+   * Lists all objects. The first list of a process may be seconds old, as later
+   * changes arrive from the watch that continues at its revision, or from peers.
+   * A stale list costs a tenth of a current one, and 65 daemons that start
+   * together read 260 pages. After a failure the list must be current.
    */
   async #list(): Promise<void> {
-    const stale = this.#first;
-    this.#first = false;
+    const stale = this.#firstList;
+    this.#firstList = false;
     const listing = await this.#feed.list({ stale });
     this.#sink.listed(listing);
     this.#revision = listing.revision;
   }
 
-  /** Waits for changes; none when the wait was ended by a hurry. */
+  /** Waits for changes; returns nothing if the watch was restarted. */
   async #watch(revision: number): Promise<Changes<T> | undefined> {
     const wait = new AbortController();
     this.#wait = wait;
@@ -196,42 +205,42 @@
     }
   }
 
-  #heard(): void {
+  #recordResponse(): void {
     this.#confirmedAt = performance.now();
-    this.#pauseMs = FIRST_PAUSE_MS;
+    this.#backoffMs = INITIAL_BACKOFF_MS;
     if (this.#lostAt === undefined) return;
     const afterMs = this.#confirmedAt - this.#lostAt;
     this.#lostAt = undefined;
-    this.#contact.regained(afterMs);
+    this.#connectivity.regained(afterMs);
   }
 
   /**
-   * Goes on after any error. One that is no {@linkcode FeedError} comes from an
-   * answer of another shape than promised; ending the process for it would have
-   * every daemon restart for ever.
+   * Continues after any error. One that is not a {@linkcode FeedError} is caused
+   * by a malformed response. If it ended the process, every daemon would restart
+   * again and again.
    */
-  async #caught(error: unknown): Promise<void> {
+  async #handleError(error: unknown): Promise<void> {
     const expired = error instanceof FeedError && error.kind === "expired";
     if (expired) {
       this.#revision = undefined;
       return;
     }
     const reason = error instanceof FeedError ? error.message : String(error);
-    await this.#failed(reason);
+    await this.#backOff(reason);
   }
 
   /**
-   * Reads everything again after a failure: a watch that goes on from the old
-   * revision may be deaf to what changed while the store dropped its history.
+   * Waits, and has all objects listed again. A watch that continued at the old
+   * revision could miss changes if the store has dropped its history meanwhile.
    */
-  async #failed(reason: string): Promise<void> {
+  async #backOff(reason: string): Promise<void> {
     this.#revision = undefined;
     if (this.#lostAt === undefined) {
       this.#lostAt = performance.now();
-      this.#contact.lost(reason);
+      this.#connectivity.lost(reason);
     }
-    const pauseMs = this.#pauseMs * (0.5 + Math.random());
-    this.#pauseMs = Math.min(2 * this.#pauseMs, LONGEST_PAUSE_MS);
-    await pause(pauseMs);
+    const backoffMs = this.#backoffMs * (0.5 + Math.random());
+    this.#backoffMs = Math.min(2 * this.#backoffMs, MAX_BACKOFF_MS);
+    await pause(backoffMs);
   }
 }
--- a/packages/router/src/process/feed_test.ts
+++ b/packages/router/src/process/feed_test.ts
@@ -3,17 +3,17 @@
 import { FeedError, FeedFollower } from "./feed.ts";
 import type { Changes, Feed, Listing } from "./feed.ts";
 
-/** Plays the answers of a store one after the other, then is silent. */
-class PlayedFeed implements Feed<string> {
+/** Replays responses of a store in order, then never responds again. */
+class ScriptedFeed implements Feed<string> {
   readonly calls: string[] = [];
-  readonly #answers: (Listing<string> | Changes<string> | Error)[];
+  readonly #responses: (Listing<string> | Changes<string> | Error)[];
   readonly #end: () => void;
 
   constructor(
-    answers: (Listing<string> | Changes<string> | Error)[],
+    responses: (Listing<string> | Changes<string> | Error)[],
     end: () => void,
   ) {
-    this.#answers = answers;
+    this.#responses = responses;
     this.#end = end;
   }
 
@@ -28,21 +28,22 @@
   }
 
   #next(): Promise<unknown> {
-    const answer = this.#answers.shift();
-    if (answer instanceof Error) return Promise.reject(answer);
-    if (answer !== undefined) return Promise.resolve(answer);
+    const response = this.#responses.shift();
+    if (response instanceof Error) return Promise.reject(response);
+    if (response !== undefined) return Promise.resolve(response);
     this.#end();
     return new Promise(() => {});
   }
 }
 
+/** Follows a scripted feed until its responses are used up. */
 async function follow(
-  answers: (Listing<string> | Changes<string> | Error)[],
+  responses: (Listing<string> | Changes<string> | Error)[],
 ): Promise<{ calls: readonly string[]; seen: readonly string[] }> {
   const seen: string[] = [];
-  let feed: PlayedFeed | undefined;
+  let feed: ScriptedFeed | undefined;
   await new Promise<void>((resolve) => {
-    feed = new PlayedFeed(answers, resolve);
+    feed = new ScriptedFeed(responses, resolve);
     const follower = new FeedFollower(feed, {
       listed: ({ values }) => seen.push(`listed ${values}`),
       changed: ({ updated: entered }) => seen.push(`changed ${entered}`),
@@ -62,10 +63,10 @@
   return { calls: feed!.calls, seen };
 }
 
-// The store drops its history while a watch is cut. Going on from the old
-// revision, the next watch waits for changes that it will never be told of,
-// and requests are routed by an old version for seconds.
-test("after a watch was cut, everything is read again", async () => {
+// Guards against missed changes. If the store drops its history while a watch is
+// disconnected, a watch that continues at the old revision never receives the
+// changes, and requests are routed by an old version for seconds.
+test("after a watch is disconnected, all objects are listed again", async () => {
   const { calls, seen } = await follow([
     { revision: 3, values: ["a"] },
     new FeedError("unavailable", "reset"),
@@ -80,7 +81,7 @@
   ]);
 });
 
-test("expired history is read again without being a loss", async () => {
+test("expired history causes a new list and is not reported as lost", async () => {
   const { calls, seen } = await follow([
     { revision: 3, values: ["a"] },
     new FeedError("expired", "gone"),
@@ -90,7 +91,7 @@
   assert.deepEqual(seen, ["listed a", "listed b"]);
 });
 
-test("changes move the revision on; an empty wait does not", async () => {
+test("changes advance the revision; an empty watch does not", async () => {
   const { calls } = await follow([
     { revision: 3, values: [] },
     { revision: 3, updated: [], removed: [] },
@@ -99,9 +100,9 @@
   assert.deepEqual(calls, ["stale list", "watch 3", "watch 3", "watch 5"]);
 });
 
-// The store answers in a shape that nobody promised. If the process ended, the
-// platform would start it again to meet the same answer, on every host.
-test("an answer of another shape is a lost dependency, not the end", async () => {
+// Guards against a malformed response ending the process. The platform would
+// restart it on every host, only for it to receive the same response.
+test("a malformed response is a lost dependency and does not stop the follower", async () => {
   const { calls, seen } = await follow([
     new TypeError("no entries"),
     { revision: 3, values: ["a"] },
@@ -114,19 +115,18 @@
   ]);
 });
 
-// A daemon is cut off from everything: its callers wait, and once the link is
-// back it is late with all it does. The store fails, then the last peer is lost,
-// and the follower is told to hurry while it does not wait for changes. From
-// then on each failure counted as such a hurry, and the next call followed
-// without a pause: 3,000 a second, all that the processor gives.
-test("a hurry between two failures does not end the pauses", async (t) => {
+// Guards against a busy loop in a daemon that loses its network. The store fails,
+// then the last peer is lost, which restarts the watch while there is none. Every
+// later failure was then taken for a restart and retried without a backoff: 3,000
+// calls a second, which used the whole processor and delayed all other work.
+test("restarting the watch between two failures keeps the backoff", async (t) => {
   mock.timers.enable({ apis: ["setTimeout"] });
   t.after(() => mock.timers.reset());
   const failures = Array.from(
     { length: 9 },
     () => new FeedError("unavailable", "down"),
   );
-  const feed = new PlayedFeed(failures, () => {});
+  const feed = new ScriptedFeed(failures, () => {});
   const follower = new FeedFollower(feed, { listed() {}, changed() {} }, {
     contact: { lost: () => follower.restartWatch(), regained() {} },
     timing: {
@@ -143,12 +143,12 @@
   assert.deepEqual(feed.calls, ["stale list", "list"]);
 });
 
-// Eleven runners start within a second. A watcher that asks again at once makes
-// eleven calls for them, each of which all watchers pay.
-test("changes that follow each other at once are read together", async (t) => {
+// Guards against one call per change. When eleven runners start within a second,
+// a watcher without a delay makes eleven calls, and so does every other watcher.
+test("changes in rapid succession are read together", async (t) => {
   mock.timers.enable({ apis: ["setTimeout"] });
   t.after(() => mock.timers.reset());
-  const feed = new PlayedFeed([
+  const feed = new ScriptedFeed([
     { revision: 3, values: [] },
     { revision: 4, updated: ["a"], removed: [] },
     { revision: 9, updated: ["b", "c"], removed: [] },
@@ -167,7 +167,7 @@
   });
   void follower.run();
   for (let turn = 0; turn < 10; turn++) await new Promise(setImmediate);
-  assert.deepEqual(seen, ["a"], "known at once");
+  assert.deepEqual(seen, ["a"], "delivered at once");
   assert.deepEqual(feed.calls, ["stale list", "watch 3"]);
   mock.timers.tick(100);
   for (let turn = 0; turn < 10; turn++) await new Promise(setImmediate);
--- a/packages/router/src/process/link_plan.ts
+++ b/packages/router/src/process/link_plan.ts
@@ -1,5 +1,5 @@
 /**
- * Which other daemons a daemon keeps links to.
+ * Topology of the links between daemons: a tree for each failure domain.
  *
  * @module
  */
@@ -9,37 +9,41 @@
 import { groupBy } from "./group.ts";
 
 /**
- * Daemons for which one relay passes on loads, about. Each of them sends up to 25
- * states a second while requests wait, and each costs about 0.2 ms to read: with
- * 20 a relay spends a tenth of a core. With fewer there are more relays on the
- * way, and what is known of a runner is older by a batch at each.
+ * Approximate number of daemons for which one relay forwards loads. Each daemon
+ * sends up to 25 state updates a second while requests wait, and each update takes
+ * about 0.2 ms to read, so that 20 daemons cost a relay a tenth of a core. Fewer
+ * daemons per relay mean more relays on a path, each of which delays the loads of
+ * runners by one batch.
  */
 export const DAEMONS_PER_RELAY = 20;
 
-/** The links of one daemon. */
+/** Links of one daemon. */
 export interface LinkPlan {
-  /** The relay that this daemon tells its loads; none for a head. */
+  /** The relay to which this daemon sends its loads; undefined for a head. */
   readonly parent: Contact | undefined;
   /**
-   * Another relay, linked but not told loads: versions of the configuration come
-   * by two ways, and no time goes into dialling when the parent is lost.
+   * Another relay, which is linked but receives no loads. Versions of the
+   * configuration thus arrive by two paths, and no dialling is needed when the
+   * parent is lost.
    */
   readonly spare: Contact | undefined;
-  /** The heads of the other failure domains, for a daemon that is a head. */
+  /** The heads of the other failure domains if this daemon is a head. */
   readonly heads: readonly Contact[];
 }
 
 /**
- * Plans the links of one daemon, in a tree for each failure domain: the first
- * daemons by rank are relays, one for some {@linkcode DAEMONS_PER_RELAY}; the
- * others are divided among them by a hash; the first relay is the head, to which
- * the other relays link, and heads of all failure domains link to each other.
+ * Plans the links of one daemon.
  *
- * A parent always ranks before its children, so that however much the views of
- * daemons differ, what they pass on never goes round.
+ * The daemons of a failure domain form a tree. The first ones by rank are relays,
+ * one for about {@linkcode DAEMONS_PER_RELAY} daemons, and the other daemons are
+ * assigned to relays by a hash. The first relay is the head: the other relays link
+ * to it, and the heads of all failure domains link to each other.
  *
- * @param contacts daemons that can be reached, as far as known.
- * @param domainSize daemons in the failure domain of `own`, itself included.
+ * A parent always ranks before its children, so that forwarded loads never go in
+ * a cycle, however much the views of daemons differ.
+ *
+ * @param contacts daemons that are believed to be reachable.
+ * @param domainSize daemons in the failure domain of `own`, including itself.
  */
 export function planLinks(
   own: Contact,
@@ -47,32 +51,33 @@
   domainSize: number,
 ): LinkPlan {
   const domains = groupBy(contacts, ({ failureDomain }) => failureDomain);
-  const near = domains.get(own.failureDomain) ?? [];
-  const ranked = inRankOrder([own, ...near]);
+  const sameDomain = domains.get(own.failureDomain) ?? [];
+  const ranked = inRankOrder([own, ...sameDomain]);
   const count = relayCount(domainSize);
   const relays = ranked.slice(0, count);
   const head = relays[0]!;
   if (head === own) {
     const others = [...domains].filter(([name]) => name !== own.failureDomain);
-    const heads = others.map(([, domain]) => inRankOrder(domain)[0]!);
+    const heads = others.map(([, members]) => inRankOrder(members)[0]!);
     return { parent: undefined, spare: undefined, heads };
   }
-  const order = relays.includes(own) ? relays : byHash(own.name, relays);
+  const order = relays.includes(own) ? relays : hashOrder(own.name, relays);
   const parent = order[0]!;
   const spare = [...order, ...ranked]
-    .find((each) => each !== own && each !== parent);
+    .find((contact) => contact !== own && contact !== parent);
   return { parent, spare, heads: [] };
 }
 
-/** Relays of a failure domain of so many daemons. */
+/** Returns the number of relays of a failure domain. */
 export function relayCount(domainSize: number): number {
   return Math.max(1, Math.round(domainSize / DAEMONS_PER_RELAY));
 }
 
-function byHash(
+/** Returns the relays in the order of a daemon's preference. */
+function hashOrder(
   name: string,
   relays: readonly Contact[],
 ): readonly Contact[] {
-  const order = new Rendezvous(relays.map((each) => each.name)).order(name);
-  return order.map((chosen) => relays.find((each) => each.name === chosen)!);
+  const order = new Rendezvous(relays.map((relay) => relay.name)).order(name);
+  return order.map((chosen) => relays.find((relay) => relay.name === chosen)!);
 }
--- a/packages/router/src/process/link_plan_test.ts
+++ b/packages/router/src/process/link_plan_test.ts
@@ -15,14 +15,14 @@
 }
 
 function planOf(own: Contact, fleet: readonly Contact[]) {
-  const others = fleet.filter((each) => each !== own);
+  const others = fleet.filter((contact) => contact !== own);
   const size =
     fleet.filter(({ failureDomain }) => failureDomain === own.failureDomain)
       .length;
   return planLinks(own, others, size);
 }
 
-test("no relay has more than twice the children that it is meant for", () => {
+test("no relay has more than twice the planned number of children", () => {
   const domain = domainOf("a", 63);
   const children = new Map<string, number>();
   for (const own of domain) {
@@ -34,14 +34,14 @@
   assert.ok(most <= 2 * DAEMONS_PER_RELAY, `${most} children`);
 });
 
-// Two daemons that each take the other one for their parent would pass each
-// other's loads round and round, and count them without end.
-test("a parent ranks before its child, whatever either knows", () => {
+// Guards against forwarding cycles. Two daemons that are each other's parent would
+// forward the same loads to each other and count them again and again.
+test("a parent ranks before its child, whichever contacts are known", () => {
   const domain = domainOf("a", 40);
   for (const own of domain) {
     for (let step = 1; step < 7; step++) {
-      const known = domain.filter((each, index) =>
-        each !== own && index % step === 0
+      const known = domain.filter((contact, index) =>
+        contact !== own && index % step === 0
       );
       const { parent } = planLinks(own, known, known.length + 1);
       if (parent !== undefined) assert.ok(ranksBefore(parent, own));
@@ -49,7 +49,7 @@
   }
 });
 
-test("the first daemon of a domain links to the first of each other one", () => {
+test("the head of a failure domain links to the heads of the others", () => {
   const fleet = ["a", "b", "c"].flatMap((name) => domainOf(name, 30));
   const heads = ["a", "b", "c"].map((name) =>
     inRankOrder(fleet.filter(({ failureDomain }) => failureDomain === name))[0]!
@@ -59,13 +59,13 @@
   assert.deepEqual(plan.heads, heads.slice(1));
 });
 
-test("a daemon without others of its domain is a head", () => {
+test("the only daemon of a failure domain is a head", () => {
   const [own] = domainOf("a", 1);
   const plan = planLinks(own!, domainOf("b", 3), 1);
   assert.equal(plan.heads.length, 1);
 });
 
-test("every child has a spare that is not its parent", () => {
+test("every child has a spare other than its parent", () => {
   const domain = domainOf("a", 30);
   for (const own of domain) {
     const { parent, spare } = planOf(own, domain);
--- a/packages/router/src/process/watch_plan.ts
+++ b/packages/router/src/process/watch_plan.ts
@@ -1,5 +1,5 @@
 /**
- * Which daemons watch the store, and for how long at a time.
+ * Selects the daemons that watch the store, and the duration of their watches.
  *
  * @module
  */
@@ -7,63 +7,64 @@
 import type { Contact } from "./contact.ts";
 
 /**
- * Milliseconds of a watch for each daemon that watches. With the versions that
- * daemons tell each other, one answer suffices for all: their waits end at
- * different times, so a change that connections hide is found within about one
- * such span by one of them.
+ * Wait of a watch in ms, for each watcher in the fleet. Daemons send each other
+ * their versions, so that one response of the store suffices for all. As the waits
+ * of watchers end at different times, one of them detects a change that a dead
+ * connection hides within about this time.
  */
 const WAIT_PER_WATCHER_MS = 1_000;
-/** Shortest wait of a watch, in ms: what a daemon without peers uses. */
-const SHORTEST_WAIT_MS = 1_500;
-const LONGEST_WAIT_MS = 10_000;
-/** Least part of a wait, so that waits that began together come apart. */
-const LEAST_WAIT_SHARE = 0.7;
+/** Minimum wait of a watch in ms, which a daemon without peers uses. */
+const MIN_WAIT_MS = 1_500;
+const MAX_WAIT_MS = 10_000;
+/** Minimum fraction of a wait, so that waits that start together end apart. */
+const MIN_WAIT_FRACTION = 0.7;
 /**
- * Daemons of the fleet that watch the store, the same number in each failure
- * domain and one at least; the others hear of it. Each one more is a call more for each
- * change. One that watches for nobody else costs the others a second.
+ * Daemons of the fleet that watch the store: the same number in each failure
+ * domain, and at least one. They notify the others. Each further watcher costs one
+ * more call for each change. A watcher that notifies no other daemon still
+ * lengthens the waits of the other watchers by a second.
  */
 const WATCHERS = 6;
 
-/** A daemon, as others see it. */
+/** A daemon that may be a watcher. */
 export type WatchCandidate = Pick<
   Contact,
   "name" | "failureDomain" | "linkMbps"
 >;
 
 /**
- * Whether a daemon is among those that watch for its failure domain: the first
- * ones by rank. All daemons that see the same first ones agree without asking;
- * where they do not, one more or less watches.
+ * Returns whether a daemon watches the store for its failure domain, as the first
+ * ones by rank do. Daemons that know the same first ones agree without
+ * communication; where their views differ, there is one watcher more or less.
  *
- * @param fleet daemons that are known: those that rank first suffice.
+ * @param fleet known daemons; those that rank first suffice.
  */
 export function isWatcher(
-  one: WatchCandidate,
+  daemon: WatchCandidate,
   fleet: readonly WatchCandidate[],
 ): boolean {
   const domains = new Set(fleet.map(({ failureDomain }) => failureDomain));
   const perDomain = Math.max(1, Math.floor(WATCHERS / domains.size));
-  const before = fleet.filter((each) =>
-    each.failureDomain === one.failureDomain && ranksBefore(each, one)
+  const before = fleet.filter((other) =>
+    other.failureDomain === daemon.failureDomain && ranksBefore(other, daemon)
   );
   return before.length < perDomain;
 }
 
 /**
- * Milliseconds for which the next watch waits.
+ * Returns the wait of the next watch, in ms.
  *
- * @param point in [0, 1), from a random number generator.
+ * @param random a random number in [0, 1).
  */
 export function watchWaitMs(
   fleet: readonly WatchCandidate[],
-  point: number,
+  random: number,
 ): number {
-  const watchers = fleet.filter((each) => isWatcher(each, fleet)).length;
+  const watchers = fleet.filter((daemon) => isWatcher(daemon, fleet)).length;
   const wait = Math.min(
-    LONGEST_WAIT_MS,
-    Math.max(SHORTEST_WAIT_MS, WAIT_PER_WATCHER_MS * watchers),
+    MAX_WAIT_MS,
+    Math.max(MIN_WAIT_MS, WAIT_PER_WATCHER_MS * watchers),
   );
-  const share = LEAST_WAIT_SHARE + (1 - LEAST_WAIT_SHARE) * point;
-  return Math.round(wait * share);
+  const fraction = MIN_WAIT_FRACTION + (1 - MIN_WAIT_FRACTION) * random;
+  return Math.round(wait * fraction);
 }
--- a/packages/router/src/process/watch_plan_test.ts
+++ b/packages/router/src/process/watch_plan_test.ts
@@ -11,19 +11,20 @@
   }));
 }
 
-// Every watch counts as a call, and the store's rates grow more slowly than the
-// fleet. Calls must follow failure domains, not daemons.
-test("the calls of watches do not grow with the fleet", () => {
+// Guards against exceeding the store's rate limits. Every watch is a call, and the
+// limits grow more slowly than the fleet, so that the number of calls must depend
+// on the number of failure domains, not of daemons.
+test("the rate of watch calls does not grow with the fleet", () => {
   const rateOf = (daemons: number) => {
     const fleet = fleetOf(daemons);
-    const watching = fleet.filter((each) => isWatcher(each, fleet)).length;
+    const watching = fleet.filter((daemon) => isWatcher(daemon, fleet)).length;
     return 1_000 * watching / watchWaitMs(fleet, 0.5);
   };
   assert.ok(Math.abs(rateOf(65) - rateOf(380)) < 0.1);
   assert.ok(rateOf(380) < 2);
 });
 
-test("a daemon alone watches, and for a short time", () => {
+test("a single daemon watches, with the minimum wait", () => {
   const [alone] = fleetOf(1);
   assert.equal(isWatcher(alone!, [alone!]), true);
   assert.ok(watchWaitMs([alone!], 0.99) <= 1_500);
