--- a/packages/router/src/process/contact.ts
+++ b/packages/router/src/process/contact.ts
@@ -1,44 +1,45 @@
 /**
- * How a daemon is known to others.
+ * Identity and address of a daemon, and the order of daemons by rank.
  *
  * @module
  */
 
-/** One life of a daemon, and where it is reached. */
+/** Identity and address of one incarnation of a daemon. */
 export interface Contact {
   readonly name: string;
   /** Differs at each start of a daemon. */
   readonly incarnation: string;
-  /** Where the daemon is reached, as "IP:PORT". */
+  /** Address at which other daemons connect, as "IP:PORT". */
   readonly address: string;
   readonly failureDomain: string;
-  /** Width of its network link, in Mbit/s; 0 when unknown. */
+  /** Bandwidth of its network link, in Mbit/s; 0 if unknown. */
   readonly linkMbps: number;
 }
 
-/** What the order of daemons needs to know of one. */
+/** Properties by which daemons are ranked. */
 export type Ranked = Pick<Contact, "name" | "linkMbps">;
 
 /**
- * Whether one daemon goes before another one where a few have to do something
- * for many: the widest link first, then by name. Who passes on what dozens of
- * daemons tell needs 4 Mbit/s for it, half of the narrowest links. All daemons
- * that know the same contacts agree without asking.
+ * Returns whether daemon `a` ranks before daemon `b`, when some daemons are chosen
+ * to serve the others. Daemons rank by bandwidth, highest first, then by name: a
+ * daemon that forwards the updates of dozens of others needs 4 Mbit/s for it, which
+ * is half of the narrowest links. Daemons that know the same contacts agree on the
+ * order without communication.
  */
-export function ranksBefore(one: Ranked, other: Ranked): boolean {
-  if (one.linkMbps !== other.linkMbps) return one.linkMbps > other.linkMbps;
-  return one.name < other.name;
+export function ranksBefore(a: Ranked, b: Ranked): boolean {
+  if (a.linkMbps !== b.linkMbps) return a.linkMbps > b.linkMbps;
+  return a.name < b.name;
 }
 
-/** Contacts in their order, first those that rank before all others. */
-export function inRankOrder<Each extends Ranked>(
-  contacts: readonly Each[],
-): readonly Each[] {
-  return [...contacts].sort((one, other) => ranksBefore(one, other) ? -1 : 1);
+/** Returns the contacts sorted by rank, first one first. */
+export function inRankOrder<T extends Ranked>(
+  contacts: readonly T[],
+): readonly T[] {
+  return [...contacts].sort((a, b) => ranksBefore(a, b) ? -1 : 1);
 }
 
-/** The contact in something that says more of the same daemon. */
-export function contactOf(of: Contact): Contact {
-  const { name, incarnation, address, failureDomain, linkMbps } = of;
+/** Returns the contact fields of an object that has further fields. */
+export function contactOf(source: Contact): Contact {
+  const { name, incarnation, address, failureDomain, linkMbps } = source;
   return { name, incarnation, address, failureDomain, linkMbps };
 }
--- a/packages/router/src/process/contact_book.ts
+++ b/packages/router/src/process/contact_book.ts
@@ -1,5 +1,5 @@
 /**
- * The daemons that a daemon knows by address: a bounded part of the fleet.
+ * Address book of other daemons, which holds a bounded part of the fleet.
  *
  * @module
  */
@@ -8,122 +8,126 @@
 import { groupBy } from "./group.ts";
 
 /**
- * Milliseconds for which a life that was found dead is not entered again. Daemons
- * that have not heard of its end go on naming it; without this each of them
- * would have all others dial it once more.
+ * Time in ms for which a dead incarnation is not added again. Daemons that do not
+ * know of its death yet keep sending its contact; without this time each of them
+ * would make all others dial it once more.
  */
-const DEAD_MS = 30_000;
+const TOMBSTONE_MS = 30_000;
 
-/** One life of a daemon that ended, or cannot be reached. */
+/** An incarnation of a daemon that has ended or is unreachable. */
 export type DeadContact = Pick<Contact, "name" | "incarnation">;
 
-/** What changed in a book since the last look. */
+/** Changes of a book since the last call of {@linkcode ContactBook.takeUpdates}. */
 export interface ContactUpdates {
+  /** Contacts that were added or changed. */
   readonly contacts: readonly Contact[];
+  /** Contacts that were removed. */
   readonly gone: readonly DeadContact[];
 }
 
-interface Death {
+interface Tombstone {
   readonly incarnation: string;
   readonly until: number;
 }
 
 /**
- * Keeps the first contacts of each failure domain by rank, at most a fixed number
- * in all. Which those are follows from the fleet alone, so that books agree once
- * news has gone round, and links are chosen by them; a book of the whole fleet
- * would be sent whole on each new link, 195 times 195 times when all start.
+ * Keeps the first contacts of each failure domain by rank, up to a fixed total.
+ * The selection depends on the fleet alone, so that the books of all daemons agree
+ * once updates have spread, and links are chosen from them. The book is bounded
+ * because it is sent in full on each new link; with all 195 daemons in it, a start
+ * of the whole fleet would send 195 times 195 contacts.
  *
  * @example
  * ```ts
  * const book = new ContactBook(own, 48);
- * if (book.add(contact, performance.now())) tellOthers(book.takeNews());
+ * if (book.add(contact, performance.now())) broadcast(book.takeUpdates());
  * ```
  */
 export class ContactBook {
   readonly #own: Contact;
-  readonly #most: number;
+  readonly #maxContacts: number;
   readonly #contacts = new Map<string, Contact>();
-  readonly #dead = new Map<string, Death>();
-  #news = new Map<string, Contact>();
-  #gone = new Map<string, DeadContact>();
+  readonly #tombstones = new Map<string, Tombstone>();
+  #added = new Map<string, Contact>();
+  #removed = new Map<string, DeadContact>();
 
   /**
-   * @param own the daemon that keeps the book; it is not in it.
-   * @param most contacts that are kept, of all failure domains together.
+   * @param own the daemon that keeps the book; the book does not contain it.
+   * @param maxContacts maximum number of contacts of all failure domains.
    */
-  constructor(own: Contact, most: number) {
+  constructor(own: Contact, maxContacts: number) {
     this.#own = own;
-    this.#most = most;
+    this.#maxContacts = maxContacts;
   }
 
   get size(): number {
     return this.#contacts.size;
   }
 
-  /** All contacts, without this daemon. */
+  /** Returns all contacts, without this daemon. */
   all(): readonly Contact[] {
     return [...this.#contacts.values()];
   }
 
   /**
-   * Enters a contact that another daemon names.
+   * Adds a contact that another daemon has sent, unless it is known to be dead.
    *
-   * @returns whether the book holds something new.
+   * @returns whether the book has changed.
    */
   add(contact: Contact, now: number): boolean {
-    const dead = this.#dead.get(contact.name);
-    if (dead?.incarnation === contact.incarnation) {
-      if (now < dead.until) return false;
-      this.#dead.delete(contact.name);
+    const tombstone = this.#tombstones.get(contact.name);
+    if (tombstone?.incarnation === contact.incarnation) {
+      if (now < tombstone.until) return false;
+      this.#tombstones.delete(contact.name);
     }
-    return this.#enter(contact);
+    return this.#insert(contact);
   }
 
   /**
-   * Enters a daemon that answers by itself: it lives, whatever was told of it.
+   * Adds a daemon that has responded itself, and is therefore alive whatever other
+   * daemons have sent.
    *
-   * @returns whether the book holds something new.
+   * @returns whether the book has changed.
    */
   addReachable(contact: Contact): boolean {
-    this.#dead.delete(contact.name);
-    return this.#enter(contact);
+    this.#tombstones.delete(contact.name);
+    return this.#insert(contact);
   }
 
   /**
-   * Strikes out one life of a daemon; a later one stays.
+   * Removes one incarnation of a daemon; a later one is kept.
    *
-   * @returns whether the book held it.
+   * @returns whether the book contained it.
    */
   remove({ name, incarnation }: DeadContact, now: number): boolean {
-    for (const [dead, { until }] of this.#dead) {
-      if (until <= now) this.#dead.delete(dead);
+    for (const [dead, { until }] of this.#tombstones) {
+      if (until <= now) this.#tombstones.delete(dead);
     }
-    this.#dead.set(name, { incarnation, until: now + DEAD_MS });
+    this.#tombstones.set(name, { incarnation, until: now + TOMBSTONE_MS });
     if (this.#contacts.get(name)?.incarnation !== incarnation) return false;
     this.#contacts.delete(name);
-    this.#news.delete(name);
-    this.#gone.set(name, { name, incarnation });
+    this.#added.delete(name);
+    this.#removed.set(name, { name, incarnation });
     return true;
   }
 
-  /** What changed since the last call, for other daemons. */
+  /** Returns the changes since the last call, to be sent to other daemons. */
   takeUpdates(): ContactUpdates {
-    const news = {
-      contacts: [...this.#news.values()],
-      gone: [...this.#gone.values()],
+    const updates = {
+      contacts: [...this.#added.values()],
+      gone: [...this.#removed.values()],
     };
-    this.#news = new Map();
-    this.#gone = new Map();
-    return news;
+    this.#added = new Map();
+    this.#removed = new Map();
+    return updates;
   }
 
-  /** Whether {@linkcode takeUpdates} would give anything. */
+  /** Whether {@linkcode takeUpdates} would return any changes. */
   get hasUpdates(): boolean {
-    return this.#news.size > 0 || this.#gone.size > 0;
+    return this.#added.size > 0 || this.#removed.size > 0;
   }
 
-  #enter(contact: Contact): boolean {
+  #insert(contact: Contact): boolean {
     const { name } = contact;
     if (name === this.#own.name) return false;
     const known = this.#contacts.get(name);
@@ -131,29 +135,30 @@
       known.address === contact.address;
     if (same) return false;
     this.#contacts.set(name, contact);
-    if (this.#contacts.size > this.#most) {
-      const last = this.#leastNeeded();
-      this.#contacts.delete(last.name);
-      this.#news.delete(last.name);
-      if (last.name === name) return false;
+    if (this.#contacts.size > this.#maxContacts) {
+      const evicted = this.#evictionCandidate();
+      this.#contacts.delete(evicted.name);
+      this.#added.delete(evicted.name);
+      if (evicted.name === name) return false;
     }
-    this.#gone.delete(name);
-    this.#news.set(name, contact);
+    this.#removed.delete(name);
+    this.#added.set(name, contact);
     return true;
   }
 
-  /** The last by rank of the failure domain with the most contacts. */
-  #leastNeeded(): Contact {
+  /** Returns the last contact by rank of the largest failure domain. */
+  #evictionCandidate(): Contact {
     const domains = groupBy(this.all(), ({ failureDomain }) => failureDomain);
-    let fullest: readonly Contact[] = [];
+    let largest: readonly Contact[] = [];
     for (const domain of domains.values()) {
-      if (this.#isFuller(domain, fullest)) fullest = domain;
+      if (this.#isLarger(domain, largest)) largest = domain;
     }
-    return inRankOrder(fullest).at(-1)!;
+    return inRankOrder(largest).at(-1)!;
   }
 
-  #isFuller(one: readonly Contact[], other: readonly Contact[]): boolean {
-    if (one.length !== other.length) return one.length > other.length;
-    return ranksBefore(one[0]!, other[0]!);
+  /** Compares two failure domains by size, with a tie-break by rank. */
+  #isLarger(a: readonly Contact[], b: readonly Contact[]): boolean {
+    if (a.length !== b.length) return a.length > b.length;
+    return ranksBefore(a[0]!, b[0]!);
   }
 }
--- a/packages/router/src/process/contact_book_test.ts
+++ b/packages/router/src/process/contact_book_test.ts
@@ -18,8 +18,8 @@
   return book.all().map(({ name }) => name).sort();
 }
 
-// Books of daemons that heard of the same fleet in another order must agree, as
-// relays are chosen by them.
+// Relays are chosen from the books, so that books must agree whatever the order in
+// which contacts arrive.
 test("a full book keeps the first of each failure domain, in any order", () => {
   const fleet = ["a", "b"].flatMap((domain) =>
     Array.from(
@@ -29,16 +29,17 @@
   );
   const one = new ContactBook(contact("a-own"), 6);
   const other = new ContactBook(contact("b-own"), 6);
-  for (const each of fleet) one.add(each, 0);
-  for (const each of [...fleet].reverse()) other.add(each, 0);
+  for (const member of fleet) one.add(member, 0);
+  for (const member of [...fleet].reverse()) other.add(member, 0);
   const first = ["a-6", "a-7", "a-8", "b-6", "b-7", "b-8"];
   assert.deepEqual(namesIn(one), first);
   assert.deepEqual(namesIn(other), first);
 });
 
-// A host died. Daemons that have not heard of it go on naming it; entered again
-// each time, it would be dialled by everybody for as long as anybody names it.
-test("a dead daemon is not entered again because others name it", () => {
+// Guards against dialling a dead daemon again and again. Daemons that do not know
+// of its death yet keep sending its contact; if it were added each time, all
+// daemons would dial it as long as any of them sends it.
+test("a dead daemon is not added again because others send its contact", () => {
   const book = new ContactBook(contact("own"), 6);
   book.add(contact("a"), 0);
   assert.equal(book.remove(contact("a"), 0), true);
@@ -46,7 +47,7 @@
   assert.equal(book.add(contact("a", { incarnation: "2" }), 1_000), true);
 });
 
-test("a daemon that answers is entered, whatever was told of it", () => {
+test("a daemon that responds is added, even if it was removed before", () => {
   const book = new ContactBook(contact("own"), 6);
   book.add(contact("a"), 0);
   book.remove(contact("a"), 0);
@@ -54,7 +55,7 @@
   assert.deepEqual(namesIn(book), ["a"]);
 });
 
-test("what did not change a book is not told again", () => {
+test("contacts that do not change the book cause no updates", () => {
   const book = new ContactBook(contact("own"), 6);
   book.add(contact("a"), 0);
   assert.equal(book.takeUpdates().contacts.length, 1);
--- a/packages/router/src/process/contact_selection.ts
+++ b/packages/router/src/process/contact_selection.ts
@@ -1,5 +1,5 @@
 /**
- * Which daemons all others of a large fleet know.
+ * Selection of the contacts that daemons of a large fleet send to each other.
  *
  * @module
  */
@@ -7,36 +7,38 @@
 import type { Contact } from "./contact.ts";
 import { groupBy } from "./group.ts";
 
-/** Contacts of each other failure domain that a new peer is told. */
-const TOLD_OF_OTHER_DOMAINS = 2;
-/** Contacts of the own failure domain that all know, where there is no other. */
-const KNOWN_OF_ONLY_DOMAIN = 6;
+/** Contacts that are sent of each failure domain other than the receiver's. */
+const CONTACTS_PER_DOMAIN = 2;
+/** Contacts that are sent to all daemons if there is only one failure domain. */
+const CONTACTS_OF_SINGLE_DOMAIN = 6;
 
 /**
- * What a daemon of a failure domain is told when a link is up: those that it may
- * link to in its own one, and two of each other one.
+ * Returns the contacts that are sent to a daemon when its link is established: all
+ * of its own failure domain, as it may link to them, and two of each other one.
+ *
+ * @param failureDomain the failure domain of the receiver.
  */
 export function contactsForNewPeer(
   failureDomain: string | undefined,
   contacts: readonly Contact[],
 ): readonly Contact[] {
-  const domains = groupBy(contacts, (each) => each.failureDomain);
-  return [...domains].flatMap(([domain, ofDomain]) =>
+  const domains = groupBy(contacts, (contact) => contact.failureDomain);
+  return [...domains].flatMap(([domain, members]) =>
     domain === failureDomain
-      ? ofDomain
-      : inRankOrder(ofDomain).slice(0, TOLD_OF_OTHER_DOMAINS)
+      ? members
+      : inRankOrder(members).slice(0, CONTACTS_PER_DOMAIN)
   );
 }
 
-/** Those that everybody is told of: the first ones of each failure domain. */
+/** Returns the contacts that are sent to all: the first ones of each domain. */
 export function contactsForAll(
   contacts: readonly Contact[],
 ): readonly Contact[] {
   const domains = groupBy(contacts, ({ failureDomain }) => failureDomain);
-  const most = domains.size === 1
-    ? KNOWN_OF_ONLY_DOMAIN
-    : TOLD_OF_OTHER_DOMAINS;
-  return [...domains.values()].flatMap((ofDomain) =>
-    inRankOrder(ofDomain).slice(0, most)
+  const perDomain = domains.size === 1
+    ? CONTACTS_OF_SINGLE_DOMAIN
+    : CONTACTS_PER_DOMAIN;
+  return [...domains.values()].flatMap((members) =>
+    inRankOrder(members).slice(0, perDomain)
   );
 }
--- a/packages/router/src/process/unreachable_daemons.ts
+++ b/packages/router/src/process/unreachable_daemons.ts
@@ -1,77 +1,81 @@
 /**
- * Daemons that did not answer lately.
+ * Tracking of daemons that could not be reached recently.
  *
  * @module
  */
 import type { Contact } from "./contact.ts";
 
-/** Milliseconds for which a daemon whose link broke counts as absent. */
+/** Time in ms for which a daemon counts as unreachable after its link broke. */
 export const LINK_LOST_MS = 1_000;
-/** The same for one that nobody answers for, at first; doubled each time. */
-const FIRST_UNREACHABLE_MS = 1_000;
-const LONGEST_UNREACHABLE_MS = 4_000;
+/**
+ * Time in ms for which a daemon counts as unreachable after the first failed dial;
+ * doubled after each further one, up to the maximum.
+ */
+const INITIAL_BACKOFF_MS = 1_000;
+const MAX_BACKOFF_MS = 4_000;
 
-/** Milliseconds after its end for which an absence is remembered. */
-const REMEMBERED_MS = 60_000;
+/** Time in ms for which an entry is kept after it has expired. */
+const RETENTION_MS = 60_000;
 
-interface Absence {
+interface Entry {
   readonly incarnation: string;
   readonly until: number;
-  /** How many times in a row nobody answered. */
-  readonly times: number;
+  /** Number of consecutive failed dials. */
+  readonly failures: number;
 }
 
 /**
- * Remembers whom not to plan with. An absence ends by itself, as a daemon that was
- * frozen or cut off has no other way to be found again, or with the next life.
+ * Remembers which daemons to leave out when links are planned. An entry expires by
+ * itself, as a daemon that was frozen or partitioned could not be found again
+ * otherwise. It does not apply to a later incarnation.
  */
 export class UnreachableDaemons {
-  readonly #absent = new Map<string, Absence>();
+  readonly #entries = new Map<string, Entry>();
 
-  /** Whether there are any. */
+  /** Whether any entries are kept. */
   get any(): boolean {
-    return this.#absent.size > 0;
+    return this.#entries.size > 0;
   }
 
-  /** Its link broke. */
+  /** Records that the link to a daemon broke. */
   linkLost({ name, incarnation }: Contact, now: number): void {
-    this.#forgetOld(now);
-    this.#absent.set(name, {
+    this.#removeExpired(now);
+    this.#entries.set(name, {
       incarnation,
       until: now + LINK_LOST_MS,
-      times: 0,
+      failures: 0,
     });
   }
 
   /**
-   * Nobody answers at its address.
+   * Records that dialling a daemon failed.
    *
-   * @returns how many times in a row.
+   * @returns the number of consecutive failures.
    */
   dialFailed({ name, incarnation }: Contact, now: number): number {
-    const times = (this.#absent.get(name)?.times ?? 0) + 1;
-    const span = FIRST_UNREACHABLE_MS * 2 ** (times - 1);
-    const until = now + Math.min(LONGEST_UNREACHABLE_MS, span);
-    this.#absent.set(name, { incarnation, until, times });
-    return times;
+    const failures = (this.#entries.get(name)?.failures ?? 0) + 1;
+    const backoffMs = INITIAL_BACKOFF_MS * 2 ** (failures - 1);
+    const until = now + Math.min(MAX_BACKOFF_MS, backoffMs);
+    this.#entries.set(name, { incarnation, until, failures });
+    return failures;
   }
 
-  /** It answers. */
+  /** Records that a daemon has responded. */
   markReachable(name: string): void {
-    this.#absent.delete(name);
+    this.#entries.delete(name);
   }
 
-  /** Whether a daemon is taken to answer. */
+  /** Returns whether a daemon is assumed to be reachable. */
   isReachable({ name, incarnation }: Contact, now: number): boolean {
-    const absence = this.#absent.get(name);
-    if (absence === undefined) return true;
-    return absence.incarnation !== incarnation || absence.until <= now;
+    const entry = this.#entries.get(name);
+    if (entry === undefined) return true;
+    return entry.incarnation !== incarnation || entry.until <= now;
   }
 
-  /** Hosts that were replaced do not come back under their names. */
-  #forgetOld(now: number): void {
-    for (const [name, { until }] of this.#absent) {
-      if (now - until > REMEMBERED_MS) this.#absent.delete(name);
+  /** Removes old entries, as hosts that were replaced never return by their names. */
+  #removeExpired(now: number): void {
+    for (const [name, { until }] of this.#entries) {
+      if (now - until > RETENTION_MS) this.#entries.delete(name);
     }
   }
 }
