--- a/packages/router/src/connection/peer_network.ts
+++ b/packages/router/src/connection/peer_network.ts
@@ -16,7 +16,7 @@
 const CONNECT_TIMEOUT_MS = 250;
 
 /** Creates the link on an open connection. */
-export type LinkOpening = (events: LinkEvents) => Link;
+export type LinkFactory = (events: LinkEvents) => Link;
 
 /** Dials other daemons and accepts their links. */
 export interface PeerNetwork {
@@ -25,11 +25,11 @@
   /** Accepts links from now on. */
   open(
     address: ListenAddress,
-    accepted: (opening: LinkOpening) => void,
+    accepted: (opening: LinkFactory) => void,
   ): Promise<void>;
   /** Dials an address; calls exactly one of the two callbacks, asynchronously. */
   dial(address: string, outcome: {
-    opened(opening: LinkOpening): void;
+    opened(opening: LinkFactory): void;
     failed(): void;
   }): void;
   /** Stops accepting links. */
@@ -46,7 +46,7 @@
 
   open(
     address: ListenAddress,
-    accepted: (opening: LinkOpening) => void,
+    accepted: (opening: LinkFactory) => void,
   ): Promise<void> {
     const server = createServer((socket) => accepted(openingOn(socket)));
     this.#server = server;
@@ -57,7 +57,7 @@
   }
 
   dial(address: string, outcome: {
-    opened(opening: LinkOpening): void;
+    opened(opening: LinkFactory): void;
     failed(): void;
   }): void {
     const [host = "", port = ""] = address.split(":");
@@ -82,6 +82,6 @@
   }
 }
 
-function openingOn(socket: Socket): LinkOpening {
+function openingOn(socket: Socket): LinkFactory {
   return (events) => new PeerLink(socket, events);
 }
--- a/packages/router/src/connection/peers.ts
+++ b/packages/router/src/connection/peers.ts
@@ -10,7 +10,7 @@
 import type { Link } from "./peer_link.ts";
 import { PROTOCOL_VERSION } from "./peer_message.ts";
 import type { Hello, PeerMessage } from "./peer_message.ts";
-import type { LinkOpening, PeerNetwork } from "./peer_network.ts";
+import type { LinkFactory, PeerNetwork } from "./peer_network.ts";
 
 /** First delay before an address is dialled again; doubled with each failure. */
 const MIN_BACKOFF_MS = 150;
@@ -210,7 +210,7 @@
     }, backoffMs * (0.5 + Math.random()));
   }
 
-  #openLink(opening: LinkOpening, dialledAddress: string | undefined): void {
+  #openLink(opening: LinkFactory, dialledAddress: string | undefined): void {
     let peer: Peer | undefined;
     const link = opening({
       onMessage: (message) => {
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -13,7 +13,7 @@
 import type { Link, LinkEvents } from "../src/connection/peer_link.ts";
 import type { PeerMessage } from "../src/connection/peer_message.ts";
 import type {
-  LinkOpening,
+  LinkFactory,
   PeerNetwork,
 } from "../src/connection/peer_network.ts";
 import type { Contact } from "../src/process/contact.ts";
@@ -98,7 +98,7 @@
     return [local, remote];
   }
 
-  readonly opening: LinkOpening = (events) => {
+  readonly opening: LinkFactory = (events) => {
     this.#events = events;
     return this;
   };
@@ -163,13 +163,13 @@
     this.#fleet = fleet;
   }
 
-  open(_: unknown, accepted: (opening: LinkOpening) => void): Promise<void> {
+  open(_: unknown, accepted: (opening: LinkFactory) => void): Promise<void> {
     this.#member.accept = accepted;
     return Promise.resolve();
   }
 
   dial(address: string, outcome: {
-    opened(opening: LinkOpening): void;
+    opened(opening: LinkFactory): void;
     failed(): void;
   }): void {
     const from = this.#member;
@@ -322,7 +322,7 @@
   storeUnreachable = false;
   /** Names of daemons to which this one cannot send. */
   readonly blocked = new Set<string>();
-  accept: ((opening: LinkOpening) => void) | undefined;
+  accept: ((opening: LinkFactory) => void) | undefined;
   readonly fleetSync: FleetSync;
   /** Bandwidth for sending, shared by all links, in Mbit/s. */
   readonly #sendMbps: number;
