--- a/packages/router/src/connection/apply_update.ts
+++ b/packages/router/src/connection/apply_update.ts
@@ -55,7 +55,7 @@
   }
   for (const prefix of parts) shared.prefixes.applyUpdate(prefix, now);
   return {
-    changed,
+    changedRunners: changed,
     parts,
     crashes: shared.crashes.applyUpdate(fromAges(crashes, now), now),
     limits: shared.limits.applyUpdates(
--- a/packages/router/src/connection/crash_encoding.ts
+++ b/packages/router/src/connection/crash_encoding.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { checkCount } from "./counts.ts";
+import { checkCount } from "./check_count.ts";
 import type { CrashAges, RunnerCrash } from "./crash_ages.ts";
 
 type PackedCrash = readonly [
--- a/packages/router/src/connection/peer_encoding.ts
+++ b/packages/router/src/connection/peer_encoding.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { compressItem, expandItem } from "./compressed_item.ts";
-import { checkCount } from "./counts.ts";
+import { checkCount } from "./check_count.ts";
 import { NO_CRASHES } from "./crash_ages.ts";
 import { hasCrashes, packCrashes, unpackCrashes } from "./crash_encoding.ts";
 import type { PackedCrashes } from "./crash_encoding.ts";
--- a/packages/router/src/connection/peer_network.ts
+++ b/packages/router/src/connection/peer_network.ts
@@ -25,11 +25,11 @@
   /** Accepts links from now on. */
   open(
     address: ListenAddress,
-    accepted: (opening: LinkFactory) => void,
+    accepted: (createLink: LinkFactory) => void,
   ): Promise<void>;
   /** Dials an address; calls exactly one of the two callbacks, asynchronously. */
   dial(address: string, outcome: {
-    opened(opening: LinkFactory): void;
+    opened(createLink: LinkFactory): void;
     failed(): void;
   }): void;
   /** Stops accepting links. */
@@ -46,9 +46,9 @@
 
   open(
     address: ListenAddress,
-    accepted: (opening: LinkFactory) => void,
+    accepted: (createLink: LinkFactory) => void,
   ): Promise<void> {
-    const server = createServer((socket) => accepted(openingOn(socket)));
+    const server = createServer((socket) => accepted(linkFactoryFor(socket)));
     this.#server = server;
     return new Promise((resolve, reject) => {
       server.once("error", reject);
@@ -57,7 +57,7 @@
   }
 
   dial(address: string, outcome: {
-    opened(opening: LinkFactory): void;
+    opened(createLink: LinkFactory): void;
     failed(): void;
   }): void {
     const [host = "", port = ""] = address.split(":");
@@ -71,7 +71,7 @@
     socket.once("connect", () => {
       clearTimeout(timer);
       socket.off("close", failed);
-      outcome.opened(openingOn(socket));
+      outcome.opened(linkFactoryFor(socket));
     });
     // Errors are handled by the "close" event.
     socket.on("error", () => {});
@@ -82,6 +82,6 @@
   }
 }
 
-function openingOn(socket: Socket): LinkFactory {
+function linkFactoryFor(socket: Socket): LinkFactory {
   return (events) => new PeerLink(socket, events);
 }
--- a/packages/router/src/connection/peers.ts
+++ b/packages/router/src/connection/peers.ts
@@ -118,7 +118,7 @@
   open(address: ListenAddress): Promise<void> {
     return this.#network.open(
       address,
-      (opening) => this.#openLink(opening, undefined),
+      (createLink) => this.#openLink(createLink, undefined),
     );
   }
 
@@ -172,9 +172,9 @@
   #dial(address: string, target: Target): void {
     target.dialling = true;
     this.#network.dial(address, {
-      opened: (opening) => {
+      opened: (createLink) => {
         target.dialling = false;
-        this.#openLink(opening, address);
+        this.#openLink(createLink, address);
       },
       failed: () => {
         target.dialling = false;
@@ -210,9 +210,9 @@
     }, backoffMs * (0.5 + Math.random()));
   }
 
-  #openLink(opening: LinkFactory, dialledAddress: string | undefined): void {
+  #openLink(createLink: LinkFactory, dialledAddress: string | undefined): void {
     let peer: Peer | undefined;
-    const link = opening({
+    const link = createLink({
       onMessage: (message) => {
         if (message.kind === "hello") {
           peer = this.#handleHello(message, link, dialledAddress !== undefined);
--- a/packages/router/src/connection/update_broadcaster.ts
+++ b/packages/router/src/connection/update_broadcaster.ts
@@ -83,7 +83,7 @@
 /** The changes in an update from a neighbour, to be relayed to others. */
 export interface ReceivedUpdate {
   /** Ids of the runners whose loads changed. */
-  readonly changed: ReadonlySet<string>;
+  readonly changedRunners: ReadonlySet<string>;
   readonly parts: readonly PrefixUpdate[];
   /** The reported crashes that were new to this daemon. */
   readonly crashes: CrashUpdate;
@@ -173,7 +173,8 @@
    * @returns whether anything is to be sent because of it.
    */
   relay({ name }: Peer, received: ReceivedUpdate): boolean {
-    const { changed, parts, crashes, limits, usage, urgent } = received;
+    const { changedRunners: changed, parts, crashes, limits, usage, urgent } =
+      received;
     const { overlay } = this.#sources;
     // Usage goes up the tree only, to the daemons that may lead.
     if (overlay.role(name) === "child") this.#upstream.addUsage(usage);
