--- a/packages/router/src/connection/apply_update.ts
+++ b/packages/router/src/connection/apply_update.ts
@@ -48,14 +48,16 @@
   if (lease !== undefined) {
     shared.lease?.observe({ ...lease, at: now - lease.agoMs });
   }
-  const changed = new Set(whole ? shared.loads.removeNeighbour(neighbour) : []);
+  const changedRunners = new Set(
+    whole ? shared.loads.removeNeighbour(neighbour) : [],
+  );
   for (const load of loads) {
-    changed.add(load.runner);
+    changedRunners.add(load.runner);
     applyLoad(shared.loads, neighbour, { load, now });
   }
   for (const prefix of parts) shared.prefixes.applyUpdate(prefix, now);
   return {
-    changedRunners: changed,
+    changedRunners,
     parts,
     crashes: shared.crashes.applyUpdate(fromAges(crashes, now), now),
     limits: shared.limits.applyUpdates(
--- a/packages/router/src/connection/update_broadcaster.ts
+++ b/packages/router/src/connection/update_broadcaster.ts
@@ -173,19 +173,18 @@
    * @returns whether anything is to be sent because of it.
    */
   relay({ name }: Peer, received: ReceivedUpdate): boolean {
-    const { changedRunners: changed, parts, crashes, limits, usage, urgent } =
-      received;
+    const { changedRunners, parts, crashes, limits, usage, urgent } = received;
     const { overlay } = this.#sources;
     // Usage goes up the tree only, to the daemons that may lead.
     if (overlay.role(name) === "child") this.#upstream.addUsage(usage);
-    const count = changed.size + parts.length + crashes.crashed.length +
+    const count = changedRunners.size + parts.length + crashes.crashed.length +
       crashes.responses.length + limits.length;
     if (!overlay.isRelay || count === 0) return false;
     const outboxes = overlay.role(name) === "child"
       ? [this.#downstream, this.#upstream]
       : [this.#downstream];
     for (const outbox of outboxes) {
-      outbox.addRunners(changed, urgent);
+      outbox.addRunners(changedRunners, urgent);
       outbox.addParts(parts, name);
       outbox.addCrashes(crashes, name);
       outbox.addLimits(limits, name);
--- a/packages/router/src/leadership.ts
+++ b/packages/router/src/leadership.ts
@@ -50,7 +50,7 @@
 
   constructor(
     settings: LeadershipSettings | undefined,
-    { leaderStore: store, api }: LeaderPlatform,
+    { leaderStore, api }: LeaderPlatform,
     parts: LeadershipParts,
   ) {
     const { own, log } = parts;
@@ -63,7 +63,7 @@
       now: () => this.time.now(),
     });
     this.lease = new LeaderLease({
-      store,
+      store: leaderStore,
       own,
       leaseMs,
       clock: SYSTEM_CLOCK,
