--- a/packages/router/src/process/daemon_registry.ts
+++ b/packages/router/src/process/daemon_registry.ts
@@ -1,5 +1,5 @@
 /**
- * Where daemons find each other's addresses.
+ * Registration of daemons in the platform's store, and discovery of other daemons.
  *
  * @module
  */
@@ -7,58 +7,62 @@
 import { FeedError } from "./feed.ts";
 import { pause } from "./pause.ts";
 
-/** Entries of daemons that outlive them. All calls throw {@linkcode FeedError}. */
+/**
+ * Registry of daemons' addresses. An entry outlives its daemon. All calls throw
+ * {@linkcode FeedError}.
+ */
 export interface DaemonRegistry {
-  /** Enters a daemon, or replaces its entry. */
+  /** Adds a daemon's entry, or replaces it. */
   register(name: string, address: string): Promise<void>;
-  /** Removes the entry of a daemon that leaves. */
+  /** Removes the entry of a daemon that shuts down. */
   deregister(name: string): Promise<void>;
-  /** Addresses of all daemons that are entered, as "IP:PORT". */
+  /** Returns the addresses of all registered daemons, as "IP:PORT". */
   addresses(): Promise<readonly string[]>;
 }
 
 /**
- * Milliseconds between two looks whether this daemon has to be entered. Before
- * the first one the others have been met, so that few enter when all start.
+ * Mean interval in ms between checks whether this daemon has to register. It is
+ * connected to others before the first check, so that only few daemons register
+ * when all start.
  */
-const ENTER_LOOK_MS = 1_000;
-/** Milliseconds for the addresses in the settings to answer before the store is asked. */
-const SEEDS_MS = 600;
-/** Milliseconds between two looks whether others have to be searched for. */
-const SEARCH_LOOK_MS = 3_000;
+const REGISTER_INTERVAL_MS = 1_000;
+/** Time in ms for the seeds in the settings to respond before the store is read. */
+const SEEDS_TIMEOUT_MS = 600;
+/** Mean interval in ms between checks whether to search for other daemons. */
+const SEARCH_INTERVAL_MS = 3_000;
 /**
- * Looks after which a daemon that speaks for others searches though it is not
- * alone. Two parts of a fleet that know nothing of each other find together so.
+ * Number of checks after which a registered daemon searches even if it has peers.
+ * Partitions of a fleet that have no links between them find each other this way.
  */
-const REUNION_LOOKS = 10;
-/** Addresses that are dialled of those that were found. */
+const REJOIN_CHECKS = 10;
+/** Maximum number of found addresses that are dialled. */
 const MAX_FOUND = 8;
 
-/** What the registration decides by. */
+/** State of a daemon on which its registration depends. */
 export interface RegistrationContext {
-  /** Whether others should find this daemon in the store. */
+  /** Whether other daemons should find this one in the store. */
   shouldRegister(): boolean;
-  /** Whether no other daemon answers. */
+  /** Whether this daemon has no peers. */
   isAlone(): boolean;
-  /** Whether an address is that of a daemon that is known. */
+  /** Whether an address belongs to a known daemon. */
   isKnown(address: string): boolean;
-  /** Takes addresses of daemons that may be there. */
+  /** Receives addresses at which daemons may be reachable. */
   addressesFound(addresses: readonly string[]): void;
 }
 
 /**
- * Enters this daemon in the store if others should find it there, and searches
- * the store for others while it is alone. Everything else daemons learn from each
- * other; calls of every daemon would be the largest part of all when a fleet
- * starts.
+ * Registers this daemon in the store if others should find it there, and searches
+ * the store for other daemons while it has no peers. Daemons learn all else from
+ * each other, as calls of every daemon would be the largest part of all calls when
+ * a fleet starts.
  */
 export class Registration {
   readonly #registry: DaemonRegistry;
-  readonly #host: RegistrationContext;
+  readonly #context: RegistrationContext;
   readonly #name: string;
   readonly #address: string;
   readonly #log: EventLog;
-  #entered = false;
+  #registered = false;
   #stopped = false;
 
   constructor(
@@ -69,37 +73,37 @@
       readonly log: EventLog;
     },
   ) {
-    const { own, context: host, log } = options;
+    const { own, context, log } = options;
     this.#registry = registry;
-    this.#host = host;
+    this.#context = context;
     this.#name = own.name;
     this.#address = own.address;
     this.#log = log;
   }
 
-  /** Enters and searches, as needed, for as long as the process lives. */
+  /** Registers and searches, as needed, until {@linkcode stop} is called. */
   start(): void {
-    void this.#enterWhenNeeded();
+    void this.#registerWhenNeeded();
     void this.#searchWhenNeeded();
   }
 
-  /** Makes no further calls. */
+  /** Stops; no further calls are started. */
   stop(): void {
     this.#stopped = true;
   }
 
-  /** Removes the entry; a failure leaves an address that nobody answers at. */
+  /** Stops, and removes the entry. If that fails, a dead address remains. */
   async deregister(): Promise<void> {
     this.stop();
-    if (!this.#entered) return;
-    await this.#done("leave", () => this.#registry.deregister(this.#name));
+    if (!this.#registered) return;
+    await this.#tryCall("leave", () => this.#registry.deregister(this.#name));
   }
 
-  async #enterWhenNeeded(): Promise<void> {
-    while (!this.#stopped && !this.#entered) {
-      await pause(spread(ENTER_LOOK_MS), { background: true });
-      if (this.#stopped || !this.#host.shouldRegister()) continue;
-      this.#entered = await this.#done(
+  async #registerWhenNeeded(): Promise<void> {
+    while (!this.#stopped && !this.#registered) {
+      await pause(jitter(REGISTER_INTERVAL_MS), { background: true });
+      if (this.#stopped || !this.#context.shouldRegister()) continue;
+      this.#registered = await this.#tryCall(
         "enter",
         () => this.#registry.register(this.#name, this.#address),
       );
@@ -107,24 +111,27 @@
   }
 
   async #searchWhenNeeded(): Promise<void> {
-    await pause(SEEDS_MS, { background: true });
-    for (let looks = 1; !this.#stopped; looks++) {
-      const reunion = looks % REUNION_LOOKS === 0 &&
-        this.#host.shouldRegister();
-      if (this.#host.isAlone() || reunion) await this.#search();
-      await pause(spread(SEARCH_LOOK_MS), { background: true });
+    await pause(SEEDS_TIMEOUT_MS, { background: true });
+    for (let checks = 1; !this.#stopped; checks++) {
+      const rejoin = checks % REJOIN_CHECKS === 0 &&
+        this.#context.shouldRegister();
+      if (this.#context.isAlone() || rejoin) await this.#search();
+      await pause(jitter(SEARCH_INTERVAL_MS), { background: true });
     }
   }
 
   async #search(): Promise<void> {
-    await this.#done("search", async () => {
+    await this.#tryCall("search", async () => {
       const addresses = await this.#registry.addresses();
-      const unknown = addresses.filter((each) => !this.#host.isKnown(each));
-      this.#host.addressesFound(sample(unknown, MAX_FOUND));
+      const unknown = addresses.filter((address) =>
+        !this.#context.isKnown(address)
+      );
+      this.#context.addressesFound(sample(unknown, MAX_FOUND));
     });
   }
 
-  async #done(call: string, run: () => Promise<void>): Promise<boolean> {
+  /** @returns whether the call has succeeded. */
+  async #tryCall(call: string, run: () => Promise<void>): Promise<boolean> {
     try {
       await run();
       return true;
@@ -136,17 +143,18 @@
   }
 }
 
-/** A span around `ms`, so that daemons that start together come apart. */
-function spread(ms: number): number {
+/** Returns a random time around `ms`, so that daemons do not act in step. */
+function jitter(ms: number): number {
   return ms * (0.5 + Math.random());
 }
 
-function sample<T>(items: readonly T[], most: number): readonly T[] {
-  const left = [...items];
-  const taken = [];
-  while (left.length > 0 && taken.length < most) {
-    const at = Math.floor(Math.random() * left.length);
-    taken.push(...left.splice(at, 1));
+/** Returns up to `size` random items. */
+function sample<T>(items: readonly T[], size: number): readonly T[] {
+  const remaining = [...items];
+  const chosen = [];
+  while (remaining.length > 0 && chosen.length < size) {
+    const index = Math.floor(Math.random() * remaining.length);
+    chosen.push(...remaining.splice(index, 1));
   }
-  return taken;
+  return chosen;
 }
--- a/packages/router/src/process/event_log.ts
+++ b/packages/router/src/process/event_log.ts
@@ -1,5 +1,5 @@
 /**
- * The structured log: one line for each event, bounded and never blocking.
+ * Structured log with one line per event, which is bounded and never blocks.
  *
  * @module
  */
@@ -7,31 +7,32 @@
 import { formatLine } from "./log_line.ts";
 import type { Fields } from "./log_line.ts";
 
-/** Writes events. */
+/** Log of events. */
 export interface EventLog {
-  /** A change of what the process believes or does; always written. */
+  /** Logs a change of state, regardless of the limit for decisions. */
   event(name: string, fields: Fields): void;
-  /** A decision on one request; counted but not written under load. */
+  /** Logs a decision on one request; dropped and counted under load. */
   decision(name: string, requestId: string, fields: Fields): void;
 }
 
-/** Takes finished text; calls back when it has been written. */
+/** Writes text, and calls `done` when it has been written. */
 export type TextSink = (text: string, done: () => void) => void;
 
-/** Milliseconds for which lines are collected, to save system calls. */
+/** Time in ms for which lines are collected, to save system calls. */
 const FLUSH_MS = 200;
 /**
- * Decision lines kept for one flush: 1,000 a second, ten times what one daemon
- * decides at the planned size (37 requests a second, about three lines each).
+ * Maximum number of decision lines per flush. This allows 1,000 lines a second,
+ * ten times the planned load of one daemon (37 requests a second with about three
+ * lines each).
  */
 const MAX_DECISIONS = 200;
-/** Characters that wait for a slow reader before lines are dropped. */
-const MAX_WAITING = 256 * 1024;
+/** Maximum number of buffered characters; further lines are dropped. */
+const MAX_BUFFERED = 256 * 1024;
 
 /**
- * Collects lines and writes them through one outstanding asynchronous write.
- * A reader that stops reading holds back that write only: lines beyond the
- * bound are dropped and counted, and requests go on.
+ * Buffers lines, and writes them with one outstanding asynchronous write at a time.
+ * A reader that stops reading blocks that write only: lines beyond the limit are
+ * dropped and counted, and requests continue.
  */
 export class BufferedLog implements EventLog {
   readonly #sink: TextSink;
@@ -44,14 +45,14 @@
   #writing = false;
   #timer: NodeJS.Timeout | undefined;
 
-  /** @param clock epoch milliseconds. */
+  /** @param clock returns epoch milliseconds. */
   constructor(sink: TextSink, clock: () => number = Date.now) {
     this.#sink = sink;
     this.#clock = clock;
     this.#logger = new Logger({
       type: "hidden",
       hideLogPositionForProduction: true,
-      // Looking for keys to mask copies each record, and lines hold none.
+      // Masking copies each record, and lines contain no keys to be masked.
       maskValuesOfKeys: [],
       attachedTransports: [(record) => this.#add(record.line as string)],
     });
@@ -70,7 +71,7 @@
     this.#write(name, { request: requestId, ...fields });
   }
 
-  /** Writes what has been collected now. */
+  /** Writes the buffered lines now, unless a write is outstanding. */
   flush(): void {
     clearTimeout(this.#timer);
     this.#timer = undefined;
@@ -99,7 +100,7 @@
   }
 
   #add(line: string): void {
-    if (this.#size + line.length > MAX_WAITING) {
+    if (this.#size + line.length > MAX_BUFFERED) {
       this.#drop();
       return;
     }
--- a/packages/router/src/process/event_log_test.ts
+++ b/packages/router/src/process/event_log_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { BufferedLog } from "./event_log.ts";
 
-/** A reader that takes lines only when the test says so. */
+/** A reader that takes lines only when the test calls `read`. */
 function slowReader() {
   const written: string[] = [];
   let done = () => {};
@@ -13,7 +13,7 @@
   return { written, sink, read: () => done() };
 }
 
-test("an event is one line with its time", () => {
+test("an event is written as one line with its time", () => {
   const { written, sink } = slowReader();
   const log = new BufferedLog(sink, () => 7);
   log.event("started", { name: "host-1" });
@@ -21,9 +21,9 @@
   assert.deepEqual(written, ["event=started name=host-1 time_ms=7\n"]);
 });
 
-// Whoever collects the log stops reading. If the daemon waited for it, or kept
-// every line, requests would stop or memory would run out.
-test("a reader that stops holds up one write; the rest is bounded and counted", () => {
+// Guards against a log reader that stops reading. If the daemon waited for it,
+// requests would stall; if it kept every line, it would run out of memory.
+test("a stalled reader blocks one write; further lines are bounded and counted", () => {
   const { written, sink, read } = slowReader();
   const log = new BufferedLog(sink, () => 0);
   log.event("first", {});
@@ -40,7 +40,7 @@
   assert.match(written[1]!, /event=lines_dropped count=\d+/);
 });
 
-test("decisions beyond the bound are counted, events are always written", () => {
+test("decisions beyond the limit are dropped and counted; events are written", () => {
   const { written, sink } = slowReader();
   const log = new BufferedLog(sink, () => 0);
   for (let i = 0; i < 500; i += 1) log.decision("chosen", `r-${i}`, {});
--- a/packages/router/src/process/fleet_time.ts
+++ b/packages/router/src/process/fleet_time.ts
@@ -1,86 +1,86 @@
 /**
- * The time of day, as the fleet knows it.
+ * Time of day that is agreed on by neighbouring daemons.
  *
  * @module
  */
 
 /**
- * Milliseconds by which this host's time of day may differ from that of its
- * neighbours before it is taken to be wrong. Hosts whose clocks are kept differ
- * by some ms, and what a neighbour tells is up to 100 ms old when it is read.
+ * Maximum difference in ms between this host's wall clock and the median of its
+ * neighbours before the wall clock is considered wrong. Synchronized clocks differ
+ * by some ms, and a neighbour's time is up to 100 ms old when it is read.
  */
 const TOLERANCE_MS = 250;
-/** Milliseconds after which what a neighbour told does not count any more. */
-const TOLD_LIFE_MS = 10_000;
+/** Time in ms after which a neighbour's time is ignored. */
+const EXPIRY_MS = 10_000;
 
-/** A neighbour's time of day against this host's steady clock. */
-interface ToldOffset {
+/** Offset of a neighbour's time of day from this host's monotonic clock. */
+interface NeighbourOffset {
   readonly offset: number;
   readonly at: number;
 }
 
 /** Clocks of a host. */
 export interface HostClocks {
-  /** Epoch milliseconds; may jump. */
+  /** Returns epoch milliseconds; may jump. */
   wall(): number;
-  /** Steady milliseconds. */
+  /** Returns monotonic milliseconds. */
   monotonic(): number;
 }
 
-/** The clocks of the host that the process runs on. */
+/** Clocks of the host on which the process runs. */
 export const HOST_CLOCKS: HostClocks = {
   wall: () => Date.now(),
   monotonic: () => performance.now(),
 };
 
 /**
- * Tells the time of day also while this host's clock is wrong: where it differs
- * from the median of what this host and its neighbours take the time to be, the
- * median counts. What neighbours are told is this time, so that a host with two
- * neighbours profits from what those have heard.
+ * Returns the time of day even while this host's wall clock is wrong. If the wall
+ * clock differs from the median of the times of this host and its neighbours, the
+ * median is used. Neighbours are sent this time rather than the wall clock, so
+ * that a host with two neighbours also benefits from what those have received.
  *
  * @example
  * ```ts
  * const time = new FleetTime(HOST_CLOCKS);
- * time.toldBy("entry-2", state.timeMs);
+ * time.recordNeighbourTime("entry-2", state.timeMs);
  * const window = Math.floor(time.now() / windowMs);
  * ```
  */
 export class FleetTime {
   readonly #clocks: HostClocks;
-  readonly #told = new Map<string, ToldOffset>();
+  readonly #offsets = new Map<string, NeighbourOffset>();
 
   constructor(clocks: HostClocks) {
     this.#clocks = clocks;
   }
 
-  /** Takes the time of day that a neighbour told just now, in epoch ms. */
+  /** Records the time of day that a neighbour has just sent, in epoch ms. */
   recordNeighbourTime(neighbour: string, timeMs: number): void {
     const at = this.#clocks.monotonic();
-    this.#told.set(neighbour, { offset: timeMs - at, at });
+    this.#offsets.set(neighbour, { offset: timeMs - at, at });
   }
 
-  /** What a neighbour told does not count any more. */
+  /** Discards the time of a neighbour. */
   forget(neighbour: string): void {
-    this.#told.delete(neighbour);
+    this.#offsets.delete(neighbour);
   }
 
-  /** Epoch milliseconds. */
+  /** Returns the time in epoch milliseconds. */
   now(): number {
-    const steady = this.#clocks.monotonic();
-    const own = this.#clocks.wall() - steady;
-    const agreed = this.#median(own, steady);
+    const monotonic = this.#clocks.monotonic();
+    const own = this.#clocks.wall() - monotonic;
+    const agreed = this.#median(own, monotonic);
     const offset = Math.abs(own - agreed) <= TOLERANCE_MS ? own : agreed;
-    return steady + offset;
+    return monotonic + offset;
   }
 
-  #median(own: number, steady: number): number {
+  #median(own: number, monotonic: number): number {
     const offsets = [own];
-    for (const { offset, at } of this.#told.values()) {
-      if (steady - at <= TOLD_LIFE_MS) offsets.push(offset);
+    for (const { offset, at } of this.#offsets.values()) {
+      if (monotonic - at <= EXPIRY_MS) offsets.push(offset);
     }
-    offsets.sort((one, other) => one - other);
-    // Of two the own one counts: nothing tells which of them is wrong.
+    offsets.sort((a, b) => a - b);
+    // Of two offsets the own one is used, as either may be the wrong one.
     if (offsets.length === 2) return own;
     return offsets[offsets.length >> 1]!;
   }
--- a/packages/router/src/process/fleet_time_test.ts
+++ b/packages/router/src/process/fleet_time_test.ts
@@ -4,7 +4,7 @@
 
 const EPOCH_MS = 1_700_000_000_000;
 
-/** A host whose time of day is off by some ms. */
+/** A host whose wall clock is ahead by `aheadMs`. */
 function hostWith(aheadMs: number) {
   const clocks = {
     at: 1_000,
@@ -15,12 +15,12 @@
   return { clocks, time: new FleetTime(clocks) };
 }
 
-test("a host tells its own time of day while no neighbour tells one", () => {
+test("a host uses its own clock while no neighbour has sent a time", () => {
   const { time } = hostWith(40);
   assert.equal(time.now(), EPOCH_MS + 1_040);
 });
 
-test("a host whose clock jumps goes by its neighbours", () => {
+test("a host whose clock jumps uses the time of its neighbours", () => {
   const { clocks, time } = hostWith(0);
   time.recordNeighbourTime("b", EPOCH_MS + 1_003);
   time.recordNeighbourTime("c", EPOCH_MS + 998);
@@ -31,7 +31,7 @@
   assert.ok(Math.abs(off) < 10, `off by ${off} ms`);
 });
 
-test("neighbours that are wrong do not move a host that agrees with others", () => {
+test("a neighbour with a wrong clock does not change the time of other hosts", () => {
   const { time } = hostWith(0);
   time.recordNeighbourTime("b", EPOCH_MS + 3_400);
   time.recordNeighbourTime("c", EPOCH_MS + 1_002);
@@ -39,11 +39,12 @@
   assert.equal(time.now(), EPOCH_MS + 1_000);
 });
 
-test("what was told before a host was suspended does not outweigh its clock", () => {
+test("times sent before a host was suspended do not override its clock", () => {
   const { clocks, time } = hostWith(0);
   time.recordNeighbourTime("b", EPOCH_MS + 1_000);
   time.recordNeighbourTime("c", EPOCH_MS + 1_000);
-  // The steady clock stood still for four seconds; one neighbour has told since.
+  // The monotonic clock stood still for four seconds; since then one neighbour has
+  // sent its time.
   clocks.aheadMs = 4_000;
   time.recordNeighbourTime("b", EPOCH_MS + 5_000);
   assert.equal(time.now(), EPOCH_MS + 5_000);
--- a/packages/router/src/process/lifecycle.ts
+++ b/packages/router/src/process/lifecycle.ts
@@ -1,11 +1,11 @@
 /**
- * The life of the process: ready, leaving, gone.
+ * Lifecycle of the process: readiness and graceful shutdown.
  *
  * @module
  */
 import type { EventLog } from "./event_log.ts";
 
-/** Whether the daemon takes traffic, and why not. */
+/** Tracks whether the daemon accepts traffic, and the reasons if it does not. */
 export class Lifecycle {
   readonly #log: EventLog;
   readonly #requirements = new Map<string, () => boolean>();
@@ -17,43 +17,43 @@
     this.#log = log;
   }
 
-  /** Adds something without which the daemon is not ready. */
+  /** Adds a requirement for the daemon to be ready. */
   addRequirement(name: string, met: () => boolean): void {
     this.#requirements.set(name, met);
   }
 
-  /** Whether SIGTERM came. */
+  /** Whether the daemon has received SIGTERM. */
   get leaving(): boolean {
     return this.#leaving;
   }
 
-  /** Whether the time to take requests after SIGTERM is over. */
+  /** Whether requests are refused, as the time to accept them after SIGTERM is over. */
   get closed(): boolean {
     return this.#closed;
   }
 
-  /** From now on requests are refused: they might not end before the kill. */
+  /** Refuses requests from now on, as they might not end before the kill. */
   close(): void {
     this.#closed = true;
   }
 
-  /** Names of all that is missing; empty when the daemon is ready. */
+  /** Returns the names of unmet requirements; empty if the daemon is ready. */
   missing(): readonly string[] {
     const missing = [...this.#requirements]
       .filter(([, met]) => !met())
       .map(([name]) => name);
     if (this.#leaving) missing.push("leaving");
-    this.#note(missing);
+    this.#logChange(missing);
     return missing;
   }
 
-  /** From now on the daemon is not ready. */
+  /** Makes the daemon not ready from now on. */
   leave(): void {
     this.#leaving = true;
     this.missing();
   }
 
-  #note(missing: readonly string[]): void {
+  #logChange(missing: readonly string[]): void {
     const ready = missing.length === 0;
     if (ready === this.#ready) return;
     this.#ready = ready;
--- a/packages/router/src/process/log_line.ts
+++ b/packages/router/src/process/log_line.ts
@@ -1,17 +1,17 @@
 /**
- * Lines of key=value pairs.
+ * Formatting of log lines as key=value pairs.
  *
  * @module
  */
 
-/** Values of one event, by key; undefined ones are left out. */
+/** Values of one event, by key; undefined values are omitted. */
 export type Fields = Readonly<
   Record<string, string | number | boolean | undefined>
 >;
 
-/** Text that needs no quotes: it can hold no line break, blank, quote or "=". */
+/** Text without quoting, as it contains no line break, space, quote or "=". */
 const PLAIN = /^[A-Za-z0-9_.:/@+,[\]-]+$/;
-/** Everything that is not a printable ASCII character. */
+/** Any character that is not printable ASCII. */
 const UNPRINTABLE = /[^\x20-\x7e]/g;
 const MAX_VALUE_LENGTH = 512;
 const HEX_DIGITS = 4;
@@ -23,11 +23,11 @@
 }
 
 /**
- * Writes a value so that it stays one value on one line.
+ * Formats a value so that it is parsed as one value on one line.
  *
- * Text comes from callers, runners and the platform. Unescaped, a line break in
- * it would read as an event of its own and a blank with "=" as another pair, so
- * that a caller could forge what operators and scripts see.
+ * Text comes from callers, runners and the platform. Unescaped, a line break would
+ * start another event, and a space followed by a "=" would form another pair, so
+ * that a caller could forge the events that operators and scripts read.
  */
 export function formatValue(value: string | number | boolean): string {
   if (typeof value !== "string") return String(value);
@@ -38,7 +38,7 @@
   return JSON.stringify(bounded).replace(UNPRINTABLE, escapeUnit);
 }
 
-/** Writes an event as pairs, the event's name first. */
+/** Formats an event as pairs, of which the first one is the event's name. */
 export function formatLine(name: string, fields: Fields): string {
   let line = `event=${formatValue(name)}`;
   for (const [key, value] of Object.entries(fields)) {
--- a/packages/router/src/process/log_line_test.ts
+++ b/packages/router/src/process/log_line_test.ts
@@ -3,7 +3,7 @@
 import fc from "fast-check";
 import { formatLine } from "./log_line.ts";
 
-/** Splits a line into its pairs, as a reader of the log would. */
+/** Parses a line into its pairs, as a reader of the log does. */
 function pairsOf(line: string): readonly (readonly [string, string])[] {
   const pairs: [string, string][] = [];
   const pair = /([A-Za-z]+)=("(?:[^"\\]|\\.)*"|[^ "]*)(?: |$)/gy;
@@ -14,7 +14,7 @@
   return pairs;
 }
 
-test("an event is one line of pairs, its name first", () => {
+test("an event is one line of pairs that starts with its name", () => {
   const line = formatLine("request_ended", {
     requestId: "7",
     durationMs: 12,
@@ -27,10 +27,10 @@
   );
 });
 
-// A caller's text stands in a log line, such as a class that does not exist. If
-// a line break or a pair could be put into it, a caller could write events that
-// never happened, and operators would act on them.
-test("text from outside can add neither lines nor pairs", () => {
+// Guards against log injection. Log lines contain text of callers, such as the name
+// of an unknown class. If it could contain a line break or a pair, a caller could
+// forge events, and operators would act on them.
+test("untrusted text can add neither lines nor pairs", () => {
   const forged = "x\nevent=listening callers=evil\r\u2028 outcome=complete";
   const line = formatLine("request_refused", { class: forged, status: 400 });
   assert.match(line, /^[\x20-\x7e]*$/);
@@ -41,7 +41,7 @@
   ]);
 });
 
-test("any text comes back as one value of one printable line", () => {
+test("any text is parsed back as one value of one printable line", () => {
   const text = fc.string({ unit: "binary", maxLength: 100 });
   fc.assert(fc.property(text, (value) => {
     const line = formatLine("event", { value, after: 1 });
@@ -53,7 +53,7 @@
   }));
 });
 
-test("long text is cut", () => {
+test("long text is truncated", () => {
   const line = formatLine("event", { value: "x".repeat(100_000) });
   assert.ok(line.length < 600);
 });
--- a/packages/router/src/process/metrics.ts
+++ b/packages/router/src/process/metrics.ts
@@ -3,9 +3,9 @@
  *
  * @module
  */
-// The library's entry module also loads clustering and tracing: 79 ms of
-// processor time instead of 8, which after a restart on a third of a core is a
-// quarter of a second without service.
+// The library's entry module also loads clustering and tracing. That takes 79 ms of
+// processor time instead of 8 ms, and on a third of a core adds a quarter of a
+// second of downtime to each restart.
 import Counter from "prom-client/lib/counter.js";
 import Gauge from "prom-client/lib/gauge.js";
 import Histogram from "prom-client/lib/histogram.js";
@@ -18,10 +18,10 @@
 } from "prom-client";
 
 const MS_PER_SECOND = 1_000;
-/** Seconds; around the targets of interactive classes, up to long streams. */
+/** In seconds, from the targets of interactive classes up to long streams. */
 const LATENCY_BUCKETS = [0.05, 0.1, 0.2, 0.3, 0.5, 1, 2, 5, 10, 30];
 
-/** Measures of the daemon, as text for a collector. */
+/** Metrics of the daemon, in the text format of Prometheus. */
 export class RequestMetrics {
   readonly #registry: RegistryType;
   readonly #ended: CounterType<"service" | "outcome">;
@@ -100,7 +100,7 @@
     });
   }
 
-  /** Counts a request that ended. */
+  /** Counts a request that has ended, and observes its duration. */
   requestEnded(service: string, outcome: string, elapsedMs: number): void {
     this.#ended.inc({ service, outcome });
     this.#seconds.observe({ service }, elapsedMs / MS_PER_SECOND);
@@ -116,22 +116,22 @@
     this.#ends.inc({ service });
   }
 
-  /** Sets the version in force. */
+  /** Sets the version of the configuration in force. */
   version(version: number): void {
     this.#version.set(version);
   }
 
-  /** Sets whether a dependency answers. */
+  /** Sets whether a dependency responds. */
   dependency(dependency: string, up: boolean): void {
     this.#dependency.set({ dependency }, up ? 1 : 0);
   }
 
-  /** Sets the number of the term; 0 while another daemon leads. */
+  /** Sets the fencing token of the term; 0 while this daemon does not lead. */
   term(fencing: number): void {
     this.#term.set(fencing);
   }
 
-  /** Counts a window of usage. */
+  /** Counts a usage window, and sets the last one of its outcome. */
   usageWindow(outcome: "fixed" | "accepted" | "missed", window: number): void {
     this.#windows.inc({ outcome });
     this.#lastWindow.set({ outcome }, window);
@@ -142,7 +142,7 @@
     this.#calls.inc({ call, end });
   }
 
-  /** All measures in the text format of Prometheus. */
+  /** Returns all metrics in the text format of Prometheus. */
   text(): Promise<string> {
     return this.#registry.metrics();
   }
--- a/packages/router/src/process/pause.ts
+++ b/packages/router/src/process/pause.ts
@@ -1,13 +1,13 @@
 /**
- * Waiting.
+ * Delays.
  *
  * @module
  */
 
 /**
- * Waits.
+ * Resolves after `ms` milliseconds.
  *
- * @param options with `background`, the process may end meanwhile.
+ * @param options with `background`, the timer does not keep the process alive.
  */
 export function pause(
   ms: number,
--- a/packages/router/src/process/prom_client_parts.d.ts
+++ b/packages/router/src/process/prom_client_parts.d.ts
@@ -1,4 +1,4 @@
-// The parts of prom-client that are loaded one by one have no types of their own.
+// Types for the modules of prom-client that are imported separately.
 declare module "prom-client/lib/counter.js" {
   import { Counter } from "prom-client";
   export default Counter;
--- a/packages/router/src/process/settings.ts
+++ b/packages/router/src/process/settings.ts
@@ -1,35 +1,36 @@
 /**
- * Settings of the router, in JSON.
+ * Settings of the router, which are read from JSON.
  *
  * @module
  */
 import { err, ok } from "neverthrow";
 import type { Result } from "neverthrow";
 
-/** Where a server listens, or another one is reached. */
+/** Address at which a server listens or is reached. */
 export interface ListenAddress {
   readonly host: string;
   readonly port: number;
 }
 
 /**
- * Daemons from which on states go through relays, unless set. Up to here each
- * daemon tells all others directly, every 4 ms for each of them: 96 ms with 24
- * daemons, as long as the way through two relays takes.
+ * Default number of daemons from which on state updates are sent through relays. In
+ * smaller fleets each daemon sends updates directly to all others, at an interval
+ * of 4 ms for each of them: 96 ms with 24 daemons, which equals the delay of a path
+ * through two relays.
  */
 const RELAYS_FROM = 25;
-/** Bytes a second for what one neighbour is told, unless set. */
+/** Default limit of the bytes per second that are sent to one neighbour. */
 const CONTROL_BYTES_PER_S = 29_000;
 
-/** What one daemon at a time does for all. */
+/** Settings of the leader, which acts for the whole fleet. */
 export interface LeadershipSettings {
-  /** The platform's API. */
+  /** Address of the platform's API. */
   readonly api: ListenAddress;
-  /** How long a silent leader keeps its lease, in ms. */
+  /** Time in ms after which an unrenewed lease can be taken by another daemon. */
   readonly leaseMs: number;
-  /** Whether runners are ordered. */
+  /** Whether the leader orders runners. */
   readonly ordersRunners: boolean;
-  /** Absent where no usage is reported. */
+  /** Absent if usage is not reported. */
   readonly usage: {
     readonly windowMs: number;
     /** Milliseconds after the end of a window by which its report is due. */
@@ -37,82 +38,85 @@
   } | undefined;
 }
 
-/** All that a router is told at its start. */
+/** Settings of one router. */
 export interface RouterSettings {
   /** Name of the host, unique in the fleet. */
   readonly name: string;
   readonly failureDomain: string;
-  /** Where callers connect. */
+  /** Address for callers. */
   readonly callers: ListenAddress;
-  /** Where the balancer asks whether the daemon is ready, and the path. */
+  /** Address and path of the readiness check by the load balancer. */
   readonly readiness: ListenAddress & { readonly path: string };
-  /** Where collectors read metrics, and the path. */
+  /** Address and path for collectors of metrics. */
   readonly metrics: ListenAddress & { readonly path: string };
-  /** Where other daemons connect. */
+  /** Address for other daemons. */
   readonly peers: ListenAddress;
   /**
-   * Where other daemons reach this one, if not at `peers`: the address before
-   * it of a host that translates addresses.
+   * Address at which other daemons reach this one, if it is not `peers`: the
+   * external address when network address translation is used.
    */
   readonly advertised: ListenAddress | undefined;
-  /** Width of the host's network link, in Mbit/s; 0 when unknown. */
+  /** Bandwidth of the host's network link, in Mbit/s; 0 if unknown. */
   readonly linkMbps: number;
-  /** Daemons from which on states go through relays. */
+  /** Number of daemons from which on state updates are sent through relays. */
   readonly relaysFrom: number;
-  /** Bytes a second that one neighbour is told of loads through relays, on average. */
+  /**
+   * Limit of the bytes per second, on average, for loads that are sent to one
+   * neighbour through relays.
+   */
   readonly controlBytesPerS: number;
-  /** Addresses of daemons that may be there, as "IP:PORT". */
+  /** Addresses at which other daemons may be reachable, as "IP:PORT". */
   readonly seeds: readonly string[];
-  /** The platform's store. */
+  /** Address of the platform's store. */
   readonly store: ListenAddress;
-  /** Most open connections of callers. */
+  /** Maximum number of open connections of callers. */
   readonly maxConnections: number;
-  /** Milliseconds from SIGTERM to the kill by the platform. */
+  /** Time in ms from SIGTERM to the kill by the platform. */
   readonly graceMs: number;
   readonly retries: {
     readonly ratio: number;
     readonly extra: number;
     readonly windowMs: number;
   };
-  /** Absent where the platform has no API, and nothing is done for all. */
+  /** Absent if the platform has no API; the fleet then has no leader. */
   readonly leadership: LeadershipSettings | undefined;
 }
 
-/** One thing wrong with the settings. */
+/** An error in the settings. */
 export interface SettingFinding {
-  /** Where, as in `callers.port`. */
+  /** Path of the setting, such as `callers.port`. */
   readonly place: string;
   readonly text: string;
 }
 
-/** Reads values and collects what is wrong with them. */
-class Reader {
+/** Reads values, and collects findings for invalid ones. */
+class SettingsReader {
   readonly findings: SettingFinding[] = [];
 
   text(from: unknown, place: string): string {
     const value = valueAt(from, place);
     if (typeof value === "string" && value !== "") return value;
-    return this.#wrong(place, "a text", value, "");
+    return this.#reject(place, "a string", value, "");
   }
 
   texts(from: unknown, place: string): readonly string[] {
     const value = valueAt(from, place);
     if (
-      Array.isArray(value) && value.every((each) => typeof each === "string")
+      Array.isArray(value) && value.every((item) => typeof item === "string")
     ) {
       return value;
     }
-    return this.#wrong(place, "a list of texts", value, []);
+    return this.#reject(place, "a list of strings", value, []);
   }
 
   number(from: unknown, place: string): number {
     const value = valueAt(from, place);
     if (typeof value === "number" && Number.isFinite(value)) return value;
-    return this.#wrong(place, "a number", value, 0);
+    return this.#reject(place, "a number", value, 0);
   }
 
-  numberOr(from: unknown, place: string, otherwise: number): number {
-    if (valueAt(from, place) === undefined) return otherwise;
+  numberOr(from: unknown, place: string, fallback: number): number {
+    if (valueAt(from, place) === undefined) return fallback;
     return this.number(from, place);
   }
 
@@ -120,7 +124,7 @@
     const text = this.text(from, place);
     const match = /^(.+):(\d{1,5})$/.exec(text);
     if (match !== null) return { host: match[1]!, port: Number(match[2]) };
-    return this.#wrong(place, "an address like 10.0.0.1:80", text, {
+    return this.#reject(place, "an address like 10.0.0.1:80", text, {
       host: "",
       port: 0,
     });
@@ -129,13 +133,13 @@
   positive(from: unknown, place: string): number {
     const value = this.number(from, place);
     if (value > 0) return value;
-    return this.#wrong(place, "a number above 0", valueAt(from, place), 1);
+    return this.#reject(place, "a positive number", valueAt(from, place), 1);
   }
 
   flag(from: unknown, place: string): boolean {
     const value = valueAt(from, place);
     if (typeof value === "boolean") return value;
-    return this.#wrong(place, "true or false", value, false);
+    return this.#reject(place, "true or false", value, false);
   }
 
   optionalAddress(from: unknown, place: string): ListenAddress | undefined {
@@ -143,15 +147,16 @@
     return this.address(from, place);
   }
 
-  #wrong<T>(place: string, wanted: string, value: unknown, instead: T): T {
+  #reject<T>(place: string, expected: string, value: unknown, fallback: T): T {
     const found = JSON.stringify(value) ?? "nothing";
     const text =
-      `Cannot read settings: "${place}" needs ${wanted}, not ${found}`;
+      `Cannot read settings: "${place}" needs ${expected}, not ${found}`;
     this.findings.push({ place, text });
-    return instead;
+    return fallback;
   }
 }
 
+/** Returns the value at a path such as `callers.port`, if there is one. */
 function valueAt(from: unknown, place: string): unknown {
   let value = from;
   for (const name of place.split(".")) {
@@ -163,9 +168,9 @@
 
 const MS_PER_SECOND = 1_000;
 
-function leadershipIn(
+function readLeadership(
   json: unknown,
-  reader: Reader,
+  reader: SettingsReader,
 ): LeadershipSettings | undefined {
   const address = valueAt(json, "leadership.api");
   if (address === undefined || address === "") return undefined;
@@ -185,7 +190,7 @@
 /**
  * Reads settings from JSON text.
  *
- * @returns the settings, or all findings with their places.
+ * @returns the settings, or all findings.
  *
  * @example
  * ```ts
@@ -202,7 +207,7 @@
     const reason = error instanceof Error ? error.message : String(error);
     return err([{ place: "", text: `Cannot read settings: ${reason}` }]);
   }
-  const reader = new Reader();
+  const reader = new SettingsReader();
   const settings: RouterSettings = {
     name: reader.text(json, "name"),
     failureDomain: reader.text(json, "failureDomain"),
@@ -233,7 +238,7 @@
       extra: reader.number(json, "retries.extra"),
       windowMs: reader.number(json, "retries.windowMs"),
     },
-    leadership: leadershipIn(json, reader),
+    leadership: readLeadership(json, reader),
   };
   return reader.findings.length === 0 ? ok(settings) : err(reader.findings);
 }
--- a/packages/router/src/process/shared_timer.ts
+++ b/packages/router/src/process/shared_timer.ts
@@ -1,41 +1,41 @@
 /**
- * One timer for many that wait.
+ * A timer that is shared by many waits.
  *
  * @module
  */
 
 /**
- * Wakes all that wait at the same moment. With a timer each, 25 requests that
- * look every 20 ms whether a runner has room wake the process 1,250 times a
- * second; with one they wake it 50 times.
+ * Resolves all pending waits with one timer. With a timer each, 25 requests that
+ * check every 20 ms whether a runner has capacity would wake the process 1,250
+ * times a second; with a shared timer they wake it 50 times.
  *
  * @example
  * ```ts
- * const pulse = new Pulse(20);
- * while (!ready()) await pulse.next();
+ * const timer = new SharedTimer(20);
+ * while (!ready()) await timer.next();
  * ```
  */
 export class SharedTimer {
   readonly #periodMs: number;
   #waiting: (() => void)[] = [];
 
-  /** @param periodMs longest wait, in ms; waits that begin later are shorter. */
+  /** @param periodMs maximum wait in ms; waits that start later are shorter. */
   constructor(periodMs: number) {
     this.#periodMs = periodMs;
   }
 
-  /** Resolves at the next beat, within one period. */
+  /** Resolves when the timer fires, within one period. */
   next(): Promise<void> {
     return new Promise((resolve) => {
       this.#waiting.push(resolve);
       if (this.#waiting.length > 1) return;
-      setTimeout(() => this.#beat(), this.#periodMs);
+      setTimeout(() => this.#fire(), this.#periodMs);
     });
   }
 
-  #beat(): void {
+  #fire(): void {
     const waiting = this.#waiting;
     this.#waiting = [];
-    for (const wake of waiting) wake();
+    for (const resolve of waiting) resolve();
   }
 }
