--- a/packages/coordination/src/mod.ts
+++ b/packages/coordination/src/mod.ts
@@ -13,21 +13,21 @@
 export { NO_DIGEST } from "./process/digest.ts";
 export type { Digest } from "./process/digest.ts";
 export type { Endpoint, ListenFailed } from "./process/endpoint.ts";
-export { fixedHostList, readHosts } from "./process/host_list.ts";
+export { fixedHostList, parseHosts } from "./process/host_list.ts";
 export type {
   Host,
   HostFinding,
   HostList,
-  HostReading,
+  ParsedHosts,
 } from "./process/host_list.ts";
 export { followHostList } from "./process/host_list_client.ts";
 export type { HostListClientOptions } from "./process/host_list_client.ts";
 export type {
-  DoubtRefuted,
+  IncarnationRaised,
   MemberChanged,
   MembershipEvent,
   ProcessPaused,
-  StartOutdated,
+  SuspicionRefuted,
 } from "./process/membership_event.ts";
 export type { Health } from "./process/membership_record.ts";
 export { DEFAULT_PROBE_SETTINGS } from "./process/membership_settings.ts";
@@ -77,8 +77,8 @@
 export type { LeaseOptions, Tenure } from "./process/lease.ts";
 export { DEFAULT_CLAIM_SETTINGS } from "./process/claim_settings.ts";
 export type { ClaimSettings } from "./process/claim_settings.ts";
-export { PauseWatch } from "./process/pause_watch.ts";
-export type { PauseWatchOptions } from "./process/pause_watch.ts";
+export { PauseDetector } from "./process/pause_detector.ts";
+export type { PauseDetectorOptions } from "./process/pause_detector.ts";
 export { Shares } from "./process/shares.ts";
 export type { Share, SharedLimit, SharesOptions } from "./process/shares.ts";
 export type { ShareTimes } from "./process/share_holding.ts";
--- a/packages/coordination/src/process/host_list.ts
+++ b/packages/coordination/src/process/host_list.ts
@@ -44,7 +44,7 @@
 }
 
 /** Hosts read from an answer of the platform. */
-export interface HostReading {
+export interface ParsedHosts {
   readonly hosts: readonly Host[];
   readonly findings: readonly HostFinding[];
 }
@@ -108,7 +108,7 @@
  * Reads the hosts of an answer. One that is malformed is reported and left out,
  * so that it does not hide the others.
  */
-export function readHosts(items: readonly unknown[]): HostReading {
+export function parseHosts(items: readonly unknown[]): ParsedHosts {
   const hosts: Host[] = [];
   const findings: HostFinding[] = [];
   items.forEach((item, index) => {
--- a/packages/coordination/src/process/host_list_client.ts
+++ b/packages/coordination/src/process/host_list_client.ts
@@ -7,7 +7,7 @@
 import * as Random from "effect/Random";
 import type { Scope } from "effect/Scope";
 import type { Host, HostFinding, HostList } from "./host_list.ts";
-import { readHosts } from "./host_list.ts";
+import { parseHosts } from "./host_list.ts";
 import { HttpExchange } from "./http_exchange.ts";
 
 /** How the platform is asked for its hosts. */
@@ -148,7 +148,7 @@
     this.#setCurrent(true, "answered");
     if (answer.revision === this.#revision) return;
     this.#revision = answer.revision;
-    const { hosts, findings } = readHosts(answer.hosts);
+    const { hosts, findings } = parseHosts(answer.hosts);
     if (findings.length > 0) this.#options.onFindings?.(findings);
     this.#hosts = hosts;
     for (const listener of [...this.#listeners]) listener(hosts);
--- a/packages/coordination/src/process/membership_event.ts
+++ b/packages/coordination/src/process/membership_event.ts
@@ -16,7 +16,7 @@
 }
 
 /** Another member doubted this process, which contradicts it. */
-export interface DoubtRefuted {
+export interface SuspicionRefuted {
   readonly type: "refuted";
   readonly health: Health;
   readonly by: string;
@@ -32,7 +32,7 @@
  * Others knew a later start of this name, so this process raised its own. Once
  * is a clock that went back; time and again is a name that two hosts have.
  */
-export interface StartOutdated {
+export interface IncarnationRaised {
   readonly type: "outdated";
   readonly incarnation: number;
 }
@@ -40,6 +40,6 @@
 /** Any of the changes worth a log line. */
 export type MembershipEvent =
   | MemberChanged
-  | DoubtRefuted
+  | SuspicionRefuted
   | ProcessPaused
-  | StartOutdated;
+  | IncarnationRaised;
--- a/packages/coordination/src/process/membership_probed.ts
+++ b/packages/coordination/src/process/membership_probed.ts
@@ -54,7 +54,7 @@
   ) {
     this.#book = new MemberBook({
       ...options,
-      onJoined: (name) => this.#prober.joined(name),
+      onJoined: (name) => this.#prober.addMember(name),
     });
     this.#prober = new Prober({
       ...options,
--- a/packages/coordination/src/process/membership_prober.ts
+++ b/packages/coordination/src/process/membership_prober.ts
@@ -69,7 +69,7 @@
   }
 
   /** Takes a member that joined into the running round. */
-  joined(name: string): void {
+  addMember(name: string): void {
     this.#targets.join(name);
   }
 
--- a/packages/coordination/src/process/pause_watch.ts
+++ b/packages/coordination/src/process/pause_detector.ts
@@ -11,8 +11,8 @@
 const TICK_MS = 250;
 const DEFAULT_THRESHOLD_MS = 2_000;
 
-/** Settings of a {@linkcode PauseWatch}. */
-export interface PauseWatchOptions {
+/** Settings of a {@linkcode PauseDetector}. */
+export interface PauseDetectorOptions {
   readonly clock?: Clock;
   /** Shortest pause that is told, in milliseconds; 2,000 by default. */
   readonly thresholdMs?: number;
@@ -22,15 +22,15 @@
  * A process that was stopped, or starved of processor time, wakes with beliefs
  * that may be long out of date. After a pause the first tick comes only when its
  * turn comes, so whoever is about to act on a belief calls
- * {@linkcode PauseWatch.check} first.
+ * {@linkcode PauseDetector.check} first.
  */
-export class PauseWatch {
+export class PauseDetector {
   readonly #clock: Clock;
   readonly #thresholdMs: number;
   readonly #listeners = new Set<(pausedMs: number) => void>();
   #lastTick: Moment;
 
-  constructor(options: PauseWatchOptions = {}) {
+  constructor(options: PauseDetectorOptions = {}) {
     this.#clock = options.clock ?? SYSTEM_CLOCK;
     this.#thresholdMs = options.thresholdMs ?? DEFAULT_THRESHOLD_MS;
     this.#lastTick = momentOf(this.#clock);
--- a/packages/coordination/src/testing/memory_network.ts
+++ b/packages/coordination/src/testing/memory_network.ts
@@ -20,13 +20,13 @@
 }
 
 /** What happens to a message: delivered, lost without a sign, or refused at once. */
-export type DeliveryFate = "deliver" | "lose" | "refuse";
+export type DeliveryAction = "deliver" | "lose" | "refuse";
 
 /** Links all its {@linkcode Peers} with each other. */
 export class MemoryNetwork {
   readonly #members = new Map<string, MemoryPeers>();
   /** Decides the fate of each message; all are delivered by default. */
-  fate: (delivery: Delivery) => DeliveryFate = () => "deliver";
+  intercept: (delivery: Delivery) => DeliveryAction = () => "deliver";
   /** Messages so far, lost ones included. */
   readonly deliveries: Delivery[] = [];
 
@@ -43,18 +43,18 @@
   }
 
   /** @internal */
-  handler(delivery: Delivery): MessageHandler | DeliveryFate {
+  handler(delivery: Delivery): MessageHandler | DeliveryAction {
     this.deliveries.push(delivery);
-    const fate = this.fate(delivery);
+    const fate = this.intercept(delivery);
     if (fate !== "deliver") return fate;
     const to = this.#members.get(delivery.to);
     return to?.handler(delivery.channel) ?? "refuse";
   }
 
   /** @internal */
-  answered(delivery: Delivery): DeliveryFate {
+  answered(delivery: Delivery): DeliveryAction {
     this.deliveries.push(delivery);
-    return this.fate(delivery);
+    return this.intercept(delivery);
   }
 }
 
--- a/packages/coordination/src/version/published.ts
+++ b/packages/coordination/src/version/published.ts
@@ -9,7 +9,7 @@
 import { SYSTEM_CLOCK } from "../process/clock.ts";
 import type { Clock } from "../process/clock.ts";
 import type { Membership } from "../process/membership.ts";
-import { PauseWatch } from "../process/pause_watch.ts";
+import { PauseDetector } from "../process/pause_detector.ts";
 import type { Peers } from "../process/peers.ts";
 import type { Store } from "../process/store.ts";
 import type { Json } from "./json_delta.ts";
@@ -42,7 +42,7 @@
   readonly onRejected?: (version: number, error: unknown) => void;
   readonly clock?: Clock;
   /** Notices pauses of the process; its own by default. */
-  readonly pauseWatch?: PauseWatch;
+  readonly pauseDetector?: PauseDetector;
 }
 
 /**
@@ -68,7 +68,7 @@
   readonly #history = new VersionHistory();
   readonly #exchange: VersionExchange;
   readonly #follower: StoreFollower;
-  readonly #pauseWatch: PauseWatch;
+  readonly #pauseDetector: PauseDetector;
   readonly #listeners = new Set<(value: VersionedValue<T>) => void>();
   #ready = Deferred.makeUnsafe<VersionedValue<T>>();
   #synced = false;
@@ -80,7 +80,7 @@
     const clock = options.clock ?? SYSTEM_CLOCK;
     const { store, peers, membership, kind, name } = options;
     const channel = `published/${kind}/${name}`;
-    this.#pauseWatch = options.pauseWatch ?? new PauseWatch({ clock });
+    this.#pauseDetector = options.pauseDetector ?? new PauseDetector({ clock });
     this.#exchange = new VersionExchange({
       peers,
       membership,
@@ -114,14 +114,14 @@
    */
   get ready(): Effect.Effect<VersionedValue<T>> {
     return Effect.suspend(() => {
-      this.#pauseWatch.check();
+      this.#pauseDetector.check();
       return Deferred.await(this.#ready);
     });
   }
 
   /** Whether {@linkcode Published.ready} would end at once. */
   get isReady(): boolean {
-    this.#pauseWatch.check();
+    this.#pauseDetector.check();
     return Deferred.isDoneUnsafe(this.#ready);
   }
 
@@ -164,13 +164,13 @@
     return Effect.gen({ self: this }, function* () {
       const scope = yield* Effect.scope;
       this.#exchange.serve();
-      const end = this.#pauseWatch.subscribe(() => {
+      const end = this.#pauseDetector.subscribe(() => {
         this.#doubt();
         Effect.runFork(Effect.forkIn(this.#sync(), scope));
       });
       yield* Effect.addFinalizer(() => Effect.sync(end));
-      if (this.#options.pauseWatch === undefined) {
-        yield* this.#pauseWatch.start();
+      if (this.#options.pauseDetector === undefined) {
+        yield* this.#pauseDetector.start();
       }
       yield* Effect.forkScoped(this.#sync());
       yield* Effect.forkScoped(this.#follower.run());
--- a/packages/coordination/tests/claims_crash_test.ts
+++ b/packages/coordination/tests/claims_crash_test.ts
@@ -46,7 +46,7 @@
       },
     });
     // Cut off, it serves its claims itself, so that each point is passed there.
-    fleet.network.fate = () => "refuse";
+    fleet.network.intercept = () => "refuse";
     const first = Effect.runFork(tryOnce(a, run));
     await Effect.runPromise(Deferred.await(stopped));
     const b = await fleet.daemon("b");
--- a/packages/coordination/tests/claims_test.ts
+++ b/packages/coordination/tests/claims_test.ts
@@ -133,7 +133,8 @@
   const [server = "", entry = ""] = fleet.order();
   await fleet.daemon(server);
   const claims = await fleet.daemon(entry, { settings: { timeoutMs: 2_000 } });
-  fleet.network.fate = ({ kind }) => kind === "answer" ? "lose" : "deliver";
+  fleet.network.intercept = ({ kind }) =>
+    kind === "answer" ? "lose" : "deliver";
   assert.equal((await claimed(claims, "key"))._tag, "Claimed");
   assert.equal((await claimed(claims, "key"))._tag, "Taken");
 });
--- a/packages/coordination/tests/published_test.ts
+++ b/packages/coordination/tests/published_test.ts
@@ -5,7 +5,7 @@
 import * as Effect from "effect/Effect";
 import * as Exit from "effect/Exit";
 import * as Scope from "effect/Scope";
-import { PauseWatch } from "../src/process/pause_watch.ts";
+import { PauseDetector } from "../src/process/pause_detector.ts";
 import { Published } from "../src/version/published.ts";
 import type { PublishedOptions } from "../src/version/published.ts";
 import {
@@ -159,7 +159,7 @@
   });
   const other = await fleet.daemon("a2");
   await Promise.all([ready(cut), ready(other)]);
-  fleet.network.fate = ({ kind }) => kind === "send" ? "lose" : "deliver";
+  fleet.network.intercept = ({ kind }) => kind === "send" ? "lose" : "deliver";
   const version = await fleet.write("second");
   assert.equal(await inForce(cut, version), "second");
 });
@@ -168,7 +168,7 @@
   const fleet = new Fleet(t);
   const from = await fleet.daemon("b1", { plan: () => "refuse" });
   const to = await fleet.daemon("a1", { plan: () => "refuse" });
-  fleet.network.fate = ({ kind }) => kind === "send" ? "lose" : "deliver";
+  fleet.network.intercept = ({ kind }) => kind === "send" ? "lose" : "deliver";
   from.offer({ version: 7, value: "seventh" });
   to.digest.receive("b1", from.digest.read());
   assert.equal(await inForce(to, 7), "seventh");
@@ -194,12 +194,12 @@
 test("a daemon that starts while the store is down takes its peers' highest", async (t) => {
   const fleet = new Fleet(t);
   const versions = [["a2", 4], ["b1", 6], ["b2", 5]] as const;
-  fleet.network.fate = () => "lose";
+  fleet.network.intercept = () => "lose";
   for (const [name, version] of versions) {
     const peer = await fleet.daemon(name, { plan: () => "refuse" });
     peer.offer({ version, value: `version ${version}` });
   }
-  fleet.network.fate = () => "deliver";
+  fleet.network.intercept = () => "deliver";
   const late = await fleet.daemon("a1", { plan: () => "refuse" });
   assert.deepEqual(await ready(late), { version: 6, value: "version 6" });
 });
@@ -226,18 +226,22 @@
   // believes the old value; it must not serve by it before it has compared.
   const fleet = new Fleet(t);
   const clock = new FakeClock();
-  const pauseWatch = new PauseWatch({ clock });
+  const pauseWatch = new PauseDetector({ clock });
   await fleet.write("first");
   let down = false;
   const plan: FaultPlan = ({ operation }) =>
     operation === "watch" ? Effect.never : down ? "refuse" : "none";
-  const daemon = await fleet.daemon("a1", { plan, clock, pauseWatch });
+  const daemon = await fleet.daemon("a1", {
+    plan,
+    clock,
+    pauseDetector: pauseWatch,
+  });
   await ready(daemon);
-  fleet.network.fate = () => "lose";
+  fleet.network.intercept = () => "lose";
   const peer = await fleet.daemon("a2", { plan: () => "refuse" });
   const version = await fleet.write("second");
   peer.offer({ version, value: "second" });
-  fleet.network.fate = () => "deliver";
+  fleet.network.intercept = () => "deliver";
   down = true;
   clock.advance(60_000);
   assert.equal(daemon.isReady, false);
@@ -247,16 +251,16 @@
 
 test("a daemon that hears no peer reads the store itself", async (t) => {
   const fleet = new Fleet(t);
-  fleet.network.fate = () => "refuse";
+  fleet.network.intercept = () => "refuse";
   await fleet.write("first");
   const clock = new FakeClock();
   // One of the three does not watch. Nothing pauses, so nothing else reads.
-  const pauseWatch = new PauseWatch({ clock: new FakeClock() });
+  const pauseWatch = new PauseDetector({ clock: new FakeClock() });
   const isolated = await Promise.all(
     ["a1", "a2", "a3"].map((name) =>
       fleet.daemon(name, {
         clock,
-        pauseWatch,
+        pauseDetector: pauseWatch,
         plan: ({ operation }) => operation === "watch" ? Effect.never : "none",
       })
     ),
@@ -289,7 +293,7 @@
   const fleet = new Fleet(t);
   const daemon = await fleet.daemon("a1", { plan: () => "refuse" });
   await fleet.daemon("a2", { plan: () => "refuse" });
-  fleet.network.fate = ({ kind }) => kind === "send" ? "lose" : "deliver";
+  fleet.network.intercept = ({ kind }) => kind === "send" ? "lose" : "deliver";
   daemon.offer({ version: 3, value: "third" });
   const versions = await Effect.runPromise(daemon.survey());
   assert.equal(versions.get("a2"), 0);
--- a/packages/coordination/tests/shares_test.ts
+++ b/packages/coordination/tests/shares_test.ts
@@ -42,7 +42,7 @@
 /** Looks after each message until it is so. */
 function until(network: MemoryNetwork, holds: () => boolean): Promise<void> {
   return new Promise((done) => {
-    network.fate = () => {
+    network.intercept = () => {
       if (holds()) done();
       return "deliver";
     };
@@ -51,7 +51,7 @@
 
 test("each holder may use its floor before any owner has answered", async (t) => {
   const { network, shares } = await fleet(t);
-  network.fate = () => "refuse";
+  network.intercept = () => "refuse";
   assert.deepEqual(shares.map((share) => share.allowance()), [30, 30, 30]);
 });
 
@@ -65,7 +65,7 @@
 
 test("a resized limit changes the floor at once", async (t) => {
   const { network, shares } = await fleet(t);
-  network.fate = () => "refuse";
+  network.intercept = () => "refuse";
   shares[0]?.resize({ total: 30, holders: 3 });
   assert.equal(shares[0]?.allowance(), 10);
 });
