--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -131,7 +131,7 @@
       listed: ({ values }) => adoptAll(values),
       changed: ({ updated }) => adoptAll(updated),
     }, {
-      contact: this.#connectivityListener("store_configuration"),
+      connectivity: this.#connectivityListener("store_configuration"),
       timing: this.#timing(
         () => this.#context.configured(),
         () => this.#configurations,
@@ -149,7 +149,7 @@
         directory.applyChange(revision, updated, removed);
       },
     }, {
-      contact: this.#connectivityListener("store_runners"),
+      connectivity: this.#connectivityListener("store_runners"),
       timing: this.#timing(
         () => directory.revision > 0,
         () => this.#runners,
--- a/packages/router/src/process/feed.ts
+++ b/packages/router/src/process/feed.ts
@@ -111,13 +111,13 @@
     feed: Feed<T>,
     sink: FeedSink<T>,
     options: {
-      readonly contact: ConnectivityListener;
+      readonly connectivity: ConnectivityListener;
       readonly timing: FollowerTiming;
     },
   ) {
     this.#feed = feed;
     this.#sink = sink;
-    this.#connectivity = options.contact;
+    this.#connectivity = options.connectivity;
     this.#timing = options.timing;
   }
 
--- a/packages/router/src/process/feed_test.ts
+++ b/packages/router/src/process/feed_test.ts
@@ -48,7 +48,7 @@
       listed: ({ values }) => seen.push(`listed ${values}`),
       changed: ({ updated: entered }) => seen.push(`changed ${entered}`),
     }, {
-      contact: {
+      connectivity: {
         lost: (reason) => seen.push(`lost ${reason}`),
         regained: () => seen.push("regained"),
       },
@@ -128,7 +128,7 @@
   );
   const feed = new ScriptedFeed(failures, () => {});
   const follower = new FeedFollower(feed, { listed() {}, changed() {} }, {
-    contact: { lost: () => follower.restartWatch(), regained() {} },
+    connectivity: { lost: () => follower.restartWatch(), regained() {} },
     timing: {
       waitMs: () => 1,
       active: () => true,
@@ -158,7 +158,7 @@
     listed() {},
     changed: ({ updated: entered }) => seen.push(...entered),
   }, {
-    contact: { lost() {}, regained() {} },
+    connectivity: { lost() {}, regained() {} },
     timing: {
       waitMs: () => 1,
       active: () => true,
