--- a/packages/router/src/leadership.ts
+++ b/packages/router/src/leadership.ts
@@ -109,7 +109,7 @@
         timing,
         complete: () => fleetSync().seesWholeFleet,
       },
-      demand: ordersRunners ? new Autoscaler(options.parts) : undefined,
+      scalingPolicy: ordersRunners ? new Autoscaler(options.parts) : undefined,
       eligible: () => fleetSync().mayLead,
       leaseChanged: () => fleetSync().leaseChanged(),
       now: () => this.time.now(),
--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -55,7 +55,7 @@
     readonly complete: () => boolean;
   } | undefined;
   /** Absent if runners are not ordered. */
-  readonly demand: ScalingPolicy | undefined;
+  readonly scalingPolicy: ScalingPolicy | undefined;
   /** Whether this daemon may become or remain the leader. */
   readonly eligible: () => boolean;
   /** Called when other daemons should be notified of a change of the lease. */
@@ -100,7 +100,7 @@
 
   constructor(options: LeaderOptions) {
     this.#options = options;
-    this.#orders = new OrderTracker(options.demand, options.log);
+    this.#orders = new OrderTracker(options.scalingPolicy, options.log);
   }
 
   /** Runs until {@linkcode stop} or {@linkcode leave} is called. */
--- a/packages/router/tests/fleet.ts
+++ b/packages/router/tests/fleet.ts
@@ -366,7 +366,7 @@
         timing: { windowMs: WINDOW_MS, delayMs: REPORT_DELAY_MS },
         complete: () => this.fleetSync.seesWholeFleet,
       },
-      demand: undefined,
+      scalingPolicy: undefined,
       eligible: () => this.fleetSync.mayLead,
       leaseChanged: () => this.fleetSync.leaseChanged(),
       now: () => this.time.now(),
--- a/packages/router/tests/leader_test.ts
+++ b/packages/router/tests/leader_test.ts
@@ -92,7 +92,7 @@
       leaseMs: LEASE_MS,
       api: this.api,
       usage: { meter, timing: TIMING, complete: () => true },
-      demand: this.demand,
+      scalingPolicy: this.demand,
       eligible: () => true,
       leaseChanged() {},
       now: () => time.now(),
