--- a/packages/router/src/leadership.ts
+++ b/packages/router/src/leadership.ts
@@ -89,7 +89,7 @@
 
   /** Releases the lease, if this daemon leads. */
   async stepDown(): Promise<void> {
-    await this.#leader?.leave();
+    await this.#leader?.stepDown();
   }
 
   #createLeader(lease: LeaderLease, api: PlatformApi, options: {
--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -103,7 +103,7 @@
     this.#orders = new OrderTracker(options.scalingPolicy, options.log);
   }
 
-  /** Runs until {@linkcode stop} or {@linkcode leave} is called. */
+  /** Runs until {@linkcode stop} or {@linkcode stepDown} is called. */
   async run(): Promise<void> {
     await pause(STARTUP_DELAY_MS, { background: true });
     while (!this.#stopped) {
@@ -119,7 +119,7 @@
   }
 
   /** Stops, and releases the lease so that another daemon can take it at once. */
-  async leave(): Promise<void> {
+  async stepDown(): Promise<void> {
     this.stop();
     await this.#currentStep;
     await this.#options.lease.release();
--- a/packages/router/tests/leader_test.ts
+++ b/packages/router/tests/leader_test.ts
@@ -140,7 +140,7 @@
   await fixture.clock.advance(FIRST_CALL_MS);
   fixture.api.responseMs = 800;
   while (fixture.api.calls.length === 0) await fixture.clock.advance(50);
-  const leaving = first.leader.leave();
+  const leaving = first.leader.stepDown();
   await fixture.clock.advance(100);
   assert.notEqual(fixture.store.record?.record.holding.holderId, "");
   await fixture.clock.advance(1_000);
