--- a/packages/router/src/process/lifecycle.ts
+++ b/packages/router/src/process/lifecycle.ts
@@ -48,7 +48,7 @@
   }
 
   /** Makes the daemon not ready from now on. */
-  leave(): void {
+  startShutdown(): void {
     this.#leaving = true;
     this.missing();
   }
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -330,7 +330,7 @@
    * @returns whether all requests were finished.
    */
   async shutDown(): Promise<boolean> {
-    this.#lifecycle.leave();
+    this.#lifecycle.startShutdown();
     void this.#leadership.stepDown();
     void this.#fleetSync.deregister();
     const cut = await shutDownGracefully(this.#server, {
