--- a/packages/router/src/mod.ts
+++ b/packages/router/src/mod.ts
@@ -11,11 +11,11 @@
 export type {
   LeaderRecord,
   LeaderStore,
-  RecordWriteResult as RecordWritten,
+  RecordWriteResult,
   StoredRecord,
 } from "./process/leader_record.ts";
 export type {
-  CallOutcome as CallEnd,
+  CallOutcome,
   Fence,
   PlatformApi,
   PlatformCall,
