--- a/packages/daemon/src/process/scheduling/granting.ts
+++ b/packages/daemon/src/process/scheduling/granting.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { BrokerAnswers } from "./broker_answers.ts";
+import type { BrokerAnswers } from "./broker_replies.ts";
 import type { BrokerBooks } from "./broker_books.ts";
 import type { FairQueue } from "./fair_queue.ts";
 import type { Flow } from "./flow.ts";
