--- a/packages/daemon/src/process/scheduling/granting.ts
+++ b/packages/daemon/src/process/scheduling/granting.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { BrokerAnswers } from "./broker_replies.ts";
-import type { BrokerBooks } from "./broker_books.ts";
+import type { BrokerBooks } from "./broker_state.ts";
 import type { FairQueue } from "./fair_queue.ts";
 import type { Flow } from "./flow.ts";
 import type { Choice, RunnerPool } from "./runner_pool.ts";
--- a/packages/daemon/src/process/scheduling/slot_ledger.ts
+++ b/packages/daemon/src/process/scheduling/slot_ledger.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { Row, Table } from "@umbermast/table";
-import type { BrokerBooks } from "./broker_books.ts";
+import type { BrokerBooks } from "./broker_state.ts";
 import { RowIndex } from "./row_index.ts";
 import { RowLimits } from "./row_limits.ts";
 import type { RunnerPool } from "./runner_pool.ts";
