--- a/packages/daemon/src/process/scheduling/broker.ts
+++ b/packages/daemon/src/process/scheduling/broker.ts
@@ -14,7 +14,7 @@
 import { AskAppraisal } from "./ask_appraisal.ts";
 import { BrokerAnswers } from "./broker_replies.ts";
 import { BrokerBooks } from "./broker_state.ts";
-import type { BrokerParts } from "./broker_parts.ts";
+import type { BrokerParts } from "./broker_dependencies.ts";
 import { FairQueue } from "./fair_queue.ts";
 
 import { Granting } from "./granting.ts";
--- a/packages/daemon/src/process/scheduling/broker_host.ts
+++ b/packages/daemon/src/process/scheduling/broker_host.ts
@@ -11,7 +11,7 @@
 import * as Effect from "effect/Effect";
 import type * as Scope from "effect/Scope";
 import { Broker } from "./broker.ts";
-import type { BrokerParts } from "./broker_parts.ts";
+import type { BrokerParts } from "./broker_dependencies.ts";
 import { BrokerFinder } from "./broker_finder.ts";
 import {
   type BrokerMessage,
--- a/packages/daemon/tests/scheduling/broker_fixture.ts
+++ b/packages/daemon/tests/scheduling/broker_fixture.ts
@@ -8,7 +8,7 @@
 import type { Runner } from "../../src/process/runner.ts";
 import { RunnerDirectory } from "../../src/process/runner_directory.ts";
 import { Broker } from "../../src/process/scheduling/broker.ts";
-import type { BrokerParts } from "../../src/process/scheduling/broker_parts.ts";
+import type { BrokerParts } from "../../src/process/scheduling/broker_dependencies.ts";
 import { LoadReports } from "../../src/process/scheduling/load_reports.ts";
 import type { EntryMessage } from "../../src/process/scheduling/messages.ts";
 import { ALL_ON } from "../../src/process/scheduling/switches.ts";
