--- a/packages/daemon/src/process/scheduling/broker_finder.ts
+++ b/packages/daemon/src/process/scheduling/broker_finder.ts
@@ -6,7 +6,7 @@
  */
 import type { Membership } from "@umbermast/coordination";
 import type { RunnerDirectory } from "../runner_directory.ts";
-import { assignBrokers, brokerCandidates } from "./broker_choice.ts";
+import { assignBrokers, brokerCandidates } from "./broker_assignment.ts";
 
 /** Orders the daemons for each service by the present view. */
 export class BrokerFinder {
--- a/packages/daemon/tests/scheduling/hand_over_test.ts
+++ b/packages/daemon/tests/scheduling/hand_over_test.ts
@@ -3,7 +3,7 @@
 import { SYSTEM_CLOCK } from "@umbermast/coordination";
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
-import { assignBrokers } from "../../src/process/scheduling/broker_choice.ts";
+import { assignBrokers } from "../../src/process/scheduling/broker_assignment.ts";
 import { requestOf, SETTLED } from "./ask_fixture.ts";
 import { daemonsOf, until } from "./daemons_fixture.ts";
 import type { TestDaemon } from "./daemons_fixture.ts";
