--- a/packages/daemon/src/request/brokered_scheduler.ts
+++ b/packages/daemon/src/request/brokered_scheduler.ts
@@ -13,7 +13,7 @@
 import type { Log } from "../process/log.ts";
 import type { RunnerDirectory } from "../process/runner_directory.ts";
 import { BrokerFinder } from "../process/scheduling/broker_finder.ts";
-import type { BrokerHost } from "../process/scheduling/broker_host.ts";
+import type { BrokerHost } from "../process/scheduling/broker_registry.ts";
 import {
   type EntryMessage,
   type GrantMessage,
--- a/packages/daemon/src/request/scheduling.ts
+++ b/packages/daemon/src/request/scheduling.ts
@@ -8,7 +8,7 @@
 import type * as Scope from "effect/Scope";
 import type { Log } from "../process/log.ts";
 import type { RunnerDirectory } from "../process/runner_directory.ts";
-import { BrokerHost } from "../process/scheduling/broker_host.ts";
+import { BrokerHost } from "../process/scheduling/broker_registry.ts";
 import { LoadReports } from "../process/scheduling/load_reports.ts";
 import { ALL_ON, type Switches } from "../process/scheduling/switches.ts";
 import type { TableSource } from "../process/table_source.ts";
--- a/packages/daemon/tests/scheduling/daemons_fixture.ts
+++ b/packages/daemon/tests/scheduling/daemons_fixture.ts
@@ -8,7 +8,7 @@
 import type * as Scope from "effect/Scope";
 import type { Runner } from "../../src/process/runner.ts";
 import { RunnerDirectory } from "../../src/process/runner_directory.ts";
-import { BrokerHost } from "../../src/process/scheduling/broker_host.ts";
+import { BrokerHost } from "../../src/process/scheduling/broker_registry.ts";
 import { LoadReports } from "../../src/process/scheduling/load_reports.ts";
 import { ALL_ON } from "../../src/process/scheduling/switches.ts";
 import { BrokeredScheduler } from "../../src/request/brokered_scheduler.ts";
