--- a/packages/daemon/src/request/broker_link.ts
+++ b/packages/daemon/src/request/broker_link.ts
@@ -7,7 +7,7 @@
 import type { RunnerDirectory } from "../process/runner_directory.ts";
 import type { BrokerFinder } from "../process/scheduling/broker_finder.ts";
 import type { BrokerHost } from "../process/scheduling/broker_registry.ts";
-import type { Contacts } from "../process/scheduling/contacts.ts";
+import type { Contacts } from "../process/scheduling/reply_tracker.ts";
 import {
   type BrokerMessage,
   TO_BROKER,
--- a/packages/daemon/src/request/brokered_scheduler.ts
+++ b/packages/daemon/src/request/brokered_scheduler.ts
@@ -21,7 +21,7 @@
   type RefuseMessage,
   TO_ENTRY,
 } from "../process/scheduling/messages.ts";
-import { Contacts } from "../process/scheduling/contacts.ts";
+import { Contacts } from "../process/scheduling/reply_tracker.ts";
 import type { TableSource } from "../process/table_source.ts";
 import { BrokerLink } from "./broker_link.ts";
 import type { Ask, Grant, Refusal, Settlement } from "./ask.ts";
