--- a/packages/daemon/src/process/scheduling/broker.ts
+++ b/packages/daemon/src/process/scheduling/broker.ts
@@ -11,7 +11,7 @@
  * @module
  */
 import type { Table } from "@umbermast/table";
-import { AskAppraisal } from "./ask_appraisal.ts";
+import { AskAppraisal } from "./admission_control.ts";
 import { BrokerAnswers } from "./broker_replies.ts";
 import { BrokerBooks } from "./broker_state.ts";
 import type { BrokerParts } from "./broker_dependencies.ts";
--- a/packages/daemon/src/process/scheduling/broker_replies.ts
+++ b/packages/daemon/src/process/scheduling/broker_replies.ts
@@ -5,7 +5,7 @@
  */
 import type { Log } from "../log.ts";
 import type { AskMessage, EntryMessage } from "./messages.ts";
-import type { Verdict } from "./ask_appraisal.ts";
+import type { Verdict } from "./admission_control.ts";
 import type { Choice } from "./runner_pool.ts";
 import type { Held } from "./runner_state.ts";
 import type { Waiting } from "./waiting.ts";
