--- a/packages/daemon/src/process/scheduling/broker.ts
+++ b/packages/daemon/src/process/scheduling/broker.ts
@@ -17,7 +17,7 @@
 import type { BrokerParts } from "./broker_dependencies.ts";
 import { FairQueue } from "./fair_queue.ts";
 
-import { Granting } from "./granting.ts";
+import { Granting } from "./grant_dispatcher.ts";
 import type {
   AskMessage,
   BeatMessage,
