--- a/packages/daemon/src/process/scheduling/admission_control.ts
+++ b/packages/daemon/src/process/scheduling/admission_control.ts
@@ -8,7 +8,7 @@
 import { DecayedQuantile } from "./decayed_quantile.ts";
 import type { FairQueue } from "./fair_queue.ts";
 import type { AskMessage, HeldSlot, RefuseMessage } from "./messages.ts";
-import type { RunnerLearning } from "./runner_learning.ts";
+import type { RunnerLearning } from "./runner_feedback.ts";
 import type { RunnerPool } from "./runner_pool.ts";
 import { ServiceRate } from "./service_rate.ts";
 import type { Settlement } from "./settlement.ts";
--- a/packages/daemon/src/process/scheduling/broker.ts
+++ b/packages/daemon/src/process/scheduling/broker.ts
@@ -26,7 +26,7 @@
   ReleaseMessage,
 } from "./messages.ts";
 import { PauseWatch } from "./pause_watch.ts";
-import { RunnerLearning } from "./runner_learning.ts";
+import { RunnerLearning } from "./runner_feedback.ts";
 import { RunnerPool } from "./runner_pool.ts";
 import { SlotLedger } from "./slot_ledger.ts";
 import type { Waiting } from "./waiting.ts";
