--- a/packages/daemon/src/process/scheduling/broker.ts
+++ b/packages/daemon/src/process/scheduling/broker.ts
@@ -25,7 +25,7 @@
   PresentMessage,
   ReleaseMessage,
 } from "./messages.ts";
-import { PauseWatch } from "./pause_watch.ts";
+import { PauseWatch } from "./pause_detector.ts";
 import { RunnerLearning } from "./runner_feedback.ts";
 import { RunnerPool } from "./runner_pool.ts";
 import { SlotLedger } from "./slot_ledger.ts";
