--- a/packages/daemon/src/process/scheduling/runner_pool.ts
+++ b/packages/daemon/src/process/scheduling/runner_pool.ts
@@ -6,7 +6,7 @@
 import type { Class, Service, Table } from "@umbermast/table";
 import type { Runner } from "../runner.ts";
 import type { AskMessage } from "./messages.ts";
-import { PrefixHomes } from "./prefix_homes.ts";
+import { PrefixHomes } from "./prefix_affinity.ts";
 import { type Held, RunnerState } from "./runner_state.ts";
 import type { Switches } from "./switches.ts";
 
