--- a/packages/daemon/src/process/scheduling/admission_control.ts
+++ b/packages/daemon/src/process/scheduling/admission_control.ts
@@ -13,7 +13,7 @@
 import { ServiceRate } from "./service_rate.ts";
 import type { Settlement } from "./settlement.ts";
 import type { Switches } from "./switches.ts";
-import type { Waiting } from "./waiting.ts";
+import type { Waiting } from "./waiting_ask.ts";
 
 const FIXED_COST = 100;
 const BYTES_OF_ASK = 300;
--- a/packages/daemon/src/process/scheduling/broker.ts
+++ b/packages/daemon/src/process/scheduling/broker.ts
@@ -29,7 +29,7 @@
 import { RunnerLearning } from "./runner_feedback.ts";
 import { RunnerPool } from "./runner_pool.ts";
 import { SlotLedger } from "./slot_ledger.ts";
-import type { Waiting } from "./waiting.ts";
+import type { Waiting } from "./waiting_ask.ts";
 
 /** An entry that says nothing for this long is granted nothing. */
 const QUIET_MS = 2_000;
--- a/packages/daemon/src/process/scheduling/broker_replies.ts
+++ b/packages/daemon/src/process/scheduling/broker_replies.ts
@@ -8,7 +8,7 @@
 import type { Verdict } from "./admission_control.ts";
 import type { Choice } from "./runner_pool.ts";
 import type { Held } from "./runner_state.ts";
-import type { Waiting } from "./waiting.ts";
+import type { Waiting } from "./waiting_ask.ts";
 
 /** A grant that was not used by then is of no use. */
 export const GRANT_MS = 5_000;
--- a/packages/daemon/src/process/scheduling/broker_state.ts
+++ b/packages/daemon/src/process/scheduling/broker_state.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Held } from "./runner_state.ts";
-import type { Waiting } from "./waiting.ts";
+import type { Waiting } from "./waiting_ask.ts";
 
 /** What one entry has here. */
 interface Account {
--- a/packages/daemon/src/process/scheduling/fair_queue.ts
+++ b/packages/daemon/src/process/scheduling/fair_queue.ts
@@ -12,7 +12,7 @@
 import { Flow } from "./flow.ts";
 import { MinimumShares, type SlotUsage } from "./minimum_shares.ts";
 import type { Switches } from "./switches.ts";
-import type { Waiting } from "./waiting.ts";
+import type { Waiting } from "./waiting_ask.ts";
 
 /** Bounds of what may wait. */
 export interface QueueBounds {
--- a/packages/daemon/src/process/scheduling/fair_queue_test.ts
+++ b/packages/daemon/src/process/scheduling/fair_queue_test.ts
@@ -10,7 +10,7 @@
 } from "../../../tests/scheduling/table_fixture.ts";
 import { FairQueue, type QueueBounds } from "./fair_queue.ts";
 import { ALL_ON } from "./switches.ts";
-import type { Waiting } from "./waiting.ts";
+import type { Waiting } from "./waiting_ask.ts";
 
 const WIDE: QueueBounds = { count: 10_000, bytes: 1e9, perWorkspace: 10_000 };
 
--- a/packages/daemon/src/process/scheduling/flow.ts
+++ b/packages/daemon/src/process/scheduling/flow.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { Waiting } from "./waiting.ts";
+import type { Waiting } from "./waiting_ask.ts";
 
 /** A first-in-first-out queue with its place in fair queueing. */
 export class Flow {
--- a/packages/daemon/src/process/scheduling/grant_dispatcher.ts
+++ b/packages/daemon/src/process/scheduling/grant_dispatcher.ts
@@ -9,7 +9,7 @@
 import type { Flow } from "./flow.ts";
 import type { Choice, RunnerPool } from "./runner_pool.ts";
 import type { SlotLedger } from "./slot_ledger.ts";
-import type { Waiting } from "./waiting.ts";
+import type { Waiting } from "./waiting_ask.ts";
 
 /** What granting works with. */
 export interface GrantingParts {
--- a/packages/daemon/src/process/scheduling/slot_ledger.ts
+++ b/packages/daemon/src/process/scheduling/slot_ledger.ts
@@ -10,7 +10,7 @@
 import { RowLimits } from "./row_limits.ts";
 import type { RunnerPool } from "./runner_pool.ts";
 import type { Held } from "./runner_state.ts";
-import type { Waiting } from "./waiting.ts";
+import type { Waiting } from "./waiting_ask.ts";
 
 interface RowKey {
   readonly workspace: string;
