--- a/packages/router/src/process/feed.ts
+++ b/packages/router/src/process/feed.ts
@@ -3,7 +3,6 @@
  *
  * @module
  */
-
 import { pause } from "./pause.ts";
 
 /** All objects at one revision of the store. */
@@ -84,6 +83,7 @@
  * the delay, every change would cost every watcher a call.
  */
 const COALESCE_MS = 100;
+
 /** Is notified when the store becomes unavailable, and when it responds again. */
 export interface ConnectivityListener {
   lost(reason: string): void;
--- a/packages/router/src/process/feed_test.ts
+++ b/packages/router/src/process/feed_test.ts
@@ -46,7 +46,7 @@
     feed = new ScriptedFeed(responses, resolve);
     const follower = new FeedFollower(feed, {
       listed: ({ values }) => seen.push(`listed ${values}`),
-      changed: ({ updated: entered }) => seen.push(`changed ${entered}`),
+      changed: ({ updated }) => seen.push(`changed ${updated}`),
     }, {
       connectivity: {
         lost: (reason) => seen.push(`lost ${reason}`),
@@ -156,7 +156,7 @@
   const seen: string[] = [];
   const follower = new FeedFollower(feed, {
     listed() {},
-    changed: ({ updated: entered }) => seen.push(...entered),
+    changed: ({ updated }) => seen.push(...updated),
   }, {
     connectivity: { lost() {}, regained() {} },
     timing: {
--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -78,7 +78,7 @@
 
 /**
  * Performs the leader's tasks while this daemon holds the lease, and tries to
- * take the lease when the present leader fails.
+ * take the lease when the current leader fails.
  *
  * Each step first writes new decisions to the store together with a renewal of
  * the lease. It then calls the platform for decisions that the store holds, one
@@ -92,7 +92,7 @@
   /** Attempts to report each window in this term. */
   readonly #attempts = new Map<number, number>();
   #stopped = false;
-  /** Resolves when the present step has ended. */
+  /** Resolves when the current step has ended. */
   #currentStep: Promise<void> = Promise.resolve();
   #retryMs = INITIAL_RETRY_MS;
   /** Earliest time of the next report, in monotonic ms. */
--- a/packages/router/src/process/usage_reports.ts
+++ b/packages/router/src/process/usage_reports.ts
@@ -69,10 +69,10 @@
   sources: UsageSources,
 ): UsageDecision | undefined {
   const { windowMs, delayMs } = sources.timing;
-  const present = Math.floor(sources.now / windowMs);
+  const current = Math.floor(sources.now / windowMs);
   if (state.nextWindow === undefined) {
     return {
-      state: { ...state, nextWindow: present },
+      state: { ...state, nextWindow: current },
       finalized: [],
       missed: [],
     };
@@ -86,7 +86,7 @@
   // A report that is one window late is still useful; the counts of older
   // windows are no longer kept.
   const dueWindows = Math.ceil((windowMs + delayMs) / windowMs);
-  const first = Math.max(state.nextWindow, present - dueWindows - 1);
+  const first = Math.max(state.nextWindow, current - dueWindows - 1);
   const missed = range(state.nextWindow, Math.min(first, last + 1));
   const finalized = range(first, last + 1).map((window): UsageReport => ({
     window,
@@ -109,9 +109,9 @@
   state: LeaderState,
   { meter, timing, now }: UsageSources,
 ): UsageCheckpoint {
-  const present = Math.floor(now / timing.windowMs);
-  const first = Math.max(state.nextWindow ?? present, present - MAX_PENDING);
-  const windows = range(first, present + 1);
+  const current = Math.floor(now / timing.windowMs);
+  const first = Math.max(state.nextWindow ?? current, current - MAX_PENDING);
+  const windows = range(first, current + 1);
   const incarnations = new Set(
     windows.flatMap((window) => [...meter.incarnations(window)]),
   );
