--- a/packages/coordination/src/connection/frame.ts
+++ b/packages/coordination/src/connection/frame.ts
@@ -46,15 +46,15 @@
  */
 export class FrameReader {
   readonly #socket: Socket;
-  #limit: number;
-  #length: number | undefined;
+  #maxFrameBytes: number;
+  #bodyLength: number | undefined;
   #closed: LinkClosed | undefined;
-  #wake: (() => void) | undefined;
+  #onReadable: (() => void) | undefined;
 
-  constructor(socket: Socket, limit: number) {
+  constructor(socket: Socket, maxFrameBytes: number) {
     this.#socket = socket;
-    this.#limit = limit;
-    socket.on("readable", () => this.#wake?.());
+    this.#maxFrameBytes = maxFrameBytes;
+    socket.on("readable", () => this.#onReadable?.());
     socket.on("end", () => this.#close(linkClosed("ended")));
     socket.on("close", () => this.#close(linkClosed("ended")));
     socket.on(
@@ -64,50 +64,53 @@
   }
 
   /** Sets the largest frame accepted from now on, in bytes. */
-  setLimit(limit: number): void {
-    this.#limit = limit;
+  setMaxFrameBytes(maxFrameBytes: number): void {
+    this.#maxFrameBytes = maxFrameBytes;
   }
 
   /** Waits for the next frame. */
   next(): Effect.Effect<Buffer, LinkClosed> {
-    return Effect.suspend(() => this.#take() ?? this.#wait());
+    return Effect.suspend(() => this.#takeFrame() ?? this.#waitForFrame());
   }
 
-  #wait(): Effect.Effect<Buffer, LinkClosed> {
+  #waitForFrame(): Effect.Effect<Buffer, LinkClosed> {
     return Effect.callback((resume) => {
       const attempt = () => {
-        const taken = this.#take();
+        const taken = this.#takeFrame();
         if (taken === undefined) return;
-        this.#wake = undefined;
+        this.#onReadable = undefined;
         resume(taken);
       };
-      this.#wake = attempt;
+      this.#onReadable = attempt;
       attempt();
       return Effect.sync(() => {
-        this.#wake = undefined;
+        this.#onReadable = undefined;
       });
     });
   }
 
-  #take(): Effect.Effect<Buffer, LinkClosed> | undefined {
-    if (this.#length === undefined) {
+  #takeFrame(): Effect.Effect<Buffer, LinkClosed> | undefined {
+    if (this.#bodyLength === undefined) {
       const head = this.#read(LENGTH_BYTES);
-      if (head === undefined) return this.#failure();
+      if (head === undefined) return this.#closedFailure();
       const length = head.readUInt32BE();
-      if (length > this.#limit) {
+      if (length > this.#maxFrameBytes) {
         return Effect.fail(
-          linkClosed("frame-too-large", `${length} over ${this.#limit} bytes`),
+          linkClosed(
+            "frame-too-large",
+            `${length} over ${this.#maxFrameBytes} bytes`,
+          ),
         );
       }
-      this.#length = length;
+      this.#bodyLength = length;
     }
-    if (this.#length === 0) {
-      this.#length = undefined;
+    if (this.#bodyLength === 0) {
+      this.#bodyLength = undefined;
       return Effect.succeed(Buffer.alloc(0));
     }
-    const body = this.#read(this.#length);
-    if (body === undefined) return this.#failure();
-    this.#length = undefined;
+    const body = this.#read(this.#bodyLength);
+    if (body === undefined) return this.#closedFailure();
+    this.#bodyLength = undefined;
     return Effect.succeed(body);
   }
 
@@ -118,12 +121,12 @@
     return chunk;
   }
 
-  #failure(): Effect.Effect<never, LinkClosed> | undefined {
+  #closedFailure(): Effect.Effect<never, LinkClosed> | undefined {
     return this.#closed === undefined ? undefined : Effect.fail(this.#closed);
   }
 
   #close(reason: LinkClosed): void {
     this.#closed ??= reason;
-    this.#wake?.();
+    this.#onReadable?.();
   }
 }
--- a/packages/coordination/src/connection/handshake.ts
+++ b/packages/coordination/src/connection/handshake.ts
@@ -32,22 +32,22 @@
 import type { Session } from "./session.ts";
 
 /** Largest frame before the other end is authenticated, in bytes. */
-export const HANDSHAKE_LIMIT = 512;
+export const MAX_HANDSHAKE_FRAME_BYTES = 512;
 
 /** Lowest version of the link protocol that this code speaks. */
-export const LOWEST_VERSION = 1;
+export const MIN_PROTOCOL_VERSION = 1;
 
 /** Highest version of the link protocol that this code speaks. */
-export const HIGHEST_VERSION = 1;
+export const MAX_PROTOCOL_VERSION = 1;
 
 const MAGIC = Buffer.from("umbl");
 const NONCE_BYTES = 32;
 const PROOF_BYTES = 32;
 const KEY_BYTES = 32;
-const LOWEST_AT = MAGIC.length;
-const HIGHEST_AT = LOWEST_AT + 1;
-const NONCE_AT = HIGHEST_AT + 1;
-const HELLO_BYTES = NONCE_AT + NONCE_BYTES;
+const MIN_VERSION_OFFSET = MAGIC.length;
+const MAX_VERSION_OFFSET = MIN_VERSION_OFFSET + 1;
+const NONCE_OFFSET = MAX_VERSION_OFFSET + 1;
+const HELLO_BYTES = NONCE_OFFSET + NONCE_BYTES;
 
 /** Who an end says it is. */
 export interface Identity {
@@ -71,7 +71,7 @@
 }
 
 function makeHello(): Buffer {
-  const versions = Buffer.of(LOWEST_VERSION, HIGHEST_VERSION);
+  const versions = Buffer.of(MIN_PROTOCOL_VERSION, MAX_PROTOCOL_VERSION);
   return Buffer.concat([MAGIC, versions, randomBytes(NONCE_BYTES)]);
 }
 
@@ -79,10 +79,10 @@
   const known = hello.length === HELLO_BYTES &&
     hello.subarray(0, MAGIC.length).equals(MAGIC);
   if (!known) return Effect.fail(linkClosed("refused", "no hello"));
-  const lowest = hello.readUInt8(LOWEST_AT);
-  const highest = hello.readUInt8(HIGHEST_AT);
-  const version = Math.min(highest, HIGHEST_VERSION);
-  if (version >= Math.max(lowest, LOWEST_VERSION)) {
+  const lowest = hello.readUInt8(MIN_VERSION_OFFSET);
+  const highest = hello.readUInt8(MAX_VERSION_OFFSET);
+  const version = Math.min(highest, MAX_PROTOCOL_VERSION);
+  if (version >= Math.max(lowest, MIN_PROTOCOL_VERSION)) {
     return Effect.succeed(version);
   }
   return Effect.fail(
@@ -93,7 +93,7 @@
 type Role = "dialler" | "accepter";
 
 /** The role is part of the proof, so that one end's cannot be played back to it. */
-function proofOf(
+function computeProof(
   key: Uint8Array,
   role: Role,
   covered: readonly Uint8Array[],
@@ -126,7 +126,11 @@
   return Effect.succeed(decoded.value);
 }
 
-function sessionKey(key: Uint8Array, from: Role, link: Transcript): Buffer {
+function deriveSessionKey(
+  key: Uint8Array,
+  from: Role,
+  link: Transcript,
+): Buffer {
   const salt = Buffer.concat([link.dialler, link.accepter]);
   const info = `umbermast link v${link.version} from ${from}`;
   return Buffer.from(hkdfSync("sha256", key, salt, info, KEY_BYTES));
@@ -149,12 +153,12 @@
   const version = yield* checkHello(accepter);
   const link: Transcript = { dialler, accepter, version };
   const own = encodeItem(options.self);
-  const proof = proofOf(key, "dialler", [dialler, accepter, own]);
+  const proof = computeProof(key, "dialler", [dialler, accepter, own]);
   socket.write(encodeFrame([proof, own]));
   const answer = yield* reader.next();
   const peer = yield* checkProof(
     answer,
-    (theirs) => proofOf(key, "accepter", [dialler, accepter, own, theirs]),
+    (theirs) => computeProof(key, "accepter", [dialler, accepter, own, theirs]),
   );
   if (peer.name !== expected) {
     return yield* Effect.fail(
@@ -165,8 +169,8 @@
     peer: peer.name,
     incarnation: peer.incarnation,
     version,
-    sealer: new Sealer(sessionKey(key, "dialler", link)),
-    opener: new Opener(sessionKey(key, "accepter", link)),
+    sealer: new Sealer(deriveSessionKey(key, "dialler", link)),
+    opener: new Opener(deriveSessionKey(key, "accepter", link)),
   };
 });
 
@@ -184,16 +188,21 @@
   const theirs = proof.subarray(PROOF_BYTES);
   const peer = yield* checkProof(
     proof,
-    (identity) => proofOf(key, "dialler", [dialler, accepter, identity]),
+    (identity) => computeProof(key, "dialler", [dialler, accepter, identity]),
   );
   const own = encodeItem(options.self);
-  const answer = proofOf(key, "accepter", [dialler, accepter, theirs, own]);
+  const answer = computeProof(key, "accepter", [
+    dialler,
+    accepter,
+    theirs,
+    own,
+  ]);
   socket.write(encodeFrame([answer, own]));
   return {
     peer: peer.name,
     incarnation: peer.incarnation,
     version,
-    sealer: new Sealer(sessionKey(key, "accepter", link)),
-    opener: new Opener(sessionKey(key, "dialler", link)),
+    sealer: new Sealer(deriveSessionKey(key, "accepter", link)),
+    opener: new Opener(deriveSessionKey(key, "dialler", link)),
   };
 });
--- a/packages/coordination/src/connection/link.ts
+++ b/packages/coordination/src/connection/link.ts
@@ -13,7 +13,7 @@
 import type { FrameReader, LinkClosed } from "./frame.ts";
 import { LENGTH_BYTES, linkClosed } from "./frame.ts";
 import { LinkHandlers } from "./link_handlers.ts";
-import { LinkTimes } from "./link_liveness.ts";
+import { LinkActivity } from "./link_liveness.ts";
 import type { LinkMessage, Request, Send } from "./link_message.ts";
 import { decodeLinkMessage, encodeLinkMessage } from "./link_message.ts";
 import type { LinkSettings } from "./link_settings.ts";
@@ -23,7 +23,7 @@
 import type { Session } from "./session.ts";
 
 /** What a link needs of the process around it. */
-export interface LinkHost {
+export interface LinkContext {
   readonly clock: Clock;
   readonly settings: LinkSettings;
   readonly traffic: TrafficCounter;
@@ -36,7 +36,7 @@
   receiveDigest(from: string, digest: unknown): void;
 }
 
-type Settle = (result: Effect.Effect<unknown, PeerUnreachable>) => void;
+type ResumeRequest = (result: Effect.Effect<unknown, PeerUnreachable>) => void;
 
 /** One connection, from its handshake to its end. */
 export class Link {
@@ -45,72 +45,72 @@
   /** Name of the end that dialled. */
   readonly dialler: string;
   readonly establishedAt: number;
-  readonly #host: LinkHost;
+  readonly #context: LinkContext;
   readonly #socket: Socket;
   readonly #session: Session;
   readonly #writer: LinkWriter;
-  readonly #times: LinkTimes;
-  readonly #handling: LinkHandlers;
-  readonly #pending = new Map<number, Settle>();
+  readonly #activity: LinkActivity;
+  readonly #handlers: LinkHandlers;
+  readonly #pendingRequests = new Map<number, ResumeRequest>();
   #nextId = 1;
   #drainingSince: number | undefined;
-  #goodbyeHeard = false;
+  #goodbyeReceived = false;
   #closed: LinkClosed | undefined;
 
   constructor(
-    host: LinkHost,
+    context: LinkContext,
     connection: {
       readonly socket: Socket;
       readonly session: Session;
       readonly dialler: string;
     },
   ) {
-    this.#host = host;
+    this.#context = context;
     this.#socket = connection.socket;
     this.#session = connection.session;
     this.peer = connection.session.peer;
     this.incarnation = connection.session.incarnation;
     this.dialler = connection.dialler;
-    this.establishedAt = host.clock.monotonic();
+    this.establishedAt = context.clock.monotonic();
     this.#writer = new LinkWriter({
       socket: connection.socket,
       sealer: connection.session.sealer,
-      traffic: host.traffic,
-      maxFrameBytes: host.settings.maxFrameBytes,
+      traffic: context.traffic,
+      maxFrameBytes: context.settings.maxFrameBytes,
     });
-    this.#times = new LinkTimes(host.settings, host.clock);
-    this.#handling = new LinkHandlers({
+    this.#activity = new LinkActivity(context.settings, context.clock);
+    this.#handlers = new LinkHandlers({
       peer: this.peer,
-      handlers: host.handlers,
-      limit: host.settings.maxInProgress,
-      scope: host.scope,
+      handlers: context.handlers,
+      limit: context.settings.maxInProgress,
+      scope: context.scope,
       reply: (message) => {
-        this.#use();
-        this.#control(message);
+        this.#recordMessage();
+        this.#sendControl(message);
       },
     });
   }
 
   /** Whether new messages may be sent. */
-  get usable(): boolean {
+  get isUsable(): boolean {
     return this.#closed === undefined && this.#drainingSince === undefined;
   }
 
   /** Whether messages other than heartbeats passed lately, or are awaited. */
-  get active(): boolean {
-    return this.#times.active(this.#awaited);
+  get isActive(): boolean {
+    return this.#activity.isActive(this.#hasRequestsInProgress);
   }
 
   /** Sends a message; false when the outgoing queue is full or the link closed. */
-  post(message: Send | Request): boolean {
-    if (!this.usable) return false;
-    const { maxQueuedBytes } = this.#host.settings;
+  trySend(message: Send | Request): boolean {
+    if (!this.isUsable) return false;
+    const { maxQueuedBytes } = this.#context.settings;
     const payload = encodeLinkMessage(message);
-    if (!this.#writer.fits(payload)) return false;
+    if (!this.#writer.fitsFrame(payload)) return false;
     if (this.#writer.queuedBytes + payload.length > maxQueuedBytes) {
       return false;
     }
-    this.#use();
+    this.#recordMessage();
     this.#write(payload);
     return true;
   }
@@ -123,30 +123,30 @@
     return Effect.callback((resume) => {
       const id = this.#nextId;
       this.#nextId += 1;
-      if (!this.post({ kind: "request", id, channel, body })) {
+      if (!this.trySend({ kind: "request", id, channel, body })) {
         resume(Effect.fail(peerUnreachable(this.peer, "no-link")));
         return;
       }
-      this.#pending.set(id, resume);
+      this.#pendingRequests.set(id, resume);
       return Effect.sync(() => {
-        if (!this.#pending.delete(id)) return;
-        this.#control({ kind: "cancel", id });
+        if (!this.#pendingRequests.delete(id)) return;
+        this.#sendControl({ kind: "cancel", id });
       });
     });
   }
 
   /** Reads and dispatches frames until the link ends. */
   serve(reader: FrameReader): Effect.Effect<LinkClosed> {
-    const host = this.#host;
-    reader.setLimit(host.settings.maxFrameBytes);
+    const context = this.#context;
+    reader.setMaxFrameBytes(context.settings.maxFrameBytes);
     const run = Effect.gen({ self: this }, function* () {
       const requests = yield* Effect.scope;
       while (true) {
         const frame = yield* reader.next();
-        host.traffic.addReceived(frame.length + LENGTH_BYTES);
+        context.traffic.addReceived(frame.length + LENGTH_BYTES);
         const payload = yield* fromResult(this.#session.opener.open(frame));
         const message = yield* fromResult(decodeLinkMessage(payload));
-        this.#times.heard();
+        this.#activity.recordReceived();
         yield* this.#dispatch(message, requests);
       }
     });
@@ -154,7 +154,9 @@
       Effect.flip,
       // After both goodbyes the end of the stream is the agreed one, also when
       // it is read before this end's own turn to close.
-      Effect.map((reason) => this.#goodbyeHeard ? linkClosed("idle") : reason),
+      Effect.map((reason) =>
+        this.#goodbyeReceived ? linkClosed("idle") : reason
+      ),
       Effect.map((reason) => this.#closed ?? reason),
       Effect.onExit((exit) =>
         Effect.sync(() =>
@@ -169,8 +171,8 @@
     if (this.#closed !== undefined) return;
     this.#closed = reason;
     this.#socket.destroy();
-    const waiting = [...this.#pending.values()];
-    this.#pending.clear();
+    const waiting = [...this.#pendingRequests.values()];
+    this.#pendingRequests.clear();
     for (const settle of waiting) {
       settle(Effect.fail(peerUnreachable(this.peer, "closed")));
     }
@@ -182,35 +184,35 @@
    * arrives, so that closing an idle link loses no message.
    */
   drain(): void {
-    if (!this.usable) return;
-    this.#control({ kind: "goodbye" });
-    this.#drainingSince = this.#host.clock.monotonic();
+    if (!this.isUsable) return;
+    this.#sendControl({ kind: "goodbye" });
+    this.#drainingSince = this.#context.clock.monotonic();
   }
 
   /** Ignores the silence so far: it was ours, not the other end's. */
-  forgiveSilence(): void {
-    this.#times.heard();
+  resetSilenceTimer(): void {
+    this.#activity.recordReceived();
   }
 
   /** Sends a heartbeat if one is due, and ends the link if it is silent or idle. */
   tick(): void {
     if (this.#closed !== undefined) return;
     if (this.#drainingSince !== undefined) return this.#tickDraining();
-    if (this.#times.heartbeatDue(this.#awaited)) {
-      this.#control({ kind: "heartbeat", digest: this.#host.digest() });
+    if (this.#activity.heartbeatDue(this.#hasRequestsInProgress)) {
+      this.#sendControl({ kind: "heartbeat", digest: this.#context.digest() });
     }
-    const verdict = this.#times.verdict(this.#awaited);
+    const verdict = this.#activity.liveness(this.#hasRequestsInProgress);
     if (verdict === "silent") this.close(linkClosed("silent"));
     if (verdict === "idle") this.drain();
   }
 
   #tickDraining(): void {
-    const now = this.#host.clock.monotonic();
+    const now = this.#context.clock.monotonic();
     const since = this.#drainingSince ?? now;
-    if (this.#goodbyeHeard && !this.#awaited) {
+    if (this.#goodbyeReceived && !this.#hasRequestsInProgress) {
       this.#closed = linkClosed("idle");
       this.#socket.end();
-    } else if (now - since > this.#host.settings.idleMs) {
+    } else if (now - since > this.#context.settings.idleMs) {
       this.close(linkClosed("idle"));
     }
   }
@@ -221,11 +223,11 @@
   ): Effect.Effect<void> {
     switch (message.kind) {
       case "send":
-        this.#use();
-        return this.#handling.receive(message);
+        this.#recordMessage();
+        return this.#handlers.handleSend(message);
       case "request":
-        this.#use();
-        return this.#handling.answer(message, requests);
+        this.#recordMessage();
+        return this.#handlers.handleRequest(message, requests);
       case "answer":
         return this.#settle(message.id, Effect.succeed(message.body));
       case "failure": {
@@ -236,14 +238,14 @@
         return this.#settle(message.id, Effect.fail(failure));
       }
       case "cancel":
-        return this.#handling.cancel(message.id, requests);
+        return this.#handlers.cancel(message.id, requests);
       case "heartbeat":
         return Effect.sync(() =>
-          this.#host.receiveDigest(this.peer, message.digest)
+          this.#context.receiveDigest(this.peer, message.digest)
         );
       case "goodbye":
         return Effect.sync(() => {
-          this.#goodbyeHeard = true;
+          this.#goodbyeReceived = true;
           this.drain();
         });
     }
@@ -253,20 +255,20 @@
     id: number,
     result: Effect.Effect<unknown, PeerUnreachable>,
   ): Effect.Effect<void> {
-    this.#use();
-    const settle = this.#pending.get(id);
-    this.#pending.delete(id);
+    this.#recordMessage();
+    const settle = this.#pendingRequests.get(id);
+    this.#pendingRequests.delete(id);
     settle?.(result);
     return Effect.void;
   }
 
   /** Whether either end waits for an answer. */
-  get #awaited(): boolean {
-    return this.#pending.size > 0 || this.#handling.answering;
+  get #hasRequestsInProgress(): boolean {
+    return this.#pendingRequests.size > 0 || this.#handlers.hasRunningRequests;
   }
 
-  #use(): void {
-    this.#times.used(this.#awaited);
+  #recordMessage(): void {
+    this.#activity.recordMessage(this.#hasRequestsInProgress);
   }
 
   /**
@@ -274,22 +276,22 @@
    * the queue's bound, since a lost answer costs the requester its timeout; an
    * end that leaves twice the bound unread is given up.
    */
-  #control(message: LinkMessage): void {
+  #sendControl(message: LinkMessage): void {
     if (this.#closed !== undefined) return;
     const payload = encodeLinkMessage(message);
-    if (this.#writer.fits(payload)) {
+    if (this.#writer.fitsFrame(payload)) {
       this.#write(payload);
     } else if (message.kind === "answer") {
       const { id } = message;
-      this.#control({ kind: "failure", id, reason: "handler-failed" });
+      this.#sendControl({ kind: "failure", id, reason: "handler-failed" });
     }
-    if (this.#writer.queuedBytes > 2 * this.#host.settings.maxQueuedBytes) {
+    if (this.#writer.queuedBytes > 2 * this.#context.settings.maxQueuedBytes) {
       this.close(linkClosed("refused", "other end does not read"));
     }
   }
 
   #write(payload: Uint8Array): void {
-    this.#times.sent();
+    this.#activity.recordSent();
     this.#writer.write(payload);
   }
 }
--- a/packages/coordination/src/connection/link_handlers.ts
+++ b/packages/coordination/src/connection/link_handlers.ts
@@ -34,15 +34,15 @@
   }
 
   /** Whether the other end waits for an answer. */
-  get answering(): boolean {
+  get hasRunningRequests(): boolean {
     return this.#running.size > 0;
   }
 
   /** Handles a message that is not answered; it is dropped over the limit. */
-  receive(message: Send): Effect.Effect<void> {
+  handleSend(message: Send): Effect.Effect<void> {
     const { handlers, peer, scope } = this.#options;
     const handler = handlers.get(message.channel);
-    if (handler === undefined || this.#full()) return Effect.void;
+    if (handler === undefined || this.#isAtLimit()) return Effect.void;
     this.#inProgress += 1;
     return Effect.suspend(() => handler(peer, message.body)).pipe(
       Effect.onExit(() =>
@@ -56,7 +56,7 @@
   }
 
   /** Handles a request; its handler is interrupted when the link's scope closes. */
-  answer(message: Request, scope: Scope.Scope): Effect.Effect<void> {
+  handleRequest(message: Request, scope: Scope.Scope): Effect.Effect<void> {
     const { handlers, peer, reply } = this.#options;
     const { id } = message;
     const handler = handlers.get(message.channel);
@@ -67,7 +67,7 @@
     // Refused rather than held back: if both ends stopped reading until their
     // handlers were done, and those waited for answers on this very link,
     // neither end would ever read again.
-    if (this.#full()) {
+    if (this.#isAtLimit()) {
       reply({ kind: "failure", id, reason: "busy" });
       return Effect.void;
     }
@@ -103,7 +103,7 @@
     );
   }
 
-  #full(): boolean {
+  #isAtLimit(): boolean {
     return this.#inProgress >= this.#options.limit;
   }
 }
--- a/packages/coordination/src/connection/link_liveness.ts
+++ b/packages/coordination/src/connection/link_liveness.ts
@@ -16,66 +16,67 @@
  * nothing waits for seldom, since hundreds of links at a heartbeat a second
  * would take a daemon's whole control traffic.
  */
-export class LinkTimes {
+export class LinkActivity {
   readonly #settings: LinkSettings;
   readonly #clock: Clock;
-  #heard: number;
-  #sent: number;
-  #used: number;
+  #lastReceivedAt: number;
+  #lastSentAt: number;
+  #lastMessageAt: number;
   #activeSince: number;
 
   constructor(settings: LinkSettings, clock: Clock) {
     this.#settings = settings;
     this.#clock = clock;
     const now = clock.monotonic();
-    this.#heard = now;
-    this.#sent = now;
-    this.#used = now;
+    this.#lastReceivedAt = now;
+    this.#lastSentAt = now;
+    this.#lastMessageAt = now;
     this.#activeSince = now;
   }
 
   /** A frame came. */
-  heard(): void {
-    this.#heard = this.#clock.monotonic();
+  recordReceived(): void {
+    this.#lastReceivedAt = this.#clock.monotonic();
   }
 
   /** A frame was written. */
-  sent(): void {
-    this.#sent = this.#clock.monotonic();
+  recordSent(): void {
+    this.#lastSentAt = this.#clock.monotonic();
   }
 
   /** A message other than a heartbeat passed. */
-  used(awaited: boolean): void {
+  recordMessage(awaited: boolean): void {
     const now = this.#clock.monotonic();
-    if (!this.active(awaited)) this.#activeSince = now;
-    this.#used = now;
+    if (!this.isActive(awaited)) this.#activeSince = now;
+    this.#lastMessageAt = now;
   }
 
   /** Whether messages passed lately or an answer is awaited. */
-  active(awaited: boolean): boolean {
+  isActive(awaited: boolean): boolean {
     if (awaited) return true;
-    return this.#clock.monotonic() - this.#used < this.#settings.activeMs;
+    return this.#clock.monotonic() - this.#lastMessageAt <
+      this.#settings.activeMs;
   }
 
   /** Whether a heartbeat should be sent. */
   heartbeatDue(awaited: boolean): boolean {
     const { heartbeatMs, idleHeartbeatMs } = this.#settings;
-    const interval = this.active(awaited) ? heartbeatMs : idleHeartbeatMs;
-    return this.#clock.monotonic() - this.#sent >= interval;
+    const interval = this.isActive(awaited) ? heartbeatMs : idleHeartbeatMs;
+    return this.#clock.monotonic() - this.#lastSentAt >= interval;
   }
 
   /** What the silence and the lack of use amount to. */
-  verdict(awaited: boolean): Liveness {
+  liveness(awaited: boolean): Liveness {
     const { silentMs, idleHeartbeatMs, idleMs } = this.#settings;
     const now = this.#clock.monotonic();
-    const active = this.active(awaited);
+    const active = this.isActive(awaited);
     // The far end learns that the link is in use again only from our message,
     // so silence is counted from that message at the earliest.
     const heard = active
-      ? Math.max(this.#heard, this.#activeSince)
-      : this.#heard;
+      ? Math.max(this.#lastReceivedAt, this.#activeSince)
+      : this.#lastReceivedAt;
     const limitMs = active ? silentMs : idleHeartbeatMs + silentMs;
     if (now - heard > limitMs) return "silent";
-    return !active && now - this.#used > idleMs ? "idle" : "well";
+    return !active && now - this.#lastMessageAt > idleMs ? "idle" : "well";
   }
 }
--- a/packages/coordination/src/connection/link_message.ts
+++ b/packages/coordination/src/connection/link_message.ts
@@ -73,7 +73,7 @@
   | Heartbeat
   | Goodbye;
 
-const KIND = {
+const KIND_CODES = {
   send: 0,
   request: 1,
   answer: 2,
@@ -83,13 +83,13 @@
   goodbye: 6,
 } as const;
 
-const FAILURES: readonly FailureReason[] = [
+const FAILURE_REASONS: readonly FailureReason[] = [
   "no-handler",
   "busy",
   "handler-failed",
 ];
 
-function fieldsOf(message: LinkMessage): readonly unknown[] {
+function encodeFields(message: LinkMessage): readonly unknown[] {
   switch (message.kind) {
     case "send":
       return [message.channel, message.body];
@@ -98,7 +98,7 @@
     case "answer":
       return [message.id, message.body];
     case "failure":
-      return [message.id, FAILURES.indexOf(message.reason)];
+      return [message.id, FAILURE_REASONS.indexOf(message.reason)];
     case "cancel":
       return [message.id];
     case "heartbeat":
@@ -110,36 +110,36 @@
 
 /** Encodes a message as the payload of a frame. */
 export function encodeLinkMessage(message: LinkMessage): Buffer {
-  return encodeItem([KIND[message.kind], ...fieldsOf(message)]);
+  return encodeItem([KIND_CODES[message.kind], ...encodeFields(message)]);
 }
 
 function isId(value: unknown): value is number {
   return Number.isSafeInteger(value);
 }
 
-function parse(item: readonly unknown[]): LinkMessage | undefined {
+function parseMessage(item: readonly unknown[]): LinkMessage | undefined {
   const [kind, first, second, third] = item;
   switch (kind) {
-    case KIND.send:
+    case KIND_CODES.send:
       if (typeof first !== "string") return undefined;
       return { kind: "send", channel: first, body: second };
-    case KIND.request:
+    case KIND_CODES.request:
       if (!isId(first) || typeof second !== "string") return undefined;
       return { kind: "request", id: first, channel: second, body: third };
-    case KIND.answer:
+    case KIND_CODES.answer:
       return isId(first)
         ? { kind: "answer", id: first, body: second }
         : undefined;
-    case KIND.failure: {
-      const reason = FAILURES[Number(second)];
+    case KIND_CODES.failure: {
+      const reason = FAILURE_REASONS[Number(second)];
       if (!isId(first) || reason === undefined) return undefined;
       return { kind: "failure", id: first, reason };
     }
-    case KIND.cancel:
+    case KIND_CODES.cancel:
       return isId(first) ? { kind: "cancel", id: first } : undefined;
-    case KIND.heartbeat:
+    case KIND_CODES.heartbeat:
       return { kind: "heartbeat", digest: first };
-    case KIND.goodbye:
+    case KIND_CODES.goodbye:
       return { kind: "goodbye" };
     default:
       return undefined;
@@ -153,6 +153,6 @@
   const decoded = decodeItem(payload);
   if (decoded.isErr()) return err(linkClosed("malformed"));
   if (!Array.isArray(decoded.value)) return err(linkClosed("malformed"));
-  const message = parse(decoded.value);
+  const message = parseMessage(decoded.value);
   return message === undefined ? err(linkClosed("malformed")) : ok(message);
 }
--- a/packages/coordination/src/connection/link_writer.ts
+++ b/packages/coordination/src/connection/link_writer.ts
@@ -33,7 +33,7 @@
   }
 
   /** Whether a message may be sent: the other end closes on a larger frame. */
-  fits(payload: Uint8Array): boolean {
+  fitsFrame(payload: Uint8Array): boolean {
     return payload.length + TAG_BYTES <= this.#options.maxFrameBytes;
   }
 
--- a/packages/coordination/src/connection/linked_peers.ts
+++ b/packages/coordination/src/connection/linked_peers.ts
@@ -13,12 +13,12 @@
 import { listen } from "./dial.ts";
 import { FrameReader, linkClosed } from "./frame.ts";
 import type { Identity } from "./handshake.ts";
-import { acceptHandshake, HANDSHAKE_LIMIT } from "./handshake.ts";
+import { acceptHandshake, MAX_HANDSHAKE_FRAME_BYTES } from "./handshake.ts";
 import { Link } from "./link.ts";
-import type { LinkHost } from "./link.ts";
+import type { LinkContext } from "./link.ts";
 import type { LinkSettings } from "./link_settings.ts";
 import { Peer } from "./peer.ts";
-import type { PeerHost } from "./peer.ts";
+import type { PeerContext } from "./peer.ts";
 import type {
   MessageHandler,
   Peers,
@@ -51,14 +51,14 @@
   readonly #listeners = new Set<
     (peer: string, state: "up" | "down") => void
   >();
-  readonly #host: PeerHost;
+  readonly #context: PeerContext;
   #handshakes = 0;
 
   /** @internal Use {@linkcode LinkedPeers.make}. */
   constructor(options: LinkedPeersOptions, scope: Scope.Scope) {
     this.#options = options;
     this.#scope = scope;
-    const linkHost: LinkHost = {
+    const linkContext: LinkContext = {
       clock: options.clock,
       settings: options.settings,
       traffic: options.traffic,
@@ -67,12 +67,12 @@
       digest: () => options.digest.read(),
       receiveDigest: (from, digest) => options.digest.receive(from, digest),
     };
-    this.#host = {
-      ...linkHost,
+    this.#context = {
+      ...linkContext,
       key: options.key,
       self: () => options.self(),
       resolve: (name) => options.resolve(name),
-      changed: (peer, state) => {
+      stateChanged: (peer, state) => {
         for (const listener of [...this.#listeners]) listener(peer, state);
       },
     };
@@ -146,7 +146,7 @@
   #peer(name: string): Peer {
     const known = this.#peers.get(name);
     if (known !== undefined) return known;
-    const peer = new Peer(name, this.#host);
+    const peer = new Peer(name, this.#context);
     this.#peers.set(name, peer);
     return peer;
   }
@@ -155,7 +155,7 @@
     to: string,
     message: { readonly channel: string; readonly body: unknown },
   ): Effect.Effect<unknown, PeerUnreachable> {
-    return this.#peer(to).link().pipe(
+    return this.#peer(to).acquireLink().pipe(
       Effect.flatMap((link) => link.request(message.channel, message.body)),
     );
   }
@@ -184,7 +184,7 @@
       return Effect.sync(() => socket.destroy());
     }
     this.#handshakes += 1;
-    const reader = new FrameReader(socket, HANDSHAKE_LIMIT);
+    const reader = new FrameReader(socket, MAX_HANDSHAKE_FRAME_BYTES);
     const self = this.#options.self();
     return acceptHandshake({ socket, reader, key, self }).pipe(
       Effect.timeoutOrElse({
@@ -196,7 +196,7 @@
       })),
       Effect.flatMap((session) => {
         const dialler = session.peer;
-        const link = new Link(this.#host, { socket, session, dialler });
+        const link = new Link(this.#context, { socket, session, dialler });
         return this.#peer(session.peer).serve(link, reader);
       }),
       Effect.ensuring(Effect.sync(() => socket.destroy())),
@@ -216,9 +216,9 @@
       const paused = now - last > settings.silentMs / 2;
       last = now;
       for (const [name, peer] of this.#peers) {
-        if (paused) peer.forgiveSilence();
+        if (paused) peer.resetSilenceTimers();
         peer.tick();
-        if (peer.disposable) this.#peers.delete(name);
+        if (peer.isDisposable) this.#peers.delete(name);
       }
     });
     return Effect.sleep(intervalMs).pipe(
--- a/packages/coordination/src/connection/peer.ts
+++ b/packages/coordination/src/connection/peer.ts
@@ -9,23 +9,23 @@
 import { dial } from "./dial.ts";
 import { FrameReader, linkClosed } from "./frame.ts";
 import type { LinkClosed } from "./frame.ts";
-import { dialHandshake, HANDSHAKE_LIMIT } from "./handshake.ts";
+import { dialHandshake, MAX_HANDSHAKE_FRAME_BYTES } from "./handshake.ts";
 import type { Identity } from "./handshake.ts";
 import { Link } from "./link.ts";
-import type { LinkHost } from "./link.ts";
+import type { LinkContext } from "./link.ts";
 import type { Send } from "./link_message.ts";
 import type { PeerUnreachable } from "../process/peers.ts";
 import { peerUnreachable } from "../process/peers.ts";
 
 /** What the links to one member need of the process around them. */
-export interface PeerHost extends LinkHost {
+export interface PeerContext extends LinkContext {
   readonly key: Uint8Array;
   self(): Identity;
   resolve(name: string): Endpoint | undefined;
-  changed(peer: string, state: "up" | "down"): void;
+  stateChanged(peer: string, state: "up" | "down"): void;
 }
 
-type Waiter = (result: Effect.Effect<Link, PeerUnreachable>) => void;
+type LinkWaiter = (result: Effect.Effect<Link, PeerUnreachable>) => void;
 
 /**
  * The links to one member. There is usually one; two while both ends dial each
@@ -33,51 +33,53 @@
  */
 export class Peer {
   readonly #name: string;
-  readonly #host: PeerHost;
+  readonly #context: PeerContext;
   readonly #links = new Set<Link>();
-  readonly #waiters = new Set<Waiter>();
-  #waiting: Send[] = [];
+  readonly #linkWaiters = new Set<LinkWaiter>();
+  #queuedMessages: Send[] = [];
   #dialling = false;
-  #up = false;
+  #isUp = false;
   #stopped = false;
   #retryAt = Number.NEGATIVE_INFINITY;
   #backoffMs: number;
 
-  constructor(name: string, host: PeerHost) {
+  constructor(name: string, context: PeerContext) {
     this.#name = name;
-    this.#host = host;
-    this.#backoffMs = host.settings.minBackoffMs;
+    this.#context = context;
+    this.#backoffMs = context.settings.minBackoffMs;
   }
 
   /** Whether nothing would be lost by forgetting this peer. */
-  get disposable(): boolean {
+  get isDisposable(): boolean {
     if (this.#links.size > 0 || this.#dialling) return false;
-    return this.#host.clock.monotonic() >= this.#retryAt;
+    return this.#context.clock.monotonic() >= this.#retryAt;
   }
 
   /** Sends now, or as soon as the link is there; false when neither can be. */
   send(message: Send): boolean {
-    const link = this.#best();
-    if (link !== undefined) return link.post(message);
-    if (!this.#mayDial()) return false;
-    if (this.#waiting.length >= this.#host.settings.maxWaiting) return false;
-    this.#waiting.push(message);
+    const link = this.#preferredLink();
+    if (link !== undefined) return link.trySend(message);
+    if (!this.#canDial()) return false;
+    if (this.#queuedMessages.length >= this.#context.settings.maxWaiting) {
+      return false;
+    }
+    this.#queuedMessages.push(message);
     this.#startDialling();
     return true;
   }
 
   /** A usable link, dialled if there is none. */
-  link(): Effect.Effect<Link, PeerUnreachable> {
+  acquireLink(): Effect.Effect<Link, PeerUnreachable> {
     return Effect.callback((resume) => {
-      const link = this.#best();
+      const link = this.#preferredLink();
       if (link !== undefined) return resume(Effect.succeed(link));
-      if (!this.#mayDial()) {
+      if (!this.#canDial()) {
         return resume(Effect.fail(peerUnreachable(this.#name, "no-link")));
       }
-      this.#waiters.add(resume);
+      this.#linkWaiters.add(resume);
       this.#startDialling();
       return Effect.sync(() => {
-        this.#waiters.delete(resume);
+        this.#linkWaiters.delete(resume);
       });
     });
   }
@@ -92,7 +94,7 @@
       this.#add(link);
       return link.serve(reader).pipe(
         Effect.onExit(() => Effect.sync(() => this.#links.delete(link))),
-        Effect.map((reason) => this.#ended(link, reason)),
+        Effect.map((reason) => this.#linkEnded(link, reason)),
       );
     });
   }
@@ -103,8 +105,8 @@
   }
 
   /** Ignores the silence of all links so far. */
-  forgiveSilence(): void {
-    for (const link of this.#links) link.forgiveSilence();
+  resetSilenceTimers(): void {
+    for (const link of this.#links) link.resetSilenceTimer();
   }
 
   /** Ends all links and dials no more. */
@@ -118,10 +120,10 @@
    * dialled at once it is the one whose dialler has the lesser name; of others
    * the newer, since the older was given up by the end that dialled again.
    */
-  #best(): Link | undefined {
+  #preferredLink(): Link | undefined {
     let best: Link | undefined;
     for (const link of this.#links) {
-      if (!link.usable) continue;
+      if (!link.isUsable) continue;
       if (best === undefined || this.#prefers(link, best)) best = link;
     }
     return best;
@@ -129,7 +131,7 @@
 
   #prefers(link: Link, other: Link): boolean {
     const newerMs = link.establishedAt - other.establishedAt;
-    const atOnce = Math.abs(newerMs) <= this.#host.settings.dialTimeoutMs;
+    const atOnce = Math.abs(newerMs) <= this.#context.settings.dialTimeoutMs;
     return atOnce && link.dialler !== other.dialler
       ? link.dialler < other.dialler
       : newerMs >= 0;
@@ -150,14 +152,14 @@
       }
     }
     this.#links.add(link);
-    this.#backoffMs = this.#host.settings.minBackoffMs;
+    this.#backoffMs = this.#context.settings.minBackoffMs;
     this.#retryAt = Number.NEGATIVE_INFINITY;
-    this.#setUp(true);
-    const messages = this.#waiting;
-    this.#waiting = [];
-    for (const message of messages) link.post(message);
-    for (const resume of [...this.#waiters]) resume(Effect.succeed(link));
-    this.#waiters.clear();
+    this.#setState(true);
+    const messages = this.#queuedMessages;
+    this.#queuedMessages = [];
+    for (const message of messages) link.trySend(message);
+    for (const resume of [...this.#linkWaiters]) resume(Effect.succeed(link));
+    this.#linkWaiters.clear();
   }
 
   /**
@@ -165,23 +167,23 @@
    * down: what lies between the ends may have lost track of a connection while
    * both ends and new connections are well.
    */
-  #ended(link: Link, reason: LinkClosed): void {
+  #linkEnded(link: Link, reason: LinkClosed): void {
     if (this.#stopped || reason.reason === "idle") return;
-    if (this.#best() !== undefined) return;
-    if (link.active && this.#mayDial()) return this.#startDialling();
-    this.#setUp(false);
+    if (this.#preferredLink() !== undefined) return;
+    if (link.isActive && this.#canDial()) return this.#startDialling();
+    this.#setState(false);
   }
 
-  #mayDial(): boolean {
+  #canDial(): boolean {
     if (this.#stopped) return false;
     if (this.#dialling) return true;
-    return this.#host.clock.monotonic() >= this.#retryAt;
+    return this.#context.clock.monotonic() >= this.#retryAt;
   }
 
   #startDialling(): void {
     if (this.#dialling) return;
     this.#dialling = true;
-    Effect.runFork(this.#dial().pipe(Effect.forkIn(this.#host.scope)));
+    Effect.runFork(this.#dial().pipe(Effect.forkIn(this.#context.scope)));
   }
 
   /** The task of a connection that this end dials. */
@@ -201,7 +203,7 @@
     { readonly link: Link; readonly reader: FrameReader },
     LinkClosed
   > {
-    const host = this.#host;
+    const host = this.#context;
     const endpoint = host.resolve(this.#name);
     if (endpoint === undefined) return Effect.fail(linkClosed("refused"));
     return dial(endpoint).pipe(
@@ -214,8 +216,8 @@
   }
 
   #authenticate(socket: Socket) {
-    const host = this.#host;
-    const reader = new FrameReader(socket, HANDSHAKE_LIMIT);
+    const host = this.#context;
+    const reader = new FrameReader(socket, MAX_HANDSHAKE_FRAME_BYTES);
     const self = host.self();
     const options = { socket, reader, key: host.key, self };
     return dialHandshake(options, this.#name).pipe(
@@ -229,21 +231,21 @@
   }
 
   #dialFailed(): void {
-    const { settings, clock } = this.#host;
+    const { settings, clock } = this.#context;
     this.#dialling = false;
-    if (this.#best() !== undefined) return;
+    if (this.#preferredLink() !== undefined) return;
     this.#retryAt = clock.monotonic() + this.#backoffMs;
     this.#backoffMs = Math.min(this.#backoffMs * 2, settings.maxBackoffMs);
-    this.#waiting = [];
+    this.#queuedMessages = [];
     const failure = Effect.fail(peerUnreachable(this.#name, "no-link"));
-    for (const resume of [...this.#waiters]) resume(failure);
-    this.#waiters.clear();
-    this.#setUp(false);
+    for (const resume of [...this.#linkWaiters]) resume(failure);
+    this.#linkWaiters.clear();
+    this.#setState(false);
   }
 
-  #setUp(up: boolean): void {
-    if (this.#up === up) return;
-    this.#up = up;
-    this.#host.changed(this.#name, up ? "up" : "down");
+  #setState(up: boolean): void {
+    if (this.#isUp === up) return;
+    this.#isUp = up;
+    this.#context.stateChanged(this.#name, up ? "up" : "down");
   }
 }
--- a/packages/coordination/src/connection/session.ts
+++ b/packages/coordination/src/connection/session.ts
@@ -16,7 +16,11 @@
 
 const SEQUENCE_BYTES = 8;
 
-function tagOf(key: Uint8Array, sequence: bigint, payload: Uint8Array): Buffer {
+function computeTag(
+  key: Uint8Array,
+  sequence: bigint,
+  payload: Uint8Array,
+): Buffer {
   const counter = Buffer.allocUnsafe(SEQUENCE_BYTES);
   counter.writeBigUInt64BE(sequence);
   return createHmac("sha256", key)
@@ -43,7 +47,7 @@
 
   /** Makes the frame of one payload. */
   seal(payload: Uint8Array): Buffer {
-    const tag = tagOf(this.#key, this.#sequence, payload);
+    const tag = computeTag(this.#key, this.#sequence, payload);
     this.#sequence += 1n;
     return encodeFrame([tag, payload]);
   }
@@ -62,7 +66,7 @@
   open(frame: Uint8Array): Result<Uint8Array, LinkClosed> {
     if (frame.length < TAG_BYTES) return err(linkClosed("forged"));
     const payload = frame.subarray(TAG_BYTES);
-    const tag = tagOf(this.#key, this.#sequence, payload);
+    const tag = computeTag(this.#key, this.#sequence, payload);
     if (!timingSafeEqual(tag, frame.subarray(0, TAG_BYTES))) {
       return err(linkClosed("forged"));
     }
--- a/packages/coordination/src/mod.ts
+++ b/packages/coordination/src/mod.ts
@@ -82,6 +82,9 @@
 export { Shares } from "./process/shares.ts";
 export type { Share, SharedLimit, SharesOptions } from "./process/shares.ts";
 export type { ShareTimes } from "./process/share_holding.ts";
-export { Published } from "./version/published.ts";
-export type { PublishedOptions, VersionedValue } from "./version/published.ts";
+export { PublishedValue } from "./version/published_value.ts";
+export type {
+  PublishedValueOptions,
+  VersionedValue,
+} from "./version/published_value.ts";
 export type { Traffic } from "./process/traffic.ts";
--- a/packages/coordination/src/process/digest_board.ts
+++ b/packages/coordination/src/process/digest_board.ts
@@ -13,7 +13,7 @@
  * ```ts
  * const board = new DigestBoard();
  * const node = yield* startNode({ ...options, digest: board });
- * const table = new Published({ ...parts, peers: node.peers });
+ * const table = new PublishedValue({ ...parts, peers: node.peers });
  * board.add("table", table.digest);
  * ```
  */
--- a/packages/coordination/src/version/json_delta.ts
+++ b/packages/coordination/src/version/json_delta.ts
@@ -50,7 +50,7 @@
 export function makeDelta(from: Json, to: Json): JsonDelta {
   if (equal(from, to)) return { op: "same" };
   if (isList(from) && isList(to)) return makeSplice(from, to);
-  if (isFields(from) && isFields(to)) return makeFields(from, to);
+  if (isJsonObject(from) && isJsonObject(to)) return makeFields(from, to);
   return { op: "set", value: to };
 }
 
@@ -79,14 +79,14 @@
   return { op: "splice", head, tail, items: to.slice(head, to.length - tail) };
 }
 
-function makeFields(from: Fields, to: Fields): JsonDelta {
+function makeFields(from: JsonObject, to: JsonObject): JsonDelta {
   const changed: Record<string, JsonDelta> = {};
   for (const [key, value] of Object.entries(to)) {
     const before = Object.hasOwn(from, key) ? from[key] : undefined;
     const delta: JsonDelta = before === undefined
       ? { op: "set", value }
       : makeDelta(before, value);
-    if (delta.op !== "same") put(changed, key, delta);
+    if (delta.op !== "same") defineField(changed, key, delta);
   }
   const removed = Object.keys(from).filter((key) => !Object.hasOwn(to, key));
   return { op: "fields", changed, removed };
@@ -111,23 +111,27 @@
   from: Json,
   delta: JsonDelta & { readonly op: "fields" },
 ): Json {
-  if (!isFields(from)) {
+  if (!isJsonObject(from)) {
     throw new DeltaMismatch("Cannot apply delta: the value is not an object");
   }
   const removed = new Set(delta.removed);
   const next: Record<string, Json> = {};
   for (const [key, value] of Object.entries(from)) {
-    if (!removed.has(key)) put(next, key, value);
+    if (!removed.has(key)) defineField(next, key, value);
   }
   for (const [key, change] of Object.entries(delta.changed)) {
     const before = Object.hasOwn(from, key) ? from[key] : undefined;
-    put(next, key, applyDelta(before ?? null, change));
+    defineField(next, key, applyDelta(before ?? null, change));
   }
   return next;
 }
 
 /** An own field even when it is named `__proto__`. */
-function put<T>(object: Record<string, T>, key: string, value: T): void {
+function defineField<T>(
+  object: Record<string, T>,
+  key: string,
+  value: T,
+): void {
   Object.defineProperty(object, key, {
     value,
     enumerable: true,
@@ -136,13 +140,13 @@
   });
 }
 
-type Fields = { readonly [key: string]: Json };
+type JsonObject = { readonly [key: string]: Json };
 
 function isList(value: Json): value is readonly Json[] {
   return Array.isArray(value);
 }
 
-function isFields(value: Json): value is Fields {
+function isJsonObject(value: Json): value is JsonObject {
   return typeof value === "object" && value !== null && !isList(value);
 }
 
@@ -153,7 +157,7 @@
     return isList(b) && a.length === b.length &&
       a.every((item, index) => equal(item, b[index]));
   }
-  if (!isFields(a) || !isFields(b)) return false;
+  if (!isJsonObject(a) || !isJsonObject(b)) return false;
   const keys = Object.keys(a);
   return keys.length === Object.keys(b).length &&
     keys.every((key) => Object.hasOwn(b, key) && equal(a[key], b[key]));
--- a/packages/coordination/src/version/published.ts
+++ b/packages/coordination/src/version/published_value.ts
@@ -19,8 +19,8 @@
 import { VersionHistory } from "./version_history.ts";
 import { chooseWatchers } from "./watchers.ts";
 
-const COMPARE_EVERY_MS = 1_000;
-const SYNC_AGAIN_MS = 1_000;
+const COMPARE_INTERVAL_MS = 1_000;
+const SYNC_RETRY_MS = 1_000;
 
 /** A value with the version that the store gave it. */
 export interface VersionedValue<T> {
@@ -28,8 +28,8 @@
   readonly value: T;
 }
 
-/** Settings of a {@linkcode Published}. */
-export interface PublishedOptions<T> {
+/** Settings of a {@linkcode PublishedValue}. */
+export interface PublishedValueOptions<T> {
   readonly store: Store;
   readonly peers: Peers;
   readonly membership: Membership;
@@ -53,29 +53,29 @@
  * or a cut kept away comes by another way. A version is applied only when it is
  * higher than the one in force, whoever sends it, so nothing reverts.
  *
- * Life: construct, {@linkcode Published.start}, await {@linkcode Published.ready}.
+ * Life: construct, {@linkcode PublishedValue.start}, await {@linkcode PublishedValue.ready}.
  *
  * @example
  * ```ts
- * const table = new Published({ store, peers, membership, kind: "table",
+ * const table = new PublishedValue({ store, peers, membership, kind: "table",
  *   name: "current", decode });
  * yield* table.start();
  * const { version, value } = yield* table.ready;
  * ```
  */
-export class Published<T> {
-  readonly #options: PublishedOptions<T>;
+export class PublishedValue<T> {
+  readonly #options: PublishedValueOptions<T>;
   readonly #history = new VersionHistory();
   readonly #exchange: VersionExchange;
   readonly #follower: StoreFollower;
   readonly #pauseDetector: PauseDetector;
   readonly #listeners = new Set<(value: VersionedValue<T>) => void>();
   #ready = Deferred.makeUnsafe<VersionedValue<T>>();
-  #synced = false;
+  #isSynced = false;
   #current: VersionedValue<T> | undefined;
-  #rejected = 0;
+  #rejectedVersion = 0;
 
-  constructor(options: PublishedOptions<T>) {
+  constructor(options: PublishedValueOptions<T>) {
     this.#options = options;
     const clock = options.clock ?? SYSTEM_CLOCK;
     const { store, peers, membership, kind, name } = options;
@@ -87,18 +87,20 @@
       clock,
       channel,
       history: this.#history,
-      take: (candidate, source) => this.#take(candidate, source),
-      have: () => Math.max(this.#history.version, this.#rejected),
+      applyIfNewer: (candidate, source) =>
+        this.#applyIfNewer(candidate, source),
+      knownVersion: () =>
+        Math.max(this.#history.version, this.#rejectedVersion),
     });
     this.#follower = new StoreFollower({
       store,
       kind,
       name,
-      watches: () =>
-        chooseWatchers(membership.view(), membership.self, channel).watches,
-      silenceMs: () => this.#exchange.silenceMs,
-      take: ({ version, value }) => {
-        this.#take({ version, value: value as Json }, "store");
+      isWatcher: () =>
+        chooseWatchers(membership.view(), membership.self, channel).isWatcher,
+      msSinceContact: () => this.#exchange.msSinceContact,
+      onObject: ({ version, value }) => {
+        this.#applyIfNewer({ version, value: value as Json }, "store");
       },
     });
   }
@@ -119,7 +121,7 @@
     });
   }
 
-  /** Whether {@linkcode Published.ready} would end at once. */
+  /** Whether {@linkcode PublishedValue.ready} would end at once. */
   get isReady(): boolean {
     this.#pauseDetector.check();
     return Deferred.isDoneUnsafe(this.#ready);
@@ -129,7 +131,7 @@
   readonly digest = {
     read: (): unknown => this.#history.version,
     receive: (from: string, digest: unknown): void =>
-      this.#exchange.heard(from, digest),
+      this.#exchange.receiveVersion(from, digest),
   };
 
   /**
@@ -146,17 +148,17 @@
    * Puts a value in force that this process has written to the store, and tells
    * the others at once, so that an outage of the store does not hold it back.
    */
-  offer(candidate: { readonly version: number; readonly value: unknown }) {
+  publish(candidate: { readonly version: number; readonly value: unknown }) {
     const { version, value } = candidate;
-    this.#take({ version, value: value as Json }, "own");
+    this.#applyIfNewer({ version, value: value as Json }, "own");
   }
 
   /**
    * The version in force at each other member; undefined for those that can't be
    * reached.
    */
-  survey(): Effect.Effect<ReadonlyMap<string, number | undefined>> {
-    return this.#exchange.survey();
+  peerVersions(): Effect.Effect<ReadonlyMap<string, number | undefined>> {
+    return this.#exchange.peerVersions();
   }
 
   /** Follows the object until the scope closes. */
@@ -165,7 +167,7 @@
       const scope = yield* Effect.scope;
       this.#exchange.serve();
       const end = this.#pauseDetector.subscribe(() => {
-        this.#doubt();
+        this.#markUnready();
         Effect.runFork(Effect.forkIn(this.#sync(), scope));
       });
       yield* Effect.addFinalizer(() => Effect.sync(end));
@@ -175,8 +177,8 @@
       yield* Effect.forkScoped(this.#sync());
       yield* Effect.forkScoped(this.#follower.run());
       const compare = Effect.andThen(
-        Effect.sleep(COMPARE_EVERY_MS),
-        this.#exchange.compare(),
+        Effect.sleep(COMPARE_INTERVAL_MS),
+        this.#exchange.pullFromRandomPeer(),
       );
       yield* Effect.forkScoped(Effect.forever(compare));
     });
@@ -197,42 +199,42 @@
         // A daemon that knew a value before its pause goes on with it when it
         // reaches nobody: refusing all callers would not make it any newer.
         if (stored || reached > 0 || known) break;
-        yield* Effect.sleep(SYNC_AGAIN_MS);
+        yield* Effect.sleep(SYNC_RETRY_MS);
       }
-      this.#synced = true;
+      this.#isSynced = true;
       this.#announceReady();
     });
   }
 
-  #doubt(): void {
-    this.#synced = false;
+  #markUnready(): void {
+    this.#isSynced = false;
     if (!Deferred.isDoneUnsafe(this.#ready)) return;
     this.#ready = Deferred.makeUnsafe();
   }
 
   #announceReady(): void {
-    if (!this.#synced || this.#current === undefined) return;
+    if (!this.#isSynced || this.#current === undefined) return;
     Deferred.doneUnsafe(this.#ready, Effect.succeed(this.#current));
   }
 
-  #take(
+  #applyIfNewer(
     candidate: { readonly version: number; readonly value: Json },
     source: VersionSource,
   ): boolean {
     const { version, value } = candidate;
     const before = this.#history.version;
-    if (version <= Math.max(before, this.#rejected)) return false;
+    if (version <= Math.max(before, this.#rejectedVersion)) return false;
     let decoded: T;
     try {
       decoded = this.#options.decode(value);
     } catch (error) {
-      this.#rejected = version;
+      this.#rejectedVersion = version;
       this.#options.onRejected?.(version, error);
       return false;
     }
     this.#current = { version, value: decoded };
     this.#history.add(version, value);
-    this.#exchange.push(source, { before });
+    this.#exchange.broadcast(source, { before });
     for (const listener of [...this.#listeners]) listener(this.#current);
     this.#announceReady();
     return true;
--- a/packages/coordination/src/version/store_follower.ts
+++ b/packages/coordination/src/version/store_follower.ts
@@ -14,10 +14,10 @@
  * store's rate.
  */
 const WATCH_WAIT_MS = 1_000;
-const SHORTEST_PAUSE_MS = 250;
-const LONGEST_PAUSE_MS = 2_000;
+const MIN_BACKOFF_MS = 250;
+const MAX_BACKOFF_MS = 2_000;
 /** How often a member that is not to watch looks whether it is now. */
-const IDLE_MS = 1_000;
+const ROLE_CHECK_INTERVAL_MS = 1_000;
 /** A member that hears no other for this long reads the store itself. */
 const ISOLATED_AFTER_MS = 5_000;
 
@@ -27,10 +27,10 @@
   readonly kind: string;
   readonly name: string;
   /** Whether this process is to watch for others. */
-  readonly watches: () => boolean;
+  readonly isWatcher: () => boolean;
   /** Milliseconds since another member was heard. */
-  readonly silenceMs: () => number;
-  readonly take: (
+  readonly msSinceContact: () => number;
+  readonly onObject: (
     found: { readonly version: number; readonly value: unknown },
   ) => void;
 }
@@ -38,7 +38,7 @@
 /** Watches the object while this process is to, and reads it when isolated. */
 export class StoreFollower {
   readonly #options: StoreFollowerOptions;
-  #pauseMs = SHORTEST_PAUSE_MS;
+  #backoffMs = MIN_BACKOFF_MS;
 
   constructor(options: StoreFollowerOptions) {
     this.#options = options;
@@ -46,7 +46,7 @@
 
   /** Reads the object once. */
   read(): Effect.Effect<StoredObject | undefined, Unavailable> {
-    const { store, kind, name, take } = this.#options;
+    const { store, kind, name, onObject: take } = this.#options;
     return Effect.tap(
       store.read(kind, name),
       (found) => Effect.sync(() => found !== undefined && take(found)),
@@ -55,27 +55,30 @@
 
   /** Follows until it is interrupted. */
   run(): Effect.Effect<never> {
-    const { watches, silenceMs } = this.#options;
+    const { isWatcher: watches, msSinceContact: silenceMs } = this.#options;
     return Effect.suspend(() => {
       if (watches()) return this.#watch();
-      if (silenceMs() < ISOLATED_AFTER_MS) return Effect.sleep(IDLE_MS);
+      if (silenceMs() < ISOLATED_AFTER_MS) {
+        return Effect.sleep(ROLE_CHECK_INTERVAL_MS);
+      }
       return Effect.andThen(this.read(), Effect.sleep(ISOLATED_AFTER_MS));
     }).pipe(
-      Effect.catch((failure) => this.#pause(failure)),
+      Effect.catch((failure) => this.#backOff(failure)),
       Effect.forever,
     );
   }
 
   /** Lists anew after each failure, which finds what was missed meanwhile. */
   #watch(): Effect.Effect<void, Unavailable> {
-    const { store, kind, name, take, watches } = this.#options;
+    const { store, kind, name, onObject: take, isWatcher: watches } =
+      this.#options;
     return Effect.gen({ self: this }, function* () {
       const listed = yield* store.list(kind);
       for (const item of listed.items) if (item.name === name) take(item);
       let from = listed.revision;
       while (watches()) {
         const seen = yield* store.watch(kind, { from, waitMs: WATCH_WAIT_MS });
-        this.#pauseMs = SHORTEST_PAUSE_MS;
+        this.#backoffMs = MIN_BACKOFF_MS;
         for (const event of seen.events) {
           if (event.name !== name || event.type !== "put") continue;
           take({ version: event.version, value: event.value });
@@ -85,14 +88,14 @@
     });
   }
 
-  #pause(failure: Unavailable): Effect.Effect<void> {
+  #backOff(failure: Unavailable): Effect.Effect<void> {
     return Effect.suspend(() => {
       const jitter = 0.5 + Math.random();
       const waitMs = Math.max(
         failure.retryAfterMs ?? 0,
-        this.#pauseMs * jitter,
+        this.#backoffMs * jitter,
       );
-      this.#pauseMs = Math.min(LONGEST_PAUSE_MS, this.#pauseMs * 2);
+      this.#backoffMs = Math.min(MAX_BACKOFF_MS, this.#backoffMs * 2);
       return Effect.sleep(waitMs);
     });
   }
--- a/packages/coordination/src/version/version_exchange.ts
+++ b/packages/coordination/src/version/version_exchange.ts
@@ -8,13 +8,13 @@
 import type { Membership } from "../process/membership.ts";
 import type { Peers } from "../process/peers.ts";
 import type { Json } from "./json_delta.ts";
-import { decodeUpdate, isVersion } from "./published_message.ts";
-import type { Update } from "./published_message.ts";
+import { decodeUpdate, isVersion } from "./version_message.ts";
+import type { VersionUpdate } from "./version_message.ts";
 import type { VersionHistory } from "./version_history.ts";
 import { chooseWatchers } from "./watchers.ts";
 
-const ASK_TIMEOUT_MS = 1_000;
-const ASK_CONCURRENCY = 32;
+const QUERY_TIMEOUT_MS = 1_000;
+const QUERY_CONCURRENCY = 32;
 
 /** Where a version was learnt. */
 export type VersionSource = "store" | "own" | "domain" | "foreign";
@@ -27,12 +27,12 @@
   readonly channel: string;
   readonly history: VersionHistory;
   /** Takes a value if it is newer; false when it is not taken. */
-  readonly take: (
+  readonly applyIfNewer: (
     candidate: { readonly version: number; readonly value: Json },
     source: VersionSource,
   ) => boolean;
   /** Highest version that needs no asking: in force, or found to be invalid. */
-  readonly have: () => number;
+  readonly knownVersion: () => number;
 }
 
 type Query =
@@ -42,38 +42,41 @@
 /** The peers' side of a published value. */
 export class VersionExchange {
   readonly #options: VersionExchangeOptions;
-  #lastContact: number;
-  #fetching = false;
+  #lastContactAt: number;
+  #isFetching = false;
 
   constructor(options: VersionExchangeOptions) {
     this.#options = options;
-    this.#lastContact = options.clock.monotonic();
+    this.#lastContactAt = options.clock.monotonic();
   }
 
   /** Milliseconds since another member was last heard on this value. */
-  get silenceMs(): number {
-    return this.#options.clock.monotonic() - this.#lastContact;
+  get msSinceContact(): number {
+    return this.#options.clock.monotonic() - this.#lastContactAt;
   }
 
   /** Answers other members. */
   serve(): void {
     const { peers, channel } = this.#options;
-    peers.handle(channel, (from, message) => this.#received(from, message));
+    peers.handle(
+      channel,
+      (from, message) => this.#handleMessage(from, message),
+    );
   }
 
   /** Tells a version on to those that this process is to tell. */
-  push(source: VersionSource, options: { readonly before: number }): void {
+  broadcast(source: VersionSource, options: { readonly before: number }): void {
     const { peers, channel, history } = this.#options;
     const update = history.updateFor(options.before);
-    for (const name of this.#audience(source)) {
+    for (const name of this.#recipients(source)) {
       peers.send(name, channel, update);
     }
   }
 
   /** Compares with one member picked at random, and takes what is newer. */
-  compare(): Effect.Effect<void> {
+  pullFromRandomPeer(): Effect.Effect<void> {
     return Effect.suspend(() => {
-      const names = this.#others();
+      const names = this.#otherMembers();
       const name = names[Math.floor(Math.random() * names.length)];
       return name === undefined ? Effect.void : this.pull(name);
     });
@@ -82,25 +85,27 @@
   /** Takes what a member has, if it is newer. */
   pull(name: string): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
-      const have = this.#options.have();
-      const update = yield* this.#ask(name, { ask: "update", have });
-      if (update === undefined || this.#apply(name, update)) return;
+      const have = this.#options.knownVersion();
+      const update = yield* this.#query(name, { ask: "update", have });
+      if (update === undefined || this.#applyUpdate(name, update)) return;
       // The delta's base is not here, so the whole value is needed.
-      const whole = yield* this.#ask(name, { ask: "update", have: 0 });
-      if (whole !== undefined) this.#apply(name, whole);
+      const whole = yield* this.#query(name, { ask: "update", have: 0 });
+      if (whole !== undefined) this.#applyUpdate(name, whole);
     });
   }
 
   /** The version that each other member has; undefined for those not reached. */
-  survey(): Effect.Effect<ReadonlyMap<string, number | undefined>> {
+  peerVersions(): Effect.Effect<ReadonlyMap<string, number | undefined>> {
     const ask = (name: string) =>
       Effect.map(
-        this.#ask(name, { ask: "version" }),
+        this.#query(name, { ask: "version" }),
         (update) => [name, update?.version] as const,
       );
     return Effect.suspend(() =>
       Effect.map(
-        Effect.forEach(this.#others(), ask, { concurrency: ASK_CONCURRENCY }),
+        Effect.forEach(this.#otherMembers(), ask, {
+          concurrency: QUERY_CONCURRENCY,
+        }),
         (versions) => new Map(versions),
       )
     );
@@ -109,13 +114,13 @@
   /** Takes the highest version that any member has. */
   catchUp(): Effect.Effect<{ readonly reached: number }> {
     return Effect.gen({ self: this }, function* () {
-      const versions = yield* this.survey();
+      const versions = yield* this.peerVersions();
       const reached = [...versions].filter(([, version]) =>
         version !== undefined
       );
       const highest = reached.toSorted((a, b) => (b[1] ?? 0) - (a[1] ?? 0));
       for (const [name, version = 0] of highest) {
-        if (version <= this.#options.have()) break;
+        if (version <= this.#options.knownVersion()) break;
         yield* this.pull(name);
       }
       return { reached: reached.length };
@@ -123,48 +128,50 @@
   }
 
   /** Takes in that a member has a version, as heartbeats tell. */
-  heard(from: string, version: unknown): void {
+  receiveVersion(from: string, version: unknown): void {
     if (!isVersion(version)) return;
-    this.#touch();
-    if (version > this.#options.have()) this.#fetch(from);
+    this.#recordContact();
+    if (version > this.#options.knownVersion()) this.#fetch(from);
   }
 
   /** One fetch at a time: a new version is announced by many at once. */
   #fetch(from: string): void {
-    if (this.#fetching) return;
-    this.#fetching = true;
+    if (this.#isFetching) return;
+    this.#isFetching = true;
     const done = Effect.sync(() => {
-      this.#fetching = false;
+      this.#isFetching = false;
     });
     Effect.runFork(Effect.ensuring(this.pull(from), done));
   }
 
-  #received(from: string, message: unknown): Effect.Effect<unknown> {
+  #handleMessage(from: string, message: unknown): Effect.Effect<unknown> {
     return Effect.sync(() => {
-      this.#touch();
+      this.#recordContact();
       const query = message as Partial<Record<string, unknown>> | null;
-      if (query?.["ask"] === "version") return this.#version();
-      if (query?.["ask"] === "update") return this.#answer(from, query["have"]);
+      if (query?.["ask"] === "version") return this.#versionOnly();
+      if (query?.["ask"] === "update") {
+        return this.#answerQuery(from, query["have"]);
+      }
       const update = decodeUpdate(message);
       if (update === undefined) return null;
-      if (!this.#apply(from, update)) this.#fetch(from);
+      if (!this.#applyUpdate(from, update)) this.#fetch(from);
       return null;
     });
   }
 
-  #answer(from: string, have: unknown): Update {
-    if (!isVersion(have)) return this.#version();
-    this.heard(from, have);
+  #answerQuery(from: string, have: unknown): VersionUpdate {
+    if (!isVersion(have)) return this.#versionOnly();
+    this.receiveVersion(from, have);
     return this.#options.history.updateFor(have);
   }
 
-  #version(): Update {
+  #versionOnly(): VersionUpdate {
     return { kind: "version", version: this.#options.history.version };
   }
 
   /** False when the update is newer but can't be made from what is here. */
-  #apply(from: string, update: Update): boolean {
-    const { have, history, take } = this.#options;
+  #applyUpdate(from: string, update: VersionUpdate): boolean {
+    const { knownVersion: have, history, applyIfNewer: take } = this.#options;
     if (update.version <= have()) return true;
     const value = history.valueOf(update);
     if (value === undefined) return false;
@@ -172,15 +179,15 @@
     return true;
   }
 
-  #ask(name: string, body: Query): Effect.Effect<Update | undefined> {
+  #query(name: string, body: Query): Effect.Effect<VersionUpdate | undefined> {
     const { peers, channel } = this.#options;
     const answer = peers.request(name, { channel, body }, {
-      timeoutMs: ASK_TIMEOUT_MS,
+      timeoutMs: QUERY_TIMEOUT_MS,
     });
     return Effect.match(answer, {
       onFailure: () => undefined,
       onSuccess: (message) => {
-        this.#touch();
+        this.#recordContact();
         return decodeUpdate(message);
       },
     });
@@ -190,13 +197,13 @@
    * Each member is told by its own domain, and each domain by its watchers: the
    * messages of an edit grow with the members, and one sender's with its domain.
    */
-  #audience(source: VersionSource): readonly string[] {
+  #recipients(source: VersionSource): readonly string[] {
     const { membership, channel } = this.#options;
     if (source === "domain") return [];
     const { self } = membership;
     const watchers = chooseWatchers(membership.view(), self, channel);
-    if (source === "foreign") return watchers.domain;
-    return [...watchers.domain, ...watchers.foreign];
+    if (source === "foreign") return watchers.domainPeers;
+    return [...watchers.domainPeers, ...watchers.foreignWatchers];
   }
 
   #sourceOf(from: string): VersionSource {
@@ -210,14 +217,14 @@
       : "foreign";
   }
 
-  #others(): readonly string[] {
+  #otherMembers(): readonly string[] {
     const { membership } = this.#options;
     return membership.view().members
       .map(({ member }) => member.name)
       .filter((name) => name !== membership.self.name);
   }
 
-  #touch(): void {
-    this.#lastContact = this.#options.clock.monotonic();
+  #recordContact(): void {
+    this.#lastContactAt = this.#options.clock.monotonic();
   }
 }
--- a/packages/coordination/src/version/published_message.ts
+++ b/packages/coordination/src/version/version_message.ts
@@ -6,7 +6,7 @@
 import type { Json, JsonDelta } from "./json_delta.ts";
 
 /** What a member has, or what it gives. */
-export type Update =
+export type VersionUpdate =
   /** Has this version, and gives nothing newer. */
   | { readonly kind: "version"; readonly version: number }
   | {
@@ -23,7 +23,7 @@
   };
 
 /** Reads an update; undefined when it is not valid. */
-export function decodeUpdate(message: unknown): Update | undefined {
+export function decodeUpdate(message: unknown): VersionUpdate | undefined {
   const update = message as Partial<Record<string, unknown>> | null | undefined;
   const version = update?.["version"];
   if (!isVersion(version)) return undefined;
--- a/packages/coordination/src/version/watchers.ts
+++ b/packages/coordination/src/version/watchers.ts
@@ -12,11 +12,11 @@
 /** Members by their part in passing a value on. */
 export interface Watchers {
   /** Whether this process watches the store. */
-  readonly watches: boolean;
+  readonly isWatcher: boolean;
   /** Other members of this process's failure domain. */
-  readonly domain: readonly string[];
+  readonly domainPeers: readonly string[];
   /** Watchers of the other failure domains. */
-  readonly foreign: readonly string[];
+  readonly foreignWatchers: readonly string[];
 }
 
 /**
@@ -34,24 +34,27 @@
     member.failureDomain === self.failureDomain
   );
   const me: MemberStatus = { member: self, state: "alive" };
-  const watching = topOf([...own, me], channel);
-  const foreign = [...byDomain(others)]
+  const watching = electWatchers([...own, me], channel);
+  const foreign = [...groupByDomain(others)]
     .filter(([domain]) => domain !== self.failureDomain)
-    .flatMap(([, members]) => topOf(members, channel));
+    .flatMap(([, members]) => electWatchers(members, channel));
   return {
-    watches: watching.includes(self.name),
-    domain: own.map(({ member }) => member.name),
-    foreign,
+    isWatcher: watching.includes(self.name),
+    domainPeers: own.map(({ member }) => member.name),
+    foreignWatchers: foreign,
   };
 }
 
-function topOf(members: readonly MemberStatus[], channel: string): string[] {
+function electWatchers(
+  members: readonly MemberStatus[],
+  channel: string,
+): string[] {
   const alive = members.filter(({ state }) => state === "alive");
   const names = alive.map(({ member }) => member.name);
   return rendezvous(channel, names).slice(0, WATCHERS_PER_DOMAIN);
 }
 
-function byDomain(
+function groupByDomain(
   members: readonly MemberStatus[],
 ): ReadonlyMap<string, readonly MemberStatus[]> {
   const domains = new Map<string, MemberStatus[]>();
--- a/packages/coordination/tests/claims_age_test.ts
+++ b/packages/coordination/tests/claims_age_test.ts
@@ -5,7 +5,7 @@
 import * as Effect from "effect/Effect";
 import type { ClaimSettings } from "../src/process/claim_settings.ts";
 import { FakeClock } from "../src/testing/mod.ts";
-import { claimed, ClaimFleet, claimOf } from "./claims_fixture.ts";
+import { ClaimFleet, expectClaim, tryClaim } from "./claims_fixture.ts";
 
 const TIMEOUT_MS = 20_000;
 const WINDOW_MS = 60_000;
@@ -31,7 +31,7 @@
   const clock = new FakeClock();
   const a = await fleet.daemon("a", { clock, settings: settings() });
   for (let index = 0; index < count; index += 1) {
-    const outcome = await claimed(a, `key ${index}`);
+    const outcome = await tryClaim(a, `key ${index}`);
     assert.equal(outcome._tag, "Claimed");
   }
   return { fleet, clock, a };
@@ -46,23 +46,23 @@
   assert.ok((await segments(fleet)).items.length > 4);
   const later = await fleet.daemon("a", { settings: settings() });
   for (let index = 0; index < 60; index += 1) {
-    assert.equal((await claimed(later, `key ${index}`))._tag, "Taken");
+    assert.equal((await tryClaim(later, `key ${index}`))._tag, "Taken");
   }
 });
 
 test("claims age out, and their objects go", async (t) => {
   const { fleet, clock, a } = await fleetWithKeys(t, 60);
   clock.advance(RETENTION_MS);
-  assert.equal((await claimed(a, "new"))._tag, "Claimed");
-  assert.equal((await claimed(a, "key 0"))._tag, "Claimed");
+  assert.equal((await tryClaim(a, "new"))._tag, "Claimed");
+  assert.equal((await tryClaim(a, "key 0"))._tag, "Claimed");
   assert.ok((await segments(fleet)).items.length <= 1);
 });
 
 test("no claim ages out within the window", async (t) => {
   const { clock, a } = await fleetWithKeys(t, 60);
   clock.advance(WINDOW_MS + TIMEOUT_MS);
-  assert.equal((await claimed(a, "new"))._tag, "Claimed");
-  assert.equal((await claimed(a, "key 0"))._tag, "Taken");
+  assert.equal((await tryClaim(a, "new"))._tag, "Claimed");
+  assert.equal((await tryClaim(a, "key 0"))._tag, "Taken");
 });
 
 test("a process with a clock far ahead does not age out others' claims", async (t) => {
@@ -74,8 +74,8 @@
     clock: new FakeClock({ at: year, skew: year }),
     settings: settings(),
   });
-  assert.equal((await claimed(skewed, "new"))._tag, "Claimed");
-  assert.equal((await claimed(skewed, "key 0"))._tag, "Taken");
+  assert.equal((await tryClaim(skewed, "new"))._tag, "Claimed");
+  assert.equal((await tryClaim(skewed, "key 0"))._tag, "Taken");
 });
 
 test("a partition without room refuses new keys and keeps the live ones", async (t) => {
@@ -87,13 +87,13 @@
   });
   const outcomes = [];
   for (let index = 0; index < 40; index += 1) {
-    outcomes.push((await claimed(a, `key ${index}`))._tag);
+    outcomes.push((await tryClaim(a, `key ${index}`))._tag);
   }
   assert.equal(outcomes[0], "Claimed");
   assert.equal(outcomes[39], "ClaimUnavailable");
-  assert.equal((await claimed(a, "key 0"))._tag, "Taken");
+  assert.equal((await tryClaim(a, "key 0"))._tag, "Taken");
   clock.advance(RETENTION_MS);
-  assert.equal((await claimed(a, "key 39"))._tag, "Claimed");
+  assert.equal((await tryClaim(a, "key 39"))._tag, "Claimed");
 });
 
 test("a partition that fills keeps claims and no more answers", async (t) => {
@@ -103,10 +103,10 @@
   const answered: string[] = [];
   for (let index = 0; index < 30; index += 1) {
     const key = `key ${index}`;
-    const claim = claimOf(await claimed(a, key));
+    const claim = expectClaim(await tryClaim(a, key));
     await Effect.runPromise(claim.settle({ _tag: "Answered", answer }));
     await Effect.runPromise(a.drain());
-    const second = await claimed(a, key);
+    const second = await tryClaim(a, key);
     answered.push(second._tag);
     if (second._tag === "Taken") break;
   }
@@ -134,15 +134,15 @@
   const keys: string[] = [];
   while (true) {
     const key = `key ${keys.length}`;
-    const outcome = await Promise.race([claimed(first, key), crash]);
+    const outcome = await Promise.race([tryClaim(first, key), crash]);
     if (outcome === "stopped") break;
     keys.push(key);
   }
   assert.equal((await segments(fleet)).items.length, 1);
   const next = await fleet.daemon("a", { settings: settings() });
-  assert.equal((await claimed(next, "new"))._tag, "Claimed");
+  assert.equal((await tryClaim(next, "new"))._tag, "Claimed");
   for (const key of keys) {
-    assert.equal((await claimed(next, key))._tag, "Taken");
+    assert.equal((await tryClaim(next, key))._tag, "Taken");
   }
 });
 
@@ -150,7 +150,7 @@
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a", { settings: { timeoutMs: 60_000 } });
   const keys = Array.from({ length: 5_000 }, (_, index) => `key ${index}`);
-  const outcomes = await Promise.all(keys.map((key) => claimed(a, key)));
+  const outcomes = await Promise.all(keys.map((key) => tryClaim(a, key)));
   assert.ok(outcomes.every(({ _tag }) => _tag === "Claimed"));
   const written = fleet.store.calls.filter(({ operation }) =>
     operation === "write"
--- a/packages/coordination/tests/claims_crash_test.ts
+++ b/packages/coordination/tests/claims_crash_test.ts
@@ -6,7 +6,7 @@
 import type { ClaimsInStore } from "../src/process/claims_in_store.ts";
 import { ClaimFleet } from "./claims_fixture.ts";
 
-const POINTS: readonly CrashPoint[] = [
+const CRASH_POINTS: readonly CrashPoint[] = [
   "claim.before_ask",
   "claim.after_ask",
   "claim.before_write",
@@ -16,7 +16,7 @@
 ];
 
 /** One try as the entry makes it: claim, send, settle. */
-function tryOnce(claims: ClaimsInStore, run: () => void) {
+function attemptRequest(claims: ClaimsInStore, run: () => void) {
   return Effect.gen(function* () {
     const outcome = yield* claims.claim("key", { digest: "body" });
     if (outcome._tag !== "Claimed") return outcome._tag;
@@ -27,7 +27,7 @@
   }).pipe(Effect.catch(({ _tag }) => Effect.succeed(_tag)));
 }
 
-for (const point of POINTS) {
+for (const point of CRASH_POINTS) {
   test(`a daemon that stops at ${point} leaves at most one run`, async (t) => {
     // A daemon stops for good between two steps. The caller tries again through
     // another daemon, which must either run the request or know that it can't.
@@ -47,10 +47,10 @@
     });
     // Cut off, it serves its claims itself, so that each point is passed there.
     fleet.network.intercept = () => "refuse";
-    const first = Effect.runFork(tryOnce(a, run));
+    const first = Effect.runFork(attemptRequest(a, run));
     await Effect.runPromise(Deferred.await(stopped));
     const b = await fleet.daemon("b");
-    const second = await Effect.runPromise(tryOnce(b, run));
+    const second = await Effect.runPromise(attemptRequest(b, run));
     assert.ok(runs <= 1, `${runs} runs`);
     const free = point === "claim.before_ask" || point === "claim.before_write";
     assert.equal(second, free ? "Ran" : "Taken");
--- a/packages/coordination/tests/claims_exploration_test.ts
+++ b/packages/coordination/tests/claims_exploration_test.ts
@@ -15,12 +15,12 @@
 /** Yields the fates that its next step may have, and is told the chosen one. */
 type Actor = Generator<readonly Fate[], void, Fate>;
 
-const CALM: readonly Fate[] = ["ok"];
-const READ: readonly Fate[] = ["ok", "lose-request"];
-const WRITE: readonly Fate[] = ["ok", "lose-reply", "lose-request"];
-const MOST_ATTEMPTS = 3;
-const WINDOW = 10;
-const TIMEOUT = 1;
+const NO_FAULTS: readonly Fate[] = ["ok"];
+const READ_FATES: readonly Fate[] = ["ok", "lose-request"];
+const WRITE_FATES: readonly Fate[] = ["ok", "lose-reply", "lose-request"];
+const MAX_ATTEMPTS = 3;
+const WINDOW_MS = 10;
+const TIMEOUT_MS = 1;
 
 interface Rules {
   /** Whether the store checks versions; off, to see that the search finds it. */
@@ -34,12 +34,12 @@
 const RULES: Rules = {
   conditional: true,
   // The first verdict and the second may each take the whole time bound.
-  retentionMs: WINDOW + 2 * TIMEOUT + 1,
-  timeoutMs: TIMEOUT,
+  retentionMs: WINDOW_MS + 2 * TIMEOUT_MS + 1,
+  timeoutMs: TIMEOUT_MS,
   sealBytes: 1_000_000,
 };
 
-class World {
+class SimulatedStore {
   readonly rules: Rules;
   readonly findings: string[] = [];
   time = 0;
@@ -76,7 +76,7 @@
   deliver(id: string, askedAt: number) {
     if (!this.#stored(id)) this.findings.push(`"${id}" is not in the store`);
     for (const earlier of this.#delivered) {
-      if (askedAt - earlier.at > WINDOW) continue;
+      if (askedAt - earlier.at > WINDOW_MS) continue;
       this.findings.push(`"${id}" was delivered after "${earlier.id}"`);
     }
     this.#delivered.push({ id, at: this.time });
@@ -94,7 +94,7 @@
 }
 
 /** Reads what the ledger lacks, as ClaimObjects.load does. */
-function load(world: World, ledger: ClaimLedger): boolean {
+function load(world: SimulatedStore, ledger: ClaimLedger): boolean {
   const found = world.read();
   if (found === undefined) return true;
   for (const name of ledger.missing(found.head)) {
@@ -108,16 +108,16 @@
 
 /** Decides one request at one server, as ClaimPartition does, step by step. */
 function* serve(
-  world: World,
+  world: SimulatedStore,
   ledger: ClaimLedger,
   request: PartitionRequest,
 ): Generator<readonly Fate[], string, Fate> {
   const { sealBytes, retentionMs } = world.rules;
   const limits = { sealBytes, retentionMs, answerBytes: 0, maxSegments: 99 };
   let current = ledger.version > 0;
-  for (let attempt = 0; attempt < MOST_ATTEMPTS; attempt += 1) {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
     if (!current) {
-      if ((yield READ) !== "ok" || !load(world, ledger)) continue;
+      if ((yield READ_FATES) !== "ok" || !load(world, ledger)) continue;
     }
     current = false;
     const composed = ledger.compose([request], { now: world.time, limits });
@@ -125,7 +125,7 @@
     if (composed.head === undefined) return verdict;
     const ifVersion = ledger.version;
     if (composed.sealed !== undefined) {
-      yield CALM;
+      yield NO_FAULTS;
       world.seal(ifVersion, composed.sealed);
       ledger.learn(ifVersion, {
         records: composed.sealed,
@@ -133,7 +133,7 @@
         learntAt: world.time,
       });
     }
-    const fate = yield WRITE;
+    const fate = yield WRITE_FATES;
     if (fate === "lose-request") continue;
     const version = world.write(composed.head, ifVersion);
     if (version === undefined || fate === "lose-reply") continue;
@@ -153,8 +153,12 @@
 }
 
 /** Asks one server, and takes the claim back when no verdict comes. */
-function* claimant(world: World, ledger: ClaimLedger, id: string): Actor {
-  yield CALM;
+function* claimant(
+  world: SimulatedStore,
+  ledger: ClaimLedger,
+  id: string,
+): Actor {
+  yield NO_FAULTS;
   const askedAt = world.time;
   const verdict = yield* serve(world, ledger, claimRequest(id));
   const inTime = world.time - askedAt <= world.rules.timeoutMs;
@@ -165,7 +169,11 @@
 }
 
 /** Asks two servers, the second while the first may still be at work. */
-function twice(world: World, servers: readonly ClaimLedger[], id: string) {
+function concurrentServers(
+  world: SimulatedStore,
+  servers: readonly ClaimLedger[],
+  id: string,
+) {
   let done = false;
   const askedAt = world.time;
   return servers.map(function* (ledger): Actor {
@@ -177,8 +185,8 @@
 }
 
 /** A request whose sender has left; nobody acts on its verdict. */
-function* orphan(
-  world: World,
+function* abandonedRequest(
+  world: SimulatedStore,
   ledger: ClaimLedger,
   request: PartitionRequest,
 ): Actor {
@@ -186,15 +194,19 @@
 }
 
 /** Claims other keys, which seals and drops segments. */
-function* filler(world: World, ledger: ClaimLedger, count: number): Actor {
+function* filler(
+  world: SimulatedStore,
+  ledger: ClaimLedger,
+  count: number,
+): Actor {
   for (let index = 0; index < count; index += 1) {
     yield* serve(world, ledger, claimRequest(`f${index}`, `filler ${index}`));
   }
 }
 
-function* passing(world: World, steps: readonly number[]): Actor {
+function* passTime(world: SimulatedStore, steps: readonly number[]): Actor {
   for (const step of steps) {
-    yield CALM;
+    yield NO_FAULTS;
     world.time += step;
   }
 }
@@ -207,7 +219,7 @@
 /** Replays every path with at most `faults` faulty store calls. */
 function explore(
   rules: Rules,
-  actors: (world: World) => readonly Actor[],
+  actors: (world: SimulatedStore) => readonly Actor[],
   faults: number,
 ): Exploration {
   const findings: string[] = [];
@@ -231,21 +243,21 @@
 
 function replay(
   rules: Rules,
-  actors: (world: World) => readonly Actor[],
+  actors: (world: SimulatedStore) => readonly Actor[],
   options: {
     readonly path: readonly number[];
     readonly faults: number;
     readonly pending: number[][];
   },
 ) {
-  const world = new World(rules);
+  const world = new SimulatedStore(rules);
   const tasks = actors(world).map((actor) => ({ actor, next: actor.next() }));
   const taken: number[] = [];
   let faults = options.faults;
   while (true) {
     const choices = tasks.flatMap(({ next }, actor): Choice[] => {
       if (next.done) return [];
-      const fates = faults > 0 ? next.value : CALM;
+      const fates = faults > 0 ? next.value : NO_FAULTS;
       return fates.map((fate) => ({ actor, fate }));
     });
     if (choices.length === 0) return { findings: world.findings, path: taken };
@@ -264,70 +276,70 @@
   }
 }
 
-function check(found: Exploration, atLeast: number) {
+function assertInvariant(found: Exploration, atLeast: number) {
   assert.deepEqual(found.findings.slice(0, 3), []);
   assert.ok(found.paths > atLeast, `only ${found.paths} paths`);
 }
 
-const rivals = (world: World) => [
+const twoClaimants = (world: SimulatedStore) => [
   claimant(world, new ClaimLedger(), "first"),
   claimant(world, new ClaimLedger(), "second"),
 ];
 
-const handover = (world: World) => {
+const claimAtTwoServers = (world: SimulatedStore) => {
   const [a, b] = [new ClaimLedger(), new ClaimLedger()];
   return [
-    ...twice(world, [a, b], "first"),
+    ...concurrentServers(world, [a, b], "first"),
     claimant(world, new ClaimLedger(), "second"),
   ];
 };
 
-const leaving = (world: World) => [
-  orphan(world, new ClaimLedger(), claimRequest("first")),
-  orphan(world, new ClaimLedger(), withdrawal("first")),
+const withdrawnClaim = (world: SimulatedStore) => [
+  abandonedRequest(world, new ClaimLedger(), claimRequest("first")),
+  abandonedRequest(world, new ClaimLedger(), withdrawal("first")),
   claimant(world, new ClaimLedger(), "second"),
 ];
 
-const ageing = (world: World) => {
+const expiringClaims = (world: SimulatedStore) => {
   const [a, b] = [new ClaimLedger(), new ClaimLedger()];
   const first = claimant(world, a, "first");
   while (!first.next("ok").done);
   return [
     filler(world, a, 3),
     claimant(world, b, "second"),
-    passing(world, [WINDOW, 2 * TIMEOUT + 1]),
+    passTime(world, [WINDOW_MS, 2 * TIMEOUT_MS + 1]),
   ];
 };
 
-const AGEING = { ...RULES, sealBytes: 1 };
+const EXPIRING_RULES = { ...RULES, sealBytes: 1 };
 
 test("two servers, lost replies and lost requests claim a key once", () => {
-  check(explore(RULES, rivals, 2), 1_000);
+  assertInvariant(explore(RULES, twoClaimants, 2), 1_000);
 });
 
 test("a claim asked of two servers at once, and a rival, claim a key once", () => {
-  check(explore(RULES, handover, 1), 5_000);
+  assertInvariant(explore(RULES, claimAtTwoServers, 1), 5_000);
 });
 
 test("a claim given up while it is being made leaves the key to one rival", () => {
-  check(explore(RULES, leaving, 1), 5_000);
+  assertInvariant(explore(RULES, withdrawnClaim, 1), 5_000);
 });
 
 test("a retry within the window never runs again, whoever seals and drops", () => {
-  check(explore(AGEING, ageing, 1), 10_000);
+  assertInvariant(explore(EXPIRING_RULES, expiringClaims, 1), 10_000);
 });
 
 test("the exploration finds two runs when the store checks no version", () => {
-  const unsafe = explore({ ...RULES, conditional: false }, rivals, 0);
+  const unsafe = explore({ ...RULES, conditional: false }, twoClaimants, 0);
   assert.notEqual(unsafe.findings.length, 0);
 });
 
 test("the exploration finds two runs when a late verdict is used", () => {
-  const patient = { ...AGEING, timeoutMs: Infinity };
-  assert.notEqual(explore(patient, ageing, 0).findings.length, 0);
+  const patient = { ...EXPIRING_RULES, timeoutMs: Infinity };
+  assert.notEqual(explore(patient, expiringClaims, 0).findings.length, 0);
 });
 
 test("the exploration finds two runs when claims age out too early", () => {
-  const early = { ...AGEING, retentionMs: WINDOW / 2 };
-  assert.notEqual(explore(early, ageing, 0).findings.length, 0);
+  const early = { ...EXPIRING_RULES, retentionMs: WINDOW_MS / 2 };
+  assert.notEqual(explore(early, expiringClaims, 0).findings.length, 0);
 });
--- a/packages/coordination/tests/claims_fixture.ts
+++ b/packages/coordination/tests/claims_fixture.ts
@@ -53,13 +53,13 @@
   }
 
   /** The daemons in the order in which they are asked. */
-  order(): readonly string[] {
+  serverOrder(): readonly string[] {
     return servers(this.membership(this.#names[0] ?? "").view(), 0);
   }
 }
 
 /** The outcome or the failure, as one value. */
-export function claimed(
+export function tryClaim(
   claims: ClaimsInStore,
   key: string,
   digest = "body",
@@ -71,7 +71,7 @@
 }
 
 /** The claim, where one is expected. */
-export function claimOf(outcome: ClaimOutcome | ClaimUnavailable) {
+export function expectClaim(outcome: ClaimOutcome | ClaimUnavailable) {
   if (outcome._tag === "Claimed") return outcome.claim;
   throw new Error(`Not claimed: ${JSON.stringify(outcome)}`);
 }
--- a/packages/coordination/tests/claims_test.ts
+++ b/packages/coordination/tests/claims_test.ts
@@ -4,7 +4,7 @@
 import * as Effect from "effect/Effect";
 import { FakeClock, FakeMembership, memberNamed } from "../src/testing/mod.ts";
 import type { StoreCall, StoreFault } from "../src/testing/mod.ts";
-import { claimed, ClaimFleet, claimOf } from "./claims_fixture.ts";
+import { ClaimFleet, expectClaim, tryClaim } from "./claims_fixture.ts";
 
 const ANSWER = {
   status: 201,
@@ -26,23 +26,23 @@
   const fleet = new ClaimFleet(t, ["a", "b", "c"]);
   const [a, b] = [await fleet.daemon("a"), await fleet.daemon("b")];
   await fleet.daemon("c");
-  assert.equal((await claimed(a, "key"))._tag, "Claimed");
-  assert.deepEqual(await claimed(b, "key"), {
+  assert.equal((await tryClaim(a, "key"))._tag, "Claimed");
+  assert.deepEqual(await tryClaim(b, "key"), {
     _tag: "Taken",
     by: "a",
     state: "running",
   });
-  assert.equal((await claimed(b, "key", "other body"))._tag, "Mismatch");
-  assert.equal((await claimed(b, "other key"))._tag, "Claimed");
+  assert.equal((await tryClaim(b, "key", "other body"))._tag, "Mismatch");
+  assert.equal((await tryClaim(b, "other key"))._tag, "Claimed");
 });
 
 test("a second try gets the first's answer while it is kept", async (t) => {
   const fleet = new ClaimFleet(t, ["a", "b"]);
   const [a, b] = [await fleet.daemon("a"), await fleet.daemon("b")];
-  const claim = claimOf(await claimed(a, "key"));
+  const claim = expectClaim(await tryClaim(a, "key"));
   await Effect.runPromise(claim.settle({ _tag: "Answered", answer: ANSWER }));
   await Effect.runPromise(a.drain());
-  const second = await claimed(b, "key");
+  const second = await tryClaim(b, "key");
   assert.equal(second._tag, "Answered");
   assert.deepEqual(
     second._tag === "Answered" && {
@@ -56,11 +56,11 @@
 test("an answer too large to keep is told as answered, not given", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a");
-  const claim = claimOf(await claimed(a, "key"));
+  const claim = expectClaim(await tryClaim(a, "key"));
   const answer = { ...ANSWER, body: new Uint8Array(100_000) };
   await Effect.runPromise(claim.settle({ _tag: "Answered", answer }));
   await Effect.runPromise(a.drain());
-  assert.deepEqual(await claimed(a, "key"), {
+  assert.deepEqual(await tryClaim(a, "key"), {
     _tag: "Taken",
     by: "a",
     state: "answered",
@@ -70,10 +70,10 @@
 test("a claim settled as not run frees its key", async (t) => {
   const fleet = new ClaimFleet(t, ["a", "b"]);
   const [a, b] = [await fleet.daemon("a"), await fleet.daemon("b")];
-  const claim = claimOf(await claimed(a, "key"));
+  const claim = expectClaim(await tryClaim(a, "key"));
   await Effect.runPromise(claim.settle({ _tag: "NotRun" }));
   await Effect.runPromise(a.drain());
-  assert.equal((await claimed(b, "key", "other body"))._tag, "Claimed");
+  assert.equal((await tryClaim(b, "key", "other body"))._tag, "Claimed");
 });
 
 test("a claim whose holder has gone may have run", async (t) => {
@@ -81,9 +81,9 @@
   const a = await fleet.daemon("a");
   const membership = fleet.membership("b");
   const b = await fleet.daemon("b", { membership });
-  await claimed(a, "key");
+  await tryClaim(a, "key");
   membership.set([memberNamed("b")]);
-  assert.deepEqual(await claimed(b, "key"), {
+  assert.deepEqual(await tryClaim(b, "key"), {
     _tag: "Taken",
     by: "a",
     state: "may-have-run",
@@ -94,7 +94,7 @@
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a");
   const keys = Array.from({ length: 300 }, (_, index) => `key ${index}`);
-  const outcomes = await Promise.all(keys.map((key) => claimed(a, key)));
+  const outcomes = await Promise.all(keys.map((key) => tryClaim(a, key)));
   assert.ok(outcomes.every(({ _tag }) => _tag === "Claimed"));
   const writes = fleet.store.calls.filter(writesHead);
   assert.ok(writes.length <= 3, `${writes.length} writes`);
@@ -107,36 +107,36 @@
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a");
   fleet.store.plan = faultyHead(["lose-reply", "lose-reply"]);
-  assert.equal((await claimed(a, "key"))._tag, "Claimed");
-  assert.equal((await claimed(a, "key"))._tag, "Taken");
+  assert.equal((await tryClaim(a, "key"))._tag, "Claimed");
+  assert.equal((await tryClaim(a, "key"))._tag, "Taken");
 });
 
 test("a claim whose write was lost on the way is made by the next", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a");
   fleet.store.plan = faultyHead(["lose-request", "refuse"]);
-  assert.equal((await claimed(a, "key"))._tag, "Claimed");
+  assert.equal((await tryClaim(a, "key"))._tag, "Claimed");
 });
 
 test("a daemon that reaches no server of the partition claims by itself", async (t) => {
   const fleet = new ClaimFleet(t, ["a", "b", "c"]);
-  const name = fleet.order()[2] ?? "";
+  const name = fleet.serverOrder()[2] ?? "";
   const entry = await fleet.daemon(name);
-  assert.equal((await claimed(entry, "key"))._tag, "Claimed");
-  assert.equal((await claimed(entry, "key"))._tag, "Taken");
+  assert.equal((await tryClaim(entry, "key"))._tag, "Claimed");
+  assert.equal((await tryClaim(entry, "key"))._tag, "Taken");
 });
 
 test("a claim is not lost with the server's answer", async (t) => {
   // The server makes the claim and its answer is lost. The claimant asks the
   // store itself after a bounded wait, finds its own id and may send.
   const fleet = new ClaimFleet(t, ["a", "b"]);
-  const [server = "", entry = ""] = fleet.order();
+  const [server = "", entry = ""] = fleet.serverOrder();
   await fleet.daemon(server);
   const claims = await fleet.daemon(entry, { settings: { timeoutMs: 2_000 } });
   fleet.network.intercept = ({ kind }) =>
     kind === "answer" ? "lose" : "deliver";
-  assert.equal((await claimed(claims, "key"))._tag, "Claimed");
-  assert.equal((await claimed(claims, "key"))._tag, "Taken");
+  assert.equal((await tryClaim(claims, "key"))._tag, "Claimed");
+  assert.equal((await tryClaim(claims, "key"))._tag, "Taken");
 });
 
 test("two servers of one partition give a key to one claimant", async (t) => {
@@ -148,7 +148,7 @@
   const [a, b] = [await alone("a"), await alone("b")];
   const keys = Array.from({ length: 40 }, (_, index) => `key ${index}`);
   for (const key of keys) {
-    const outcomes = await Promise.all([claimed(a, key), claimed(b, key)]);
+    const outcomes = await Promise.all([tryClaim(a, key), tryClaim(b, key)]);
     const tags = outcomes.map(({ _tag }) => _tag).sort();
     assert.deepEqual(tags, ["Claimed", "Taken"]);
   }
@@ -171,9 +171,9 @@
   const b = await fleet.daemon("b", {
     membership: new FakeMembership(memberNamed("b")),
   });
-  const late = claimed(a, "key");
+  const late = tryClaim(a, "key");
   await Effect.runPromise(Deferred.await(paused));
-  assert.equal((await claimed(b, "key"))._tag, "Claimed");
+  assert.equal((await tryClaim(b, "key"))._tag, "Claimed");
   Deferred.doneUnsafe(woken, Effect.succeed<StoreFault>("none"));
   assert.equal((await late)._tag, "Taken");
 });
@@ -181,13 +181,13 @@
 test("a store that is down refuses within the bound, and the key stays free", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a", { settings: { timeoutMs: 200 } });
-  assert.equal((await claimed(a, "warm"))._tag, "Claimed");
+  assert.equal((await tryClaim(a, "warm"))._tag, "Claimed");
   fleet.store.plan = () => "refuse";
-  const refused = await claimed(a, "key");
+  const refused = await tryClaim(a, "key");
   assert.equal(refused._tag, "ClaimUnavailable");
   fleet.store.plan = () => "none";
   await Effect.runPromise(a.drain());
-  assert.equal((await claimed(a, "key"))._tag, "Claimed");
+  assert.equal((await tryClaim(a, "key"))._tag, "Claimed");
 });
 
 test("claims refused before any write leave nothing to take back", async (t) => {
@@ -195,10 +195,10 @@
   // and the answers of requests that did run would find no room to be kept.
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a", { settings: { timeoutMs: 200 } });
-  assert.equal((await claimed(a, "warm"))._tag, "Claimed");
+  assert.equal((await tryClaim(a, "warm"))._tag, "Claimed");
   fleet.store.plan = () => "refuse";
   const keys = Array.from({ length: 20 }, (_, index) => `key ${index}`);
-  await Promise.all(keys.map((key) => claimed(a, key)));
+  await Promise.all(keys.map((key) => tryClaim(a, key)));
   assert.equal(a.pendingSettlements, 0);
 });
 
@@ -213,10 +213,10 @@
     down = writesHead(call);
     return down ? "lose-reply" : "none";
   };
-  assert.equal((await claimed(a, "key"))._tag, "ClaimUnavailable");
+  assert.equal((await tryClaim(a, "key"))._tag, "ClaimUnavailable");
   fleet.store.plan = () => "none";
   await Effect.runPromise(a.drain());
-  assert.equal((await claimed(a, "key"))._tag, "Claimed");
+  assert.equal((await tryClaim(a, "key"))._tag, "Claimed");
 });
 
 test("a verdict that comes after a pause is not used", async (t) => {
@@ -233,14 +233,14 @@
         }),
     },
   });
-  assert.equal((await claimed(a, "key"))._tag, "ClaimUnavailable");
+  assert.equal((await tryClaim(a, "key"))._tag, "ClaimUnavailable");
 });
 
 test("a claim can't be used after a pause before the send", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
   const clock = new FakeClock();
   const a = await fleet.daemon("a", { clock });
-  const claim = claimOf(await claimed(a, "key"));
+  const claim = expectClaim(await tryClaim(a, "key"));
   assert.equal(claim.mayStart(), true);
   clock.advance(7_001);
   assert.equal(claim.mayStart(), false);
@@ -255,14 +255,14 @@
     }),
   );
   const a = await fleet.daemon("a", { settings: { timeoutMs: 100 } });
-  const outcome = await claimed(a, "key");
+  const outcome = await tryClaim(a, "key");
   assert.equal(outcome._tag, "ClaimUnavailable");
   assert.match(JSON.stringify(outcome), /record 0 is not valid/);
 });
 
 test("the layout of the first process holds for later ones", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
-  await claimed(await fleet.daemon("a"), "key");
+  await tryClaim(await fleet.daemon("a"), "key");
   const later = await fleet.daemon("a", { settings: { partitions: 64 } });
-  assert.equal((await claimed(later, "key"))._tag, "Taken");
+  assert.equal((await tryClaim(later, "key"))._tag, "Taken");
 });
--- a/packages/coordination/tests/handshake_test.ts
+++ b/packages/coordination/tests/handshake_test.ts
@@ -10,40 +10,44 @@
 import {
   acceptHandshake,
   dialHandshake,
-  HANDSHAKE_LIMIT,
+  MAX_HANDSHAKE_FRAME_BYTES,
 } from "../src/connection/handshake.ts";
 import type { Session } from "../src/connection/session.ts";
 import { TEST_KEY } from "./link_fixture.ts";
 import { echoServer, socketPair } from "./socket_fixture.ts";
 
-function end(socket: Socket, name: string, key: Uint8Array = TEST_KEY) {
-  const reader = new FrameReader(socket, HANDSHAKE_LIMIT);
+function handshakeOptions(
+  socket: Socket,
+  name: string,
+  key: Uint8Array = TEST_KEY,
+) {
+  const reader = new FrameReader(socket, MAX_HANDSHAKE_FRAME_BYTES);
   return { socket, reader, key, self: { name, incarnation: 7 } };
 }
 
-interface Ends {
+interface HandshakeResults {
   readonly dialler: Exit.Exit<Session, LinkClosed>;
   readonly accepter: Exit.Exit<Session, LinkClosed>;
 }
 
 /** Both ends of a handshake; an end that fails closes its socket. */
-const shake = Effect.fnUntraced(function* (given: {
+const runHandshake = Effect.fnUntraced(function* (given: {
   readonly expected?: string;
   readonly diallerKey?: Uint8Array;
 }) {
   const { near, far } = yield* socketPair;
   const dialled = dialHandshake(
-    end(near, "a", given.diallerKey),
+    handshakeOptions(near, "a", given.diallerKey),
     given.expected ?? "b",
   ).pipe(Effect.onError(() => Effect.sync(() => near.destroy())));
-  const accepted = acceptHandshake(end(far, "b")).pipe(
+  const accepted = acceptHandshake(handshakeOptions(far, "b")).pipe(
     Effect.onError(() => Effect.sync(() => far.destroy())),
   );
   const [dialler, accepter] = yield* Effect.all(
     [Effect.exit(dialled), Effect.exit(accepted)],
     { concurrency: 2 },
   );
-  const ends: Ends = { dialler, accepter };
+  const ends: HandshakeResults = { dialler, accepter };
   return ends;
 });
 
@@ -56,7 +60,7 @@
 
 test("both ends learn who the other is, and share keys", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const { dialler, accepter } = yield* shake({});
+    const { dialler, accepter } = yield* runHandshake({});
     assert.ok(Exit.isSuccess(dialler) && Exit.isSuccess(accepter));
     assert.equal(dialler.value.peer, "b");
     assert.equal(accepter.value.peer, "a");
@@ -69,7 +73,7 @@
 
 test("an end with another key is refused", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const { dialler, accepter } = yield* shake({
+    const { dialler, accepter } = yield* runHandshake({
       diallerKey: Buffer.from("another key"),
     });
     assert.equal(reasonOf(accepter), "forged: wrong key");
@@ -80,7 +84,7 @@
   // b's host was replaced and c has its address. What is meant for b must not
   // be given to c.
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const { dialler } = yield* shake({ expected: "c" });
+    const { dialler } = yield* runHandshake({ expected: "c" });
     assert.equal(reasonOf(dialler), 'refused: dialled "c", met "b"');
   }))));
 
@@ -89,7 +93,9 @@
   // the proofs make a repeated one wrong.
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const socket = yield* dial(yield* echoServer);
-    const exit = yield* Effect.exit(dialHandshake(end(socket, "a"), "a"));
+    const exit = yield* Effect.exit(
+      dialHandshake(handshakeOptions(socket, "a"), "a"),
+    );
     socket.destroy();
     assert.equal(reasonOf(exit), "forged: wrong key");
   }))));
@@ -106,7 +112,9 @@
     ]);
     near.write(encodeFrame([hello]));
     near.write(encodeFrame([Buffer.alloc(32), Buffer.alloc(8, 0xff)]));
-    const exit = yield* Effect.exit(acceptHandshake(end(far, "b")));
+    const exit = yield* Effect.exit(
+      acceptHandshake(handshakeOptions(far, "b")),
+    );
     assert.equal(reasonOf(exit), "forged: wrong key");
   }))));
 
@@ -114,7 +122,9 @@
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const { near, far } = yield* socketPair;
     near.write(encodeFrame([Buffer.from("GET / HTTP/1.1")]));
-    const exit = yield* Effect.exit(acceptHandshake(end(far, "b")));
+    const exit = yield* Effect.exit(
+      acceptHandshake(handshakeOptions(far, "b")),
+    );
     assert.equal(reasonOf(exit), "refused: no hello");
   }))));
 
@@ -127,6 +137,8 @@
       Buffer.alloc(32),
     ]);
     near.write(encodeFrame([hello]));
-    const exit = yield* Effect.exit(acceptHandshake(end(far, "b")));
+    const exit = yield* Effect.exit(
+      acceptHandshake(handshakeOptions(far, "b")),
+    );
     assert.equal(reasonOf(exit), "refused: no common version with 2..9");
   }))));
--- a/packages/coordination/tests/lease_test.ts
+++ b/packages/coordination/tests/lease_test.ts
@@ -24,7 +24,7 @@
   });
 }
 
-function objectOf(
+function leaseObject(
   store: MemoryStore,
   options: {
     readonly holderId: string;
@@ -44,12 +44,12 @@
   });
 }
 
-function acquired(object: LeaseObject): Promise<LeaseTerm | undefined> {
+function tryAcquire(object: LeaseObject): Promise<LeaseTerm | undefined> {
   return Effect.runPromise(object.tryAcquire());
 }
 
 /** Holds until the test ends; resolves once held. */
-function holding(t: TestContext, held: Lease): Promise<Tenure> {
+function holdUntilTestEnd(t: TestContext, held: Lease): Promise<Tenure> {
   const tenure = Deferred.makeUnsafe<Tenure>();
   const fiber = Effect.runFork(held.hold((given) => {
     Deferred.doneUnsafe(tenure, Effect.succeed(given));
@@ -59,7 +59,7 @@
   return Effect.runPromise(Deferred.await(tenure));
 }
 
-function writes(faults: StoreFault[]): FaultPlan {
+function failWrites(faults: StoreFault[]): FaultPlan {
   return ({ operation }) =>
     operation === "write" ? faults.shift() ?? "none" : "none";
 }
@@ -75,7 +75,7 @@
       })
     ));
   }
-  const last = await holding(t, lease(store));
+  const last = await holdUntilTestEnd(t, lease(store));
   const rising = [...numbers, last.fencing];
   assert.deepEqual(rising, rising.toSorted((a, b) => a - b));
   assert.equal(new Set(rising).size, 5);
@@ -84,64 +84,64 @@
 test("a lease given up is taken at once", async () => {
   const store = new MemoryStore();
   const clock = new FakeClock();
-  const a = objectOf(store, { holderId: "a", clock });
-  const b = objectOf(store, { holderId: "b", clock });
-  const term = await acquired(a);
+  const a = leaseObject(store, { holderId: "a", clock });
+  const b = leaseObject(store, { holderId: "b", clock });
+  const term = await tryAcquire(a);
   assert.ok(term);
-  assert.equal(await acquired(b), undefined);
+  assert.equal(await tryAcquire(b), undefined);
   await Effect.runPromise(a.release(term));
-  assert.ok(await acquired(b));
+  assert.ok(await tryAcquire(b));
 });
 
 test("a silent holder's lease is taken only after it was watched for its duration", async () => {
   const store = new MemoryStore();
   const clock = new FakeClock();
-  const a = objectOf(store, { holderId: "a", clock });
+  const a = leaseObject(store, { holderId: "a", clock });
   // Its clock shows another year: only the time that it watched counts.
   const other = new FakeClock({ at: 1e12, skew: 1e12 });
-  const b = objectOf(store, { holderId: "b", clock: other });
-  const term = await acquired(a);
-  assert.equal(await acquired(b), undefined);
+  const b = leaseObject(store, { holderId: "b", clock: other });
+  const term = await tryAcquire(a);
+  assert.equal(await tryAcquire(b), undefined);
   other.advance(DURATION_MS - 1);
-  assert.equal(await acquired(b), undefined);
+  assert.equal(await tryAcquire(b), undefined);
   other.advance(1);
-  const next = await acquired(b);
+  const next = await tryAcquire(b);
   assert.ok(term && next && next.fencing > term.fencing);
 });
 
 test("a renewal starts the watching anew", async () => {
   const store = new MemoryStore();
   const clock = new FakeClock();
-  const a = objectOf(store, { holderId: "a", clock });
-  const b = objectOf(store, { holderId: "b", clock });
-  const term = await acquired(a);
+  const a = leaseObject(store, { holderId: "a", clock });
+  const b = leaseObject(store, { holderId: "b", clock });
+  const term = await tryAcquire(a);
   assert.ok(term);
-  assert.equal(await acquired(b), undefined);
+  assert.equal(await tryAcquire(b), undefined);
   clock.advance(DURATION_MS - 1);
   assert.equal(await Effect.runPromise(a.renew(term)), false);
   clock.advance(DURATION_MS - 1);
-  assert.equal(await acquired(b), undefined);
+  assert.equal(await tryAcquire(b), undefined);
 });
 
 test("two processes that find the lease free take it once", async () => {
   const store = new MemoryStore();
   const clock = new FakeClock();
   const objects = ["a", "b", "c"].map((holderId) =>
-    objectOf(store, { holderId, clock })
+    leaseObject(store, { holderId, clock })
   );
-  const terms = await Promise.all(objects.map(acquired));
+  const terms = await Promise.all(objects.map(tryAcquire));
   assert.equal(terms.filter((term) => term !== undefined).length, 1);
 });
 
 test("an acquisition whose reply was lost is found by the holder's id", async () => {
   const store = new MemoryStore();
   const clock = new FakeClock();
-  const a = objectOf(store, {
+  const a = leaseObject(store, {
     holderId: "a",
     clock,
-    plan: writes(["lose-reply"]),
+    plan: failWrites(["lose-reply"]),
   });
-  assert.ok(await acquired(a));
+  assert.ok(await tryAcquire(a));
 });
 
 test("a renewal found late counts from the write that stands", async () => {
@@ -153,15 +153,15 @@
   const clock = new FakeClock();
   const faults: StoreFault[] = ["none", "lose-reply"];
   let blind = false;
-  const a = objectOf(store, {
+  const a = leaseObject(store, {
     holderId: "a",
     clock,
     plan: (call) => {
       if (call.operation === "read" && blind) return "refuse";
-      return writes(faults)(call);
+      return failWrites(faults)(call);
     },
   });
-  const term = await acquired(a);
+  const term = await tryAcquire(a);
   assert.ok(term);
   clock.advance(100);
   blind = true;
@@ -181,7 +181,7 @@
   // be told so at the first question.
   const store = new MemoryStore();
   const clock = new FakeClock();
-  const tenure = await holding(t, lease(store, { clock }));
+  const tenure = await holdUntilTestEnd(t, lease(store, { clock }));
   assert.equal(tenure.remainingMs(), DURATION_MS * 0.8);
   clock.advance(DURATION_MS);
   assert.ok(tenure.remainingMs() <= 0);
@@ -193,7 +193,7 @@
   const store = new MemoryStore();
   let shown = 0;
   const clock = { monotonic: () => 0, now: () => shown };
-  const tenure = await holding(t, lease(store, { clock }));
+  const tenure = await holdUntilTestEnd(t, lease(store, { clock }));
   assert.ok(tenure.remainingMs() > 0);
   shown = DURATION_MS;
   assert.ok(tenure.remainingMs() <= 0);
@@ -202,20 +202,20 @@
 test("a holder stops before another may start, at any moment of its renewals", async () => {
   const store = new MemoryStore();
   const clock = new FakeClock();
-  const a = objectOf(store, { holderId: "a", clock });
-  const b = objectOf(store, { holderId: "b", clock });
-  const term = await acquired(a);
+  const a = leaseObject(store, { holderId: "a", clock });
+  const b = leaseObject(store, { holderId: "b", clock });
+  const term = await tryAcquire(a);
   assert.ok(term);
   for (const pauseMs of [0, 300, 799]) {
     clock.advance(pauseMs);
     await Effect.runPromise(a.renew(term));
-    assert.equal(await acquired(b), undefined);
+    assert.equal(await tryAcquire(b), undefined);
   }
   const endsAt = term.renewedAt.monotonic + DURATION_MS * 0.8;
   clock.advance(DURATION_MS - 1);
-  assert.equal(await acquired(b), undefined);
+  assert.equal(await tryAcquire(b), undefined);
   clock.advance(1);
-  assert.ok(await acquired(b));
+  assert.ok(await tryAcquire(b));
   assert.ok(endsAt < clock.monotonic());
   assert.equal(await Effect.runPromise(a.renew(term)), true);
   assert.equal(term.ended, true);
--- a/packages/coordination/tests/link_faults_test.ts
+++ b/packages/coordination/tests/link_faults_test.ts
@@ -7,13 +7,16 @@
 import * as Fiber from "effect/Fiber";
 import { dial } from "../src/connection/dial.ts";
 import { FrameReader } from "../src/connection/frame.ts";
-import { dialHandshake, HANDSHAKE_LIMIT } from "../src/connection/handshake.ts";
+import {
+  dialHandshake,
+  MAX_HANDSHAKE_FRAME_BYTES,
+} from "../src/connection/handshake.ts";
 import { encodeLinkMessage } from "../src/connection/link_message.ts";
 import type { LinkedPeers } from "../src/connection/linked_peers.ts";
 import type { LinkSettings } from "../src/connection/link_settings.ts";
 import type { Endpoint } from "../src/process/endpoint.ts";
-import { linkEnd, TEST_KEY } from "./link_fixture.ts";
-import { Relay } from "./socket_fixture.ts";
+import { startLinkEnd, TEST_KEY } from "./link_fixture.ts";
+import { TcpRelay } from "./socket_fixture.ts";
 
 const PATIENT = { timeoutMs: 60_000 };
 const ECHO = { channel: "echo", body: "hello" };
@@ -28,9 +31,9 @@
 
 /** "a" reaches "b" through a relay; "b" answers on channel "echo". */
 const relayed = Effect.fnUntraced(function* (settings: Partial<LinkSettings>) {
-  const b = yield* linkEnd({ name: "b", settings });
-  const relay = yield* Relay.open(() => b.endpoint);
-  const a = yield* linkEnd({
+  const b = yield* startLinkEnd({ name: "b", settings });
+  const relay = yield* TcpRelay.open(() => b.endpoint);
+  const a = yield* startLinkEnd({
     name: "a",
     settings,
     resolve: (name) => name === "b" ? relay.endpoint : undefined,
@@ -53,7 +56,7 @@
     const { a, relay } = yield* relayed(QUICK);
     const seen = states(a);
     assert.equal(yield* a.request("b", ECHO, PATIENT), "hello");
-    relay.loseTrack();
+    relay.stall();
     const lost = yield* Effect.flip(a.request("b", ECHO, PATIENT));
     assert.equal(lost.reason, "closed");
     assert.equal(yield* a.request("b", ECHO, PATIENT), "hello");
@@ -63,7 +66,7 @@
 test("a member whose link cannot be replaced is called down", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const known = new Map<string, Endpoint>();
-    const a = yield* linkEnd({
+    const a = yield* startLinkEnd({
       name: "a",
       settings: QUICK,
       resolve: (name) => known.get(name),
@@ -73,7 +76,7 @@
       if (state === "down") Deferred.doneUnsafe(down, Effect.succeed(peer));
     });
     yield* Effect.scoped(Effect.gen(function* () {
-      const b = yield* linkEnd({ name: "b", settings: QUICK });
+      const b = yield* startLinkEnd({ name: "b", settings: QUICK });
       known.set("b", b.endpoint);
       b.peers.handle("echo", (_from, message) => Effect.succeed(message));
       yield* a.peers.request("b", ECHO, PATIENT);
@@ -110,7 +113,7 @@
     const { a, relay } = yield* relayed(settings);
     const seen = states(a);
     yield* a.request("b", ECHO, PATIENT);
-    yield* relay.emptied;
+    yield* relay.allClosed;
     assert.equal(yield* a.request("b", ECHO, PATIENT), "hello");
     assert.deepEqual(seen, ["b up"]);
   }))));
@@ -119,10 +122,10 @@
   // b says goodbye and ends the connection before a's next look at its links.
   // a reads the end right after the goodbye, and must take it for agreed.
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const a = yield* linkEnd({ name: "a" });
+    const a = yield* startLinkEnd({ name: "a" });
     const seen = states(a.peers);
     const socket = yield* dial(a.endpoint);
-    const reader = new FrameReader(socket, HANDSHAKE_LIMIT);
+    const reader = new FrameReader(socket, MAX_HANDSHAKE_FRAME_BYTES);
     const self = { name: "b", incarnation: 1 };
     const key = TEST_KEY;
     const { sealer } = yield* dialHandshake({ socket, reader, key, self }, "a");
@@ -136,7 +139,7 @@
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const heardByA = yield* Deferred.make<unknown>();
     const heardByB = yield* Deferred.make<unknown>();
-    const b = yield* linkEnd({
+    const b = yield* startLinkEnd({
       name: "b",
       settings: { heartbeatMs: 10 },
       digest: {
@@ -145,7 +148,7 @@
           Deferred.doneUnsafe(heardByB, Effect.succeed(digest)),
       },
     });
-    const a = yield* linkEnd({
+    const a = yield* startLinkEnd({
       name: "a",
       settings: { heartbeatMs: 10 },
       resolve: () => b.endpoint,
@@ -164,11 +167,11 @@
   // b's process is paused and b is started anew elsewhere. When the earlier one
   // wakes it still has a link, on which it must no more be heard.
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const a = yield* linkEnd({ name: "a" });
+    const a = yield* startLinkEnd({ name: "a" });
     a.peers.handle("start", (from) => Effect.succeed(`hello ${from}`));
     const resolve = () => a.endpoint;
-    const earlier = yield* linkEnd({ name: "b", incarnation: 1, resolve });
-    const later = yield* linkEnd({ name: "b", incarnation: 2, resolve });
+    const earlier = yield* startLinkEnd({ name: "b", incarnation: 1, resolve });
+    const later = yield* startLinkEnd({ name: "b", incarnation: 2, resolve });
     const message = { channel: "start", body: null };
     assert.equal(
       yield* earlier.peers.request("a", message, PATIENT),
@@ -188,7 +191,7 @@
     const settings = { maxQueuedBytes: 100_000, silentMs: 600_000 };
     const { a, relay } = yield* relayed(settings);
     yield* a.request("b", ECHO, PATIENT);
-    relay.loseTrack();
+    relay.stall();
     const body = Buffer.alloc(50_000);
     let accepted = 0;
     while (a.send("b", "note", body)) {
@@ -216,7 +219,7 @@
   // get through then.
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const settings = { maxHandshakes: 2, dialTimeoutMs: 500 };
-    const b = yield* linkEnd({ name: "b", settings });
+    const b = yield* startLinkEnd({ name: "b", settings });
     const ends = Array.from({ length: 5 }, () =>
       Effect.callback<void>((resume) => {
         const { address, port } = b.endpoint;
@@ -229,6 +232,6 @@
     yield* Effect.all(ends, { concurrency: "unbounded" });
     b.peers.handle("echo", (_from, message) =>
       Effect.succeed(message));
-    const a = yield* linkEnd({ name: "a", resolve: () => b.endpoint });
+    const a = yield* startLinkEnd({ name: "a", resolve: () => b.endpoint });
     assert.equal(yield* a.peers.request("b", ECHO, PATIENT), "hello");
   }))));
--- a/packages/coordination/tests/link_fixture.ts
+++ b/packages/coordination/tests/link_fixture.ts
@@ -19,7 +19,7 @@
 
 export const TEST_KEY = Buffer.from("a key for tests only");
 
-export interface EndOptions {
+export interface LinkEndOptions {
   readonly name: string;
   readonly key?: Uint8Array;
   readonly incarnation?: number;
@@ -31,7 +31,7 @@
 }
 
 /** One end that listens on a free port of the loopback interface. */
-export function linkEnd(options: EndOptions): Effect.Effect<
+export function startLinkEnd(options: LinkEndOptions): Effect.Effect<
   { readonly peers: LinkedPeers; readonly endpoint: Endpoint },
   ListenFailed,
   Scope
@@ -49,23 +49,25 @@
   });
 }
 
-export interface PairOptions {
+export interface LinkPairOptions {
   readonly settings?: Partial<LinkSettings>;
-  readonly bKnowsA?: boolean;
+  readonly bCanDialA?: boolean;
   readonly onA?: (peers: Peers) => void;
   readonly onB?: (peers: Peers) => void;
 }
 
 /** Ends "a" and "b" that know each other's address. */
-export const linkPair = Effect.fnUntraced(function* (options: PairOptions) {
-  const known = new Map<string, Endpoint>();
-  const resolve = (name: string) => known.get(name);
-  const settings = options.settings ?? {};
-  const a = yield* linkEnd({ name: "a", settings, resolve });
-  const b = yield* linkEnd({ name: "b", settings, resolve });
-  if (options.bKnowsA !== false) known.set("a", a.endpoint);
-  known.set("b", b.endpoint);
-  options.onA?.(a.peers);
-  options.onB?.(b.peers);
-  return { a: a.peers, b: b.peers };
-});
+export const startLinkPair = Effect.fnUntraced(
+  function* (options: LinkPairOptions) {
+    const known = new Map<string, Endpoint>();
+    const resolve = (name: string) => known.get(name);
+    const settings = options.settings ?? {};
+    const a = yield* startLinkEnd({ name: "a", settings, resolve });
+    const b = yield* startLinkEnd({ name: "b", settings, resolve });
+    if (options.bCanDialA !== false) known.set("a", a.endpoint);
+    known.set("b", b.endpoint);
+    options.onA?.(a.peers);
+    options.onB?.(b.peers);
+    return { a: a.peers, b: b.peers };
+  },
+);
--- a/packages/coordination/tests/peers_test.ts
+++ b/packages/coordination/tests/peers_test.ts
@@ -3,11 +3,11 @@
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
-import { linkPair } from "./link_fixture.ts";
+import { startLinkPair } from "./link_fixture.ts";
 
 test("a request is answered by the other end's handler", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const { a } = yield* linkPair({
+    const { a } = yield* startLinkPair({
       onB: (peers) =>
         peers.handle(
           "double",
@@ -24,7 +24,7 @@
 test("a message sent while the link is dialled arrives", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const heard = yield* Deferred.make<unknown>();
-    const { a } = yield* linkPair({
+    const { a } = yield* startLinkPair({
       onB: (peers) =>
         peers.handle(
           "note",
@@ -37,10 +37,10 @@
 
 test("both ends use the link that one of them dialled", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const { a, b } = yield* linkPair({
+    const { a, b } = yield* startLinkPair({
       onA: (peers) => peers.handle("name", () => Effect.succeed("a")),
       onB: (peers) => peers.handle("name", () => Effect.succeed("b")),
-      bKnowsA: false,
+      bCanDialA: false,
     });
     const message = { channel: "name", body: null };
     const options = { timeoutMs: 10_000 };
@@ -50,7 +50,7 @@
 
 test("a request to a member that nobody knows fails at once", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const { a } = yield* linkPair({});
+    const { a } = yield* startLinkPair({});
     const failure = yield* a.request("c", { channel: "x", body: 0 }, {
       timeoutMs: 60_000,
     }).pipe(Effect.flip);
@@ -63,7 +63,7 @@
 
 test("a handler that fails answers with its failure", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const { a } = yield* linkPair({
+    const { a } = yield* startLinkPair({
       onB: (peers) => peers.handle("broken", () => Effect.die("bug")),
     });
     const failure = yield* a.request("b", { channel: "broken", body: 0 }, {
@@ -74,7 +74,7 @@
 
 test("a request on a channel without handler is refused", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const { a } = yield* linkPair({});
+    const { a } = yield* startLinkPair({});
     const failure = yield* a.request("b", { channel: "none", body: 0 }, {
       timeoutMs: 60_000,
     }).pipe(Effect.flip);
@@ -85,7 +85,7 @@
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const started = yield* Deferred.make<void>();
     const interrupted = yield* Deferred.make<void>();
-    const { a } = yield* linkPair({
+    const { a } = yield* startLinkPair({
       onB: (peers) =>
         peers.handle("wait", () =>
           Deferred.succeed(started, undefined).pipe(
@@ -106,7 +106,7 @@
     const release = yield* Deferred.make<string>();
     const bothStarted = yield* Deferred.make<void>();
     let started = 0;
-    const { a } = yield* linkPair({
+    const { a } = yield* startLinkPair({
       settings: { maxInProgress: 2 },
       onB: (peers) =>
         peers.handle("wait", () => {
@@ -130,7 +130,7 @@
 
 test("a message to oneself reaches one's own handler", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const { a } = yield* linkPair({
+    const { a } = yield* startLinkPair({
       onA: (peers) =>
         peers.handle("name", (from) => Effect.succeed(`from ${from}`)),
     });
--- a/packages/coordination/tests/published_test.ts
+++ b/packages/coordination/tests/published_value_test.ts
@@ -6,8 +6,8 @@
 import * as Exit from "effect/Exit";
 import * as Scope from "effect/Scope";
 import { PauseDetector } from "../src/process/pause_detector.ts";
-import { Published } from "../src/version/published.ts";
-import type { PublishedOptions } from "../src/version/published.ts";
+import { PublishedValue } from "../src/version/published_value.ts";
+import type { PublishedValueOptions } from "../src/version/published_value.ts";
 import {
   FakeClock,
   FakeMembership,
@@ -24,7 +24,7 @@
   memberNamed(name, { failureDomain: name.slice(0, 1) })
 );
 
-function textOf(value: unknown): string {
+function decodeText(value: unknown): string {
   if (typeof value !== "string") throw new Error("Not a text");
   return value;
 }
@@ -40,21 +40,21 @@
 
   async daemon(
     name: string,
-    options: Partial<PublishedOptions<string>> & {
+    options: Partial<PublishedValueOptions<string>> & {
       readonly plan?: FaultPlan;
     } = {},
-  ): Promise<Published<string>> {
+  ): Promise<PublishedValue<string>> {
     const { plan = () => "none" } = options;
     const self = MEMBERS.find((member) => member.name === name);
     if (self === undefined) throw new Error(`No member "${name}"`);
     const others = MEMBERS.filter((member) => member !== self);
-    const published = new Published({
+    const published = new PublishedValue({
       store: this.store.withPlan(plan),
       peers: this.network.peers(name),
       membership: new FakeMembership(self, others),
       kind: KIND,
       name: NAME,
-      decode: textOf,
+      decode: decodeText,
       ...options,
     });
     const scope = Scope.makeUnsafe();
@@ -71,8 +71,8 @@
   }
 }
 
-function inForce(
-  published: Published<string>,
+function waitForVersion(
+  published: PublishedValue<string>,
   version: number,
 ): Promise<string> {
   return new Promise((done) => {
@@ -87,7 +87,7 @@
   });
 }
 
-function ready(published: Published<string>) {
+function whenReady(published: PublishedValue<string>) {
   return Effect.runPromise(published.ready);
 }
 
@@ -105,10 +105,10 @@
       })
     ),
   );
-  await Promise.all(daemons.map(ready));
+  await Promise.all(daemons.map(whenReady));
   const version = await fleet.write("second");
   const values = await Promise.all(
-    daemons.map((daemon) => inForce(daemon, version)),
+    daemons.map((daemon) => waitForVersion(daemon, version)),
   );
   assert.deepEqual(new Set(values), new Set(["second"]));
   assert.equal(watching.size, 4);
@@ -121,10 +121,10 @@
   const rest = await Promise.all(
     ["a2", "a3", "b1"].map((name) => fleet.daemon(name)),
   );
-  await Promise.all(rest.map(ready));
-  assert.equal((await ready(cut)).value, "first");
+  await Promise.all(rest.map(whenReady));
+  assert.equal((await whenReady(cut)).value, "first");
   const version = await fleet.write("second");
-  assert.equal(await inForce(cut, version), "second");
+  assert.equal(await waitForVersion(cut, version), "second");
 });
 
 test("an edit accepted just before an outage of the store comes into force", async (t) => {
@@ -138,12 +138,12 @@
   const daemons = await Promise.all(
     MEMBERS.map(({ name }) => fleet.daemon(name, { plan })),
   );
-  await Promise.all(daemons.map(ready));
+  await Promise.all(daemons.map(whenReady));
   down = true;
   const version = await fleet.write("second");
-  daemons[0]?.offer({ version, value: "second" });
+  daemons[0]?.publish({ version, value: "second" });
   const values = await Promise.all(
-    daemons.map((daemon) => inForce(daemon, version)),
+    daemons.map((daemon) => waitForVersion(daemon, version)),
   );
   assert.deepEqual(new Set(values), new Set(["second"]));
 });
@@ -158,10 +158,10 @@
     membership: new FakeMembership(self, [peer]),
   });
   const other = await fleet.daemon("a2");
-  await Promise.all([ready(cut), ready(other)]);
+  await Promise.all([whenReady(cut), whenReady(other)]);
   fleet.network.intercept = ({ kind }) => kind === "send" ? "lose" : "deliver";
   const version = await fleet.write("second");
-  assert.equal(await inForce(cut, version), "second");
+  assert.equal(await waitForVersion(cut, version), "second");
 });
 
 test("a version on a heartbeat is fetched from its sender", async (t) => {
@@ -169,9 +169,9 @@
   const from = await fleet.daemon("b1", { plan: () => "refuse" });
   const to = await fleet.daemon("a1", { plan: () => "refuse" });
   fleet.network.intercept = ({ kind }) => kind === "send" ? "lose" : "deliver";
-  from.offer({ version: 7, value: "seventh" });
+  from.publish({ version: 7, value: "seventh" });
   to.digest.receive("b1", from.digest.read());
-  assert.equal(await inForce(to, 7), "seventh");
+  assert.equal(await waitForVersion(to, 7), "seventh");
 });
 
 test("an older copy from a peer does not revert what is in force", async (t) => {
@@ -179,7 +179,7 @@
   // held. Applied, it would undo an accepted edit here.
   const fleet = new Fleet(t);
   const daemon = await fleet.daemon("a1", { plan: () => "refuse" });
-  daemon.offer({ version: 9, value: "ninth" });
+  daemon.publish({ version: 9, value: "ninth" });
   const stale = fleet.network.peers("b1");
   const update = { kind: "whole", version: 8, value: "eighth" };
   const answer = await Effect.runPromise(
@@ -197,11 +197,11 @@
   fleet.network.intercept = () => "lose";
   for (const [name, version] of versions) {
     const peer = await fleet.daemon(name, { plan: () => "refuse" });
-    peer.offer({ version, value: `version ${version}` });
+    peer.publish({ version, value: `version ${version}` });
   }
   fleet.network.intercept = () => "deliver";
   const late = await fleet.daemon("a1", { plan: () => "refuse" });
-  assert.deepEqual(await ready(late), { version: 6, value: "version 6" });
+  assert.deepEqual(await whenReady(late), { version: 6, value: "version 6" });
 });
 
 test("a daemon that starts with neither store nor peers waits", async (t) => {
@@ -218,7 +218,7 @@
   await Effect.runPromise(Deferred.await(tried));
   assert.equal(daemon.isReady, false);
   down = false;
-  assert.equal((await ready(daemon)).value, "first");
+  assert.equal((await whenReady(daemon)).value, "first");
 });
 
 test("a daemon that was paused compares before it is ready again", async (t) => {
@@ -236,17 +236,17 @@
     clock,
     pauseDetector: pauseWatch,
   });
-  await ready(daemon);
+  await whenReady(daemon);
   fleet.network.intercept = () => "lose";
   const peer = await fleet.daemon("a2", { plan: () => "refuse" });
   const version = await fleet.write("second");
-  peer.offer({ version, value: "second" });
+  peer.publish({ version, value: "second" });
   fleet.network.intercept = () => "deliver";
   down = true;
   clock.advance(60_000);
   assert.equal(daemon.isReady, false);
   assert.equal(daemon.current()?.value, "first");
-  assert.deepEqual(await ready(daemon), { version, value: "second" });
+  assert.deepEqual(await whenReady(daemon), { version, value: "second" });
 });
 
 test("a daemon that hears no peer reads the store itself", async (t) => {
@@ -265,11 +265,11 @@
       })
     ),
   );
-  await Promise.all(isolated.map(ready));
+  await Promise.all(isolated.map(whenReady));
   const version = await fleet.write("second");
   clock.advance(5_000);
   const first = await Promise.race(
-    isolated.map((daemon) => inForce(daemon, version)),
+    isolated.map((daemon) => waitForVersion(daemon, version)),
   );
   assert.equal(first, "second");
 });
@@ -281,11 +281,11 @@
     plan: () => "refuse",
     onRejected: (version) => rejected.push(version),
   });
-  daemon.offer({ version: 3, value: "third" });
-  daemon.offer({ version: 4, value: 4 });
+  daemon.publish({ version: 3, value: "third" });
+  daemon.publish({ version: 4, value: 4 });
   assert.equal(daemon.current()?.version, 3);
   assert.deepEqual(rejected, [4]);
-  daemon.offer({ version: 5, value: "fifth" });
+  daemon.publish({ version: 5, value: "fifth" });
   assert.equal(daemon.current()?.version, 5);
 });
 
@@ -294,8 +294,8 @@
   const daemon = await fleet.daemon("a1", { plan: () => "refuse" });
   await fleet.daemon("a2", { plan: () => "refuse" });
   fleet.network.intercept = ({ kind }) => kind === "send" ? "lose" : "deliver";
-  daemon.offer({ version: 3, value: "third" });
-  const versions = await Effect.runPromise(daemon.survey());
+  daemon.publish({ version: 3, value: "third" });
+  const versions = await Effect.runPromise(daemon.peerVersions());
   assert.equal(versions.get("a2"), 0);
   assert.equal(versions.get("b1"), undefined);
   assert.equal(versions.size, MEMBERS.length - 1);
--- a/packages/coordination/tests/shares_property_test.ts
+++ b/packages/coordination/tests/shares_property_test.ts
@@ -89,7 +89,7 @@
   },
 );
 
-interface ReportUnderWay {
+interface ReportInFlight {
   readonly kind: "report";
   readonly holder: number;
   readonly owner: string;
@@ -98,7 +98,7 @@
   readonly body: ShareReport;
 }
 
-interface AnswerUnderWay extends Omit<ReportUnderWay, "kind" | "body"> {
+interface AnswerInFlight extends Omit<ReportInFlight, "kind" | "body"> {
   readonly kind: "answer";
   readonly answer: ShareAnswer;
 }
@@ -112,7 +112,7 @@
   );
   readonly #owners = new Map<string, ShareOwner>();
   readonly #stamps = new Map<string, Stamp>();
-  readonly #underWay: (ReportUnderWay | AnswerUnderWay)[] = [];
+  readonly #inFlight: (ReportInFlight | AnswerInFlight)[] = [];
   #reports = 0;
 
   constructor() {
@@ -124,7 +124,7 @@
     return this.#holdings.map((holding) => holding.allowance(now));
   }
 
-  do(step: Step): void {
+  perform(step: Step): void {
     switch (step.type) {
       case "wait":
         return this.clock.advance(step.ms);
@@ -149,7 +149,7 @@
     const offers = [{ limit: "l", holder: `h${holder}`, ...offer }];
     const body = stamp === undefined ? { offers } : { stamp, offers };
     const report = this.#reports += 1;
-    this.#underWay.push({
+    this.#inFlight.push({
       kind: "report",
       holder,
       owner,
@@ -161,8 +161,8 @@
 
   #exchange(holder: number, owner: string): void {
     this.report(holder, owner);
-    this.#deliver(this.#underWay.length - 1, false);
-    this.#deliver(this.#underWay.length - 1, false);
+    this.#deliver(this.#inFlight.length - 1, false);
+    this.#deliver(this.#inFlight.length - 1, false);
   }
 
   exchange(holder: number): void {
@@ -170,15 +170,15 @@
   }
 
   deliverAll(): void {
-    while (this.#underWay.length > 0) this.#deliver(0, false);
+    while (this.#inFlight.length > 0) this.#deliver(0, false);
   }
 
   #deliver(choice: number, again: boolean): void {
-    if (this.#underWay.length === 0) return;
-    const index = choice % this.#underWay.length;
-    const message = this.#underWay[index];
+    if (this.#inFlight.length === 0) return;
+    const index = choice % this.#inFlight.length;
+    const message = this.#inFlight[index];
     if (message === undefined) return;
-    if (!again) this.#underWay.splice(index, 1);
+    if (!again) this.#inFlight.splice(index, 1);
     const { holder, owner, report, sentAt } = message;
     if (message.kind === "report") {
       const answer = decodeAnswer(
@@ -186,7 +186,7 @@
       );
       assert.ok(answer);
       const { body: _, ...rest } = message;
-      this.#underWay.push({ ...rest, kind: "answer", answer });
+      this.#inFlight.push({ ...rest, kind: "answer", answer });
       return;
     }
     this.#stamps.set(`${holder}/${owner}`, message.answer.stamp);
@@ -208,7 +208,7 @@
     fc.property(fc.array(step, { minLength: 20, maxLength: 200 }), (steps) => {
       const fleet = new Fleet();
       for (const step of steps) {
-        fleet.do(step);
+        fleet.perform(step);
         const total = sum(fleet.allowances());
         assert.ok(total <= TOTAL + 1e-6, `${total} of ${TOTAL}`);
       }
@@ -219,7 +219,7 @@
 
 test("the holder with the demand gets what the others leave", () => {
   const fleet = new Fleet();
-  fleet.do({ type: "demand", holder: 0, amount: 200 });
+  fleet.perform({ type: "demand", holder: 0, amount: 200 });
   for (let round = 0; round < 4; round += 1) {
     for (let holder = 0; holder < HOLDERS; holder += 1) {
       fleet.report(holder, "x");
@@ -233,8 +233,8 @@
 
 test("two holders with demand share what the others leave evenly", () => {
   const fleet = new Fleet();
-  fleet.do({ type: "demand", holder: 0, amount: 200 });
-  fleet.do({ type: "demand", holder: 1, amount: 200 });
+  fleet.perform({ type: "demand", holder: 0, amount: 200 });
+  fleet.perform({ type: "demand", holder: 1, amount: 200 });
   for (let round = 0; round < 12; round += 1) {
     for (let holder = 0; holder < HOLDERS; holder += 1) {
       fleet.report(holder, "x");
@@ -251,7 +251,7 @@
   // The owner dies with grants out and no other takes its place. Holders that
   // yielded must get their floor back, and not before the grants have ended.
   const fleet = new Fleet();
-  fleet.do({ type: "demand", holder: 0, amount: 200 });
+  fleet.perform({ type: "demand", holder: 0, amount: 200 });
   for (let round = 0; round < 4; round += 1) {
     for (let holder = 0; holder < HOLDERS; holder += 1) {
       fleet.report(holder, "x");
@@ -270,7 +270,7 @@
   // back when the yield has ended. Then the report arrives. Counted from its
   // arrival, the owner would grant what the holder uses again.
   const fleet = new Fleet();
-  fleet.do({ type: "demand", holder: 0, amount: 200 });
+  fleet.perform({ type: "demand", holder: 0, amount: 200 });
   fleet.exchange(1);
   fleet.report(1, "x");
   fleet.clock.advance(TIMES.yieldMs);
--- a/packages/coordination/tests/shares_test.ts
+++ b/packages/coordination/tests/shares_test.ts
@@ -15,7 +15,7 @@
 const NAMES = ["a", "b", "c"];
 const TIMES = { periodMs: 10, yieldMs: 60_000, grantMs: 30_000 };
 
-async function fleet(t: TestContext) {
+async function startFleet(t: TestContext) {
   const network = new MemoryNetwork();
   const members = NAMES.map((name) => memberNamed(name));
   const shares: Share[] = [];
@@ -40,7 +40,10 @@
 }
 
 /** Looks after each message until it is so. */
-function until(network: MemoryNetwork, holds: () => boolean): Promise<void> {
+function waitUntil(
+  network: MemoryNetwork,
+  holds: () => boolean,
+): Promise<void> {
   return new Promise((done) => {
     network.intercept = () => {
       if (holds()) done();
@@ -50,21 +53,21 @@
 }
 
 test("each holder may use its floor before any owner has answered", async (t) => {
-  const { network, shares } = await fleet(t);
+  const { network, shares } = await startFleet(t);
   network.intercept = () => "refuse";
   assert.deepEqual(shares.map((share) => share.allowance()), [30, 30, 30]);
 });
 
 test("demand at one process draws what the others do not use", async (t) => {
-  const { network, shares } = await fleet(t);
+  const { network, shares } = await startFleet(t);
   shares[1]?.demand(200);
-  await until(network, () => (shares[1]?.allowance() ?? 0) > 80);
+  await waitUntil(network, () => (shares[1]?.allowance() ?? 0) > 80);
   const total = shares.reduce((sum, share) => sum + share.allowance(), 0);
   assert.ok(total <= 90 + 1e-6, `${total}`);
 });
 
 test("a resized limit changes the floor at once", async (t) => {
-  const { network, shares } = await fleet(t);
+  const { network, shares } = await startFleet(t);
   network.intercept = () => "refuse";
   shares[0]?.resize({ total: 30, holders: 3 });
   assert.equal(shares[0]?.allowance(), 10);
--- a/packages/coordination/tests/socket_fixture.ts
+++ b/packages/coordination/tests/socket_fixture.ts
@@ -11,7 +11,7 @@
 
 const LOOPBACK = "127.0.0.1";
 
-function listening(
+function listen(
   onConnection: (socket: Socket) => void,
 ): Effect.Effect<Server, never, Scope> {
   return Effect.acquireRelease(
@@ -39,7 +39,7 @@
 > = Effect.acquireRelease(
   Effect.gen(function* () {
     const accepted: Socket[] = [];
-    const server = yield* listening((socket) => accepted.push(socket));
+    const server = yield* listen((socket) => accepted.push(socket));
     const { port } = endpointOf(server);
     const near = connect({ host: LOOPBACK, port });
     near.on("error", () => {});
@@ -56,12 +56,12 @@
 );
 
 /** A server that sends back what it gets. */
-export const echoServer: Effect.Effect<Endpoint, never, Scope> = listening(
+export const echoServer: Effect.Effect<Endpoint, never, Scope> = listen(
   (socket) => socket.pipe(socket),
 ).pipe(Effect.map(endpointOf));
 
 /** A relay in front of an endpoint, which can lose track of connections. */
-export class Relay {
+export class TcpRelay {
   readonly endpoint: Endpoint;
   readonly #connections: Set<Socket>;
 
@@ -72,9 +72,9 @@
 
   static readonly open = Effect.fnUntraced(function* (
     target: () => Endpoint,
-  ): Effect.fn.Return<Relay, never, Scope> {
+  ): Effect.fn.Return<TcpRelay, never, Scope> {
     const connections = new Set<Socket>();
-    const server = yield* listening((near) => {
+    const server = yield* listen((near) => {
       const { address, port } = target();
       const far = connect({ host: address, port });
       far.on("error", () => near.destroy());
@@ -92,11 +92,11 @@
         for (const socket of connections) socket.destroy();
       })
     );
-    return new Relay(endpointOf(server), connections);
+    return new TcpRelay(endpointOf(server), connections);
   });
 
   /** Waits until no connection is left. */
-  get emptied(): Effect.Effect<void> {
+  get allClosed(): Effect.Effect<void> {
     return Effect.callback((resume) => {
       const check = () => {
         if (this.#connections.size === 0) resume(Effect.void);
@@ -107,7 +107,7 @@
   }
 
   /** Existing connections stay open and carry nothing more; new ones work. */
-  loseTrack(): void {
+  stall(): void {
     for (const socket of this.#connections) {
       socket.unpipe();
       socket.pause();
--- a/packages/daemon/src/fleet.ts
+++ b/packages/daemon/src/fleet.ts
@@ -9,7 +9,7 @@
   DigestBoard,
   followHostList,
   HttpStore,
-  Published,
+  PublishedValue,
   startNode,
 } from "@umbermast/coordination";
 import type {
@@ -150,7 +150,7 @@
 }) {
   const { store, node, digest, log } = parts;
   return Effect.gen(function* () {
-    const published = new Published<unknown>({
+    const published = new PublishedValue<unknown>({
       store,
       peers: node.peers,
       membership: node.membership,
@@ -163,7 +163,7 @@
     const feed = new SourcedTableFeed(published, log);
     yield* published.start();
     digest.add("table", published.digest);
-    const offerTable = (offered: VersionedValue) => published.offer(offered);
+    const offerTable = (offered: VersionedValue) => published.publish(offered);
     return { feed, offerTable };
   });
 }
