--- a/packages/daemon/src/process/scheduling/broker_registry.ts
+++ b/packages/daemon/src/process/scheduling/broker_registry.ts
@@ -37,7 +37,7 @@
 }
 
 /** Runs brokers and passes messages between them and the entries. */
-export class BrokerHost {
+export class BrokerRegistry {
   readonly #parts: BrokerHostParts;
   readonly #brokers = new Map<string, Broker>();
   #toOwnEntry: (message: EntryMessage) => void = () => {};
--- a/packages/daemon/src/request/broker_link.ts
+++ b/packages/daemon/src/request/broker_link.ts
@@ -6,7 +6,7 @@
 import type { Clock, Peers } from "@umbermast/coordination";
 import type { RunnerDirectory } from "../process/runner_directory.ts";
 import type { BrokerFinder } from "../process/scheduling/broker_finder.ts";
-import type { BrokerHost } from "../process/scheduling/broker_registry.ts";
+import type { BrokerRegistry } from "../process/scheduling/broker_registry.ts";
 import type { Contacts } from "../process/scheduling/reply_tracker.ts";
 import {
   type BrokerMessage,
@@ -20,7 +20,7 @@
   readonly own: OwnRequests;
   readonly finder: BrokerFinder;
   readonly contacts: Contacts;
-  readonly host: BrokerHost;
+  readonly host: BrokerRegistry;
   readonly directory: RunnerDirectory;
   readonly table: TableSource;
   readonly clock: Clock;
--- a/packages/daemon/src/request/brokered_scheduler.ts
+++ b/packages/daemon/src/request/brokered_scheduler.ts
@@ -13,7 +13,7 @@
 import type { Log } from "../process/log.ts";
 import type { RunnerDirectory } from "../process/runner_directory.ts";
 import { BrokerFinder } from "../process/scheduling/broker_finder.ts";
-import type { BrokerHost } from "../process/scheduling/broker_registry.ts";
+import type { BrokerRegistry } from "../process/scheduling/broker_registry.ts";
 import {
   type EntryMessage,
   type GrantMessage,
@@ -48,7 +48,7 @@
 
 /** What the scheduler works with. */
 export interface BrokeredParts {
-  readonly host: BrokerHost;
+  readonly host: BrokerRegistry;
   readonly directory: RunnerDirectory;
   readonly table: TableSource;
   readonly clock: Clock;
--- a/packages/daemon/src/request/scheduling.ts
+++ b/packages/daemon/src/request/scheduling.ts
@@ -8,7 +8,7 @@
 import type * as Scope from "effect/Scope";
 import type { Log } from "../process/log.ts";
 import type { RunnerDirectory } from "../process/runner_directory.ts";
-import { BrokerHost } from "../process/scheduling/broker_registry.ts";
+import { BrokerRegistry } from "../process/scheduling/broker_registry.ts";
 import { LoadReports } from "../process/scheduling/load_reports.ts";
 import { ALL_ON, type Switches } from "../process/scheduling/switches.ts";
 import type { TableSource } from "../process/table_source.ts";
@@ -71,7 +71,7 @@
     yield* reports.follow(directory);
     if (policy === "fifo") return new FifoScheduler({ ...parts, reports });
     const switches = { ...ALL_ON, ...settings.switches };
-    const host = new BrokerHost({ ...parts, reports, switches });
+    const host = new BrokerRegistry({ ...parts, reports, switches });
     const scheduler = new BrokeredScheduler({ ...parts, host });
     yield* host.start();
     yield* scheduler.start();
--- a/packages/daemon/tests/scheduling/daemons_fixture.ts
+++ b/packages/daemon/tests/scheduling/daemons_fixture.ts
@@ -8,7 +8,7 @@
 import type * as Scope from "effect/Scope";
 import type { Runner } from "../../src/process/runner.ts";
 import { RunnerDirectory } from "../../src/process/runner_directory.ts";
-import { BrokerHost } from "../../src/process/scheduling/broker_registry.ts";
+import { BrokerRegistry } from "../../src/process/scheduling/broker_registry.ts";
 import { LoadReports } from "../../src/process/scheduling/load_reports.ts";
 import { ALL_ON } from "../../src/process/scheduling/switches.ts";
 import { BrokeredScheduler } from "../../src/request/brokered_scheduler.ts";
@@ -20,7 +20,7 @@
 /** A daemon's part in scheduling, in this process. */
 export interface TestDaemon {
   readonly name: string;
-  readonly host: BrokerHost;
+  readonly host: BrokerRegistry;
   readonly scheduler: BrokeredScheduler;
   readonly membership: TestMembership;
   readonly directory: RunnerDirectory;
@@ -51,7 +51,7 @@
         peers: network.peersOf(name),
       };
       const reports = new LoadReports({ clock: SYSTEM_CLOCK });
-      const host = new BrokerHost({ ...parts, reports, switches: ALL_ON });
+      const host = new BrokerRegistry({ ...parts, reports, switches: ALL_ON });
       const scheduler = new BrokeredScheduler({ ...parts, host });
       yield* host.start();
       yield* scheduler.start();
