--- a/packages/daemon/src/process/scheduling/broker_registry.ts
+++ b/packages/daemon/src/process/scheduling/broker_registry.ts
@@ -30,7 +30,8 @@
 const BROKERS_LIMIT = 1_000;
 
 /** What a broker host works with. */
-export interface BrokerHostParts extends Omit<BrokerParts, "send" | "members"> {
+export interface BrokerRegistryDependencies
+  extends Omit<BrokerParts, "send" | "members"> {
   /** Absent in a daemon without peers. */
   readonly peers?: Peers;
   readonly membership?: Membership;
@@ -38,7 +39,7 @@
 
 /** Runs brokers and passes messages between them and the entries. */
 export class BrokerRegistry {
-  readonly #parts: BrokerHostParts;
+  readonly #parts: BrokerRegistryDependencies;
   readonly #brokers = new Map<string, Broker>();
   #toOwnEntry: (message: EntryMessage) => void = () => {};
   #members: ReadonlySet<string> = new Set();
@@ -47,7 +48,7 @@
   /** Services that this daemon takes itself to be the broker of. */
   readonly #owned = new Set<string>();
 
-  constructor(parts: BrokerHostParts) {
+  constructor(parts: BrokerRegistryDependencies) {
     this.#parts = parts;
     this.#finder = new BrokerFinder({
       membership: parts.membership,
