--- a/packages/daemon/src/process/scheduling/broker_registry.ts
+++ b/packages/daemon/src/process/scheduling/broker_registry.ts
@@ -62,7 +62,7 @@
   }
 
   /** Sets where grants and refusals for this daemon's own entry go. */
-  connectOwnEntry(deliver: (message: EntryMessage) => void): void {
+  connectLocalEntry(deliver: (message: EntryMessage) => void): void {
     this.#toOwnEntry = deliver;
   }
 
--- a/packages/daemon/src/request/brokered_scheduler.ts
+++ b/packages/daemon/src/request/brokered_scheduler.ts
@@ -79,7 +79,7 @@
       finder: this.#finder,
       contacts: this.#contacts,
     });
-    parts.host.connectOwnEntry((message) =>
+    parts.host.connectLocalEntry((message) =>
       this.#receive(this.#finder.self, message)
     );
   }
