--- a/packages/daemon/src/process/scheduling/broker.ts
+++ b/packages/daemon/src/process/scheduling/broker.ts
@@ -14,7 +14,7 @@
 import { AskAppraisal } from "./admission_control.ts";
 import { BrokerAnswers } from "./broker_replies.ts";
 import { BrokerBooks } from "./broker_state.ts";
-import type { BrokerParts } from "./broker_dependencies.ts";
+import type { BrokerDependencies } from "./broker_dependencies.ts";
 import { FairQueue } from "./fair_queue.ts";
 
 import { Granting } from "./grant_dispatcher.ts";
@@ -40,7 +40,7 @@
 /** Grants the slots of one service's runners to the asks of all entry daemons. */
 export class Broker {
   readonly #service: string;
-  readonly #parts: BrokerParts;
+  readonly #parts: BrokerDependencies;
   readonly #queue: FairQueue;
   readonly #pool: RunnerPool;
   readonly #learning: RunnerLearning;
@@ -53,7 +53,7 @@
   #heardAt: number;
   #opensAt = -Infinity;
 
-  constructor(service: string, parts: BrokerParts) {
+  constructor(service: string, parts: BrokerDependencies) {
     this.#service = service;
     this.#parts = parts;
     const table = parts.table.current();
--- a/packages/daemon/src/process/scheduling/broker_dependencies.ts
+++ b/packages/daemon/src/process/scheduling/broker_dependencies.ts
@@ -13,7 +13,7 @@
 import type { Switches } from "./switches.ts";
 
 /** What a broker works with. */
-export interface BrokerParts {
+export interface BrokerDependencies {
   readonly directory: RunnerDirectory;
   readonly reports: LoadReports;
   readonly table: TableSource;
--- a/packages/daemon/src/process/scheduling/broker_registry.ts
+++ b/packages/daemon/src/process/scheduling/broker_registry.ts
@@ -11,7 +11,7 @@
 import * as Effect from "effect/Effect";
 import type * as Scope from "effect/Scope";
 import { Broker } from "./broker.ts";
-import type { BrokerParts } from "./broker_dependencies.ts";
+import type { BrokerDependencies } from "./broker_dependencies.ts";
 import { BrokerFinder } from "./broker_finder.ts";
 import {
   type BrokerMessage,
@@ -31,7 +31,7 @@
 
 /** What a broker host works with. */
 export interface BrokerRegistryDependencies
-  extends Omit<BrokerParts, "send" | "members"> {
+  extends Omit<BrokerDependencies, "send" | "members"> {
   /** Absent in a daemon without peers. */
   readonly peers?: Peers;
   readonly membership?: Membership;
--- a/packages/daemon/tests/scheduling/broker_fixture.ts
+++ b/packages/daemon/tests/scheduling/broker_fixture.ts
@@ -8,7 +8,7 @@
 import type { Runner } from "../../src/process/runner.ts";
 import { RunnerDirectory } from "../../src/process/runner_directory.ts";
 import { Broker } from "../../src/process/scheduling/broker.ts";
-import type { BrokerParts } from "../../src/process/scheduling/broker_dependencies.ts";
+import type { BrokerDependencies } from "../../src/process/scheduling/broker_dependencies.ts";
 import { LoadReports } from "../../src/process/scheduling/load_reports.ts";
 import type { EntryMessage } from "../../src/process/scheduling/messages.ts";
 import { ALL_ON } from "../../src/process/scheduling/switches.ts";
@@ -39,7 +39,7 @@
   options: {
     readonly runners?: readonly Runner[];
     readonly table?: Table;
-    readonly parts?: Partial<BrokerParts>;
+    readonly parts?: Partial<BrokerDependencies>;
   } = {},
 ): Bench {
   const clock = clockOf();
