--- a/packages/daemon/src/process/scheduling/reply_tracker.ts
+++ b/packages/daemon/src/process/scheduling/reply_tracker.ts
@@ -6,7 +6,7 @@
 import type { Clock } from "@umbermast/coordination";
 
 /** Notices daemons that have fallen silent by their missing answers. */
-export class Contacts {
+export class ReplyTracker {
   readonly #clock: Clock;
   /** Monotonic milliseconds since when an answer is awaited, by daemon. */
   readonly #awaited = new Map<string, number>();
--- a/packages/daemon/src/request/broker_link.ts
+++ b/packages/daemon/src/request/broker_link.ts
@@ -7,7 +7,7 @@
 import type { RunnerDirectory } from "../process/runner_directory.ts";
 import type { BrokerFinder } from "../process/scheduling/broker_finder.ts";
 import type { BrokerRegistry } from "../process/scheduling/broker_registry.ts";
-import type { Contacts } from "../process/scheduling/reply_tracker.ts";
+import type { ReplyTracker } from "../process/scheduling/reply_tracker.ts";
 import {
   type BrokerMessage,
   TO_BROKER,
@@ -19,7 +19,7 @@
 export interface BrokerLinkParts {
   readonly own: OwnRequests;
   readonly finder: BrokerFinder;
-  readonly contacts: Contacts;
+  readonly contacts: ReplyTracker;
   readonly host: BrokerRegistry;
   readonly directory: RunnerDirectory;
   readonly table: TableSource;
--- a/packages/daemon/src/request/brokered_scheduler.ts
+++ b/packages/daemon/src/request/brokered_scheduler.ts
@@ -21,7 +21,7 @@
   type RefuseMessage,
   TO_ENTRY,
 } from "../process/scheduling/messages.ts";
-import { Contacts } from "../process/scheduling/reply_tracker.ts";
+import { ReplyTracker } from "../process/scheduling/reply_tracker.ts";
 import type { TableSource } from "../process/table_source.ts";
 import { BrokerLink } from "./broker_link.ts";
 import type { Ask, Grant, Refusal, Settlement } from "./ask.ts";
@@ -62,7 +62,7 @@
 export class BrokeredScheduler implements Scheduler {
   readonly #parts: BrokeredParts;
   readonly #finder: BrokerFinder;
-  readonly #contacts: Contacts;
+  readonly #contacts: ReplyTracker;
   readonly #own = new OwnRequests();
   readonly #link: BrokerLink;
 
@@ -72,7 +72,7 @@
       membership: parts.membership,
       directory: parts.directory,
     });
-    this.#contacts = new Contacts(parts.clock);
+    this.#contacts = new ReplyTracker(parts.clock);
     this.#link = new BrokerLink({
       ...parts,
       own: this.#own,
