--- a/packages/daemon/src/process/scheduling/reply_tracker.ts
+++ b/packages/daemon/src/process/scheduling/reply_tracker.ts
@@ -16,7 +16,7 @@
   }
 
   /** Daemons that owe an answer. */
-  get awaited(): readonly string[] {
+  get awaitingReply(): readonly string[] {
     return [...this.#awaited.keys()];
   }
 
--- a/packages/daemon/src/request/brokered_scheduler.ts
+++ b/packages/daemon/src/request/brokered_scheduler.ts
@@ -142,7 +142,9 @@
       const all = beats % (HELD_BEAT_MS / BEAT_MS) === 0;
       const brokers = all ? this.#own.brokers() : this.#own.awaitedBrokers();
       // A silent one is asked on, so that its return is noticed.
-      for (const broker of new Set([...brokers, ...this.#contacts.awaited])) {
+      for (
+        const broker of new Set([...brokers, ...this.#contacts.awaitingReply])
+      ) {
         this.#link.beat(broker);
       }
     }));
