--- a/packages/daemon/src/process/scheduling/reply_tracker.ts
+++ b/packages/daemon/src/process/scheduling/reply_tracker.ts
@@ -21,7 +21,7 @@
   }
 
   /** Something was sent that has to be answered. */
-  asked(name: string): void {
+  requestSent(name: string): void {
     if (this.#awaited.has(name)) return;
     this.#awaited.set(name, this.#clock.monotonic());
   }
--- a/packages/daemon/src/request/broker_link.ts
+++ b/packages/daemon/src/request/broker_link.ts
@@ -100,7 +100,9 @@
 
   /** Sends what the broker has to answer. */
   #sendAwaiting(broker: string, message: BrokerMessage): void {
-    if (broker !== this.#parts.finder.self) this.#parts.contacts.asked(broker);
+    if (broker !== this.#parts.finder.self) {
+      this.#parts.contacts.requestSent(broker);
+    }
     this.send(broker, message);
   }
 
