--- a/packages/daemon/src/process/scheduling/reply_tracker.ts
+++ b/packages/daemon/src/process/scheduling/reply_tracker.ts
@@ -27,7 +27,7 @@
   }
 
   /** Takes anything that a daemon sends for the answer that it owes. */
-  answered(name: string): void {
+  replyReceived(name: string): void {
     this.#awaited.delete(name);
   }
 
--- a/packages/daemon/src/request/brokered_scheduler.ts
+++ b/packages/daemon/src/request/brokered_scheduler.ts
@@ -196,7 +196,7 @@
   }
 
   #receive(from: string, message: EntryMessage): void {
-    this.#contacts.answered(from);
+    this.#contacts.replyReceived(from);
     switch (message.type) {
       case "grant":
         return this.#granted(from, message);
