--- a/packages/daemon/src/process/scheduling/reply_tracker.ts
+++ b/packages/daemon/src/process/scheduling/reply_tracker.ts
@@ -32,7 +32,7 @@
   }
 
   /** Whether a daemon has owed an answer for longer than that. */
-  isSilent(name: string, patienceMs: number): boolean {
+  isOverdue(name: string, patienceMs: number): boolean {
     const since = this.#awaited.get(name);
     return since !== undefined && this.#clock.monotonic() - since > patienceMs;
   }
--- a/packages/daemon/src/request/brokered_scheduler.ts
+++ b/packages/daemon/src/request/brokered_scheduler.ts
@@ -183,7 +183,7 @@
     const [first, second] = this.#finder.rank(ask.service);
     const patience = this.#patience(ask.class);
     const answers = (name: string) =>
-      name === this.#finder.self || !this.#contacts.isSilent(name, patience);
+      name === this.#finder.self || !this.#contacts.isOverdue(name, patience);
     if (first !== undefined && answers(first)) return first;
     if (second !== undefined && answers(second)) return second;
     return this.#finder.self;
