--- a/packages/daemon/src/process/scheduling/broker.ts
+++ b/packages/daemon/src/process/scheduling/broker.ts
@@ -20,9 +20,9 @@
 import { Granting } from "./grant_dispatcher.ts";
 import type {
   AskMessage,
-  BeatMessage,
+  EntrySnapshotMessage,
+  HeartbeatMessage,
   HeldSlot,
-  PresentMessage,
   ReleaseMessage,
 } from "./messages.ts";
 import { PauseWatch } from "./pause_detector.ts";
@@ -149,7 +149,7 @@
   }
 
   /** Takes all that an entry has in place of what was known of it. */
-  present(entry: string, message: PresentMessage): void {
+  present(entry: string, message: EntrySnapshotMessage): void {
     const now = this.#hear(entry);
     this.#books.reconciled(entry);
     const waiting = new Set(message.waiting);
@@ -168,7 +168,7 @@
   }
 
   /** Answers a sign of life, and asks for a presentation when books differ. */
-  beat(entry: string, message: BeatMessage): void {
+  beat(entry: string, message: HeartbeatMessage): void {
     this.#hear(entry);
     const mismatches = this.#books.compare(entry, message);
     const resync = mismatches >= MISMATCHES_BEFORE_RESYNC;
--- a/packages/daemon/src/process/scheduling/broker_registry.ts
+++ b/packages/daemon/src/process/scheduling/broker_registry.ts
@@ -16,7 +16,7 @@
 import {
   type BrokerMessage,
   type EntryMessage,
-  readBrokerMessage,
+  parseBrokerMessage,
   TO_BROKER,
   TO_ENTRY,
 } from "./messages.ts";
@@ -139,7 +139,7 @@
   }
 
   #receiveUnread(from: string, message: unknown): void {
-    const read = readBrokerMessage(message);
+    const read = parseBrokerMessage(message);
     if (read !== undefined) return this.receive(from, read);
     this.#parts.log.warning("scheduler_message_malformed", { from });
   }
--- a/packages/daemon/src/process/scheduling/messages.ts
+++ b/packages/daemon/src/process/scheduling/messages.ts
@@ -138,15 +138,15 @@
 /** A slot that an entry holds. */
 export type HeldSlot = typeof HeldBody.Type;
 /** All that an entry has at a broker; what is not listed is gone. */
-export type PresentMessage = typeof PresentBody.Type;
+export type EntrySnapshotMessage = typeof PresentBody.Type;
 /** Sign of life of an entry that has something at a broker. */
-export type BeatMessage = typeof BeatBody.Type;
+export type HeartbeatMessage = typeof BeatBody.Type;
 /** A broker grants an ask a slot at a runner. */
 export type GrantMessage = typeof GrantBody.Type;
 /** No slot for an ask; it was not run. */
 export type RefuseMessage = typeof RefuseBody.Type;
 /** Answer to a beat. */
-export type BeatReplyMessage = typeof BeatReplyBody.Type;
+export type HeartbeatReplyMessage = typeof BeatReplyBody.Type;
 /** Any message to a broker. */
 export type BrokerMessage = typeof ToBroker.Type;
 /** Any message to an entry. */
@@ -156,7 +156,7 @@
 const decodeToEntry = Schema.decodeUnknownExit(ToEntry);
 
 /** Checks a message to a broker; `undefined` when it is malformed. */
-export function readBrokerMessage(value: unknown): BrokerMessage | undefined {
+export function parseBrokerMessage(value: unknown): BrokerMessage | undefined {
   const exit = decodeToBroker(value);
   return Exit.isSuccess(exit) ? exit.value : undefined;
 }
