--- a/packages/daemon/src/process/scheduling/messages.ts
+++ b/packages/daemon/src/process/scheduling/messages.ts
@@ -162,7 +162,7 @@
 }
 
 /** Checks a message to an entry; `undefined` when it is malformed. */
-export function readEntryMessage(value: unknown): EntryMessage | undefined {
+export function parseEntryMessage(value: unknown): EntryMessage | undefined {
   const exit = decodeToEntry(value);
   return Exit.isSuccess(exit) ? exit.value : undefined;
 }
--- a/packages/daemon/src/request/brokered_scheduler.ts
+++ b/packages/daemon/src/request/brokered_scheduler.ts
@@ -17,7 +17,7 @@
 import {
   type EntryMessage,
   type GrantMessage,
-  readEntryMessage,
+  parseEntryMessage,
   type RefuseMessage,
   TO_ENTRY,
 } from "../process/scheduling/messages.ts";
@@ -90,7 +90,7 @@
       const { peers, membership, log } = this.#parts;
       peers?.handle(TO_ENTRY, (from, message) =>
         Effect.sync(() => {
-          const read = readEntryMessage(message);
+          const read = parseEntryMessage(message);
           if (read !== undefined) return this.#receive(from, read);
           log.warning("scheduler_message_malformed", { from });
         }));
