--- a/packages/daemon/src/process/scheduling/broker.ts
+++ b/packages/daemon/src/process/scheduling/broker.ts
@@ -149,7 +149,7 @@
   }
 
   /** Takes all that an entry has in place of what was known of it. */
-  present(entry: string, message: EntrySnapshotMessage): void {
+  applySnapshot(entry: string, message: EntrySnapshotMessage): void {
     const now = this.#hear(entry);
     this.#books.reconciled(entry);
     const waiting = new Set(message.waiting);
--- a/packages/daemon/src/process/scheduling/broker_registry.ts
+++ b/packages/daemon/src/process/scheduling/broker_registry.ts
@@ -78,7 +78,7 @@
       case "release":
         return broker.release(from, message);
       case "present":
-        return broker.present(from, message);
+        return broker.applySnapshot(from, message);
       case "beat":
         return broker.beat(from, message);
     }
