--- a/packages/daemon/src/process/scheduling/broker.ts
+++ b/packages/daemon/src/process/scheduling/broker.ts
@@ -168,7 +168,7 @@
   }
 
   /** Answers a sign of life, and asks for a presentation when books differ. */
-  beat(entry: string, message: HeartbeatMessage): void {
+  heartbeat(entry: string, message: HeartbeatMessage): void {
     this.#hear(entry);
     const mismatches = this.#books.compare(entry, message);
     const resync = mismatches >= MISMATCHES_BEFORE_RESYNC;
--- a/packages/daemon/src/process/scheduling/broker_registry.ts
+++ b/packages/daemon/src/process/scheduling/broker_registry.ts
@@ -80,7 +80,7 @@
       case "present":
         return broker.applySnapshot(from, message);
       case "beat":
-        return broker.beat(from, message);
+        return broker.heartbeat(from, message);
     }
   }
 
--- a/packages/daemon/src/process/scheduling/broker_test.ts
+++ b/packages/daemon/src/process/scheduling/broker_test.ts
@@ -86,7 +86,7 @@
   assert.equal(granted(bench).length, 1);
   for (let i = 0; i < 3; i++) {
     bench.clock.advance(1_000);
-    bench.broker.beat("entry-1", {
+    bench.broker.heartbeat("entry-1", {
       type: "beat",
       service: SERVICE,
       waiting: 1,
--- a/packages/daemon/tests/scheduling/broker_property_test.ts
+++ b/packages/daemon/tests/scheduling/broker_property_test.ts
@@ -231,7 +231,7 @@
       bench.clock.advance(step.ms);
       // Entries with something here beat several times a second.
       for (const entry of ENTRIES) {
-        bench.broker.beat(entry, {
+        bench.broker.heartbeat(entry, {
           type: "beat",
           service: SERVICE,
           waiting: 0,
