--- a/packages/daemon/src/process/scheduling/broker.ts
+++ b/packages/daemon/src/process/scheduling/broker.ts
@@ -90,7 +90,7 @@
   }
 
   /** Asks that wait here. */
-  get waiting(): number {
+  get waitingCount(): number {
     return this.#books.waiting;
   }
 
--- a/packages/daemon/src/process/scheduling/broker_test.ts
+++ b/packages/daemon/src/process/scheduling/broker_test.ts
@@ -64,7 +64,7 @@
   for (let i = 0; i < 3; i++) bench.broker.ask("entry-1", askOf());
   bench.clock.advance(10_000);
   bench.broker.tick();
-  assert.equal(bench.broker.waiting, 0);
+  assert.equal(bench.broker.waitingCount, 0);
   assert.equal(granted(bench).length, 2);
   const last = bench.sent.at(-1)?.message;
   assert.equal(last?.type === "beat_reply" && last.resync, true);
--- a/packages/daemon/tests/scheduling/broker_property_test.ts
+++ b/packages/daemon/tests/scheduling/broker_property_test.ts
@@ -272,7 +272,7 @@
         perform(model, step);
         model.read();
       }
-      assert.equal(bench.broker.waiting, model.waiting.size);
+      assert.equal(bench.broker.waitingCount, model.waiting.size);
       assert.equal(bench.broker.inFlight, model.held.size);
       drainOut(model);
       assert.equal(model.waiting.size, 0, "an ask was never served");
--- a/packages/daemon/tests/scheduling/hand_over_test.ts
+++ b/packages/daemon/tests/scheduling/hand_over_test.ts
@@ -51,7 +51,7 @@
 }
 
 function waiting(daemon: TestDaemon): number {
-  return daemon.host.find(SERVICE)?.waiting ?? 0;
+  return daemon.host.find(SERVICE)?.waitingCount ?? 0;
 }
 
 test(
