--- a/packages/daemon/src/process/scheduling/broker.ts
+++ b/packages/daemon/src/process/scheduling/broker.ts
@@ -104,7 +104,7 @@
    * slots of the entries that have presented theirs; granting at once would
    * give the others' slots a second time.
    */
-  holdBack(ms: number): void {
+  pauseGranting(ms: number): void {
     this.#opensAt = this.#now + ms;
   }
 
--- a/packages/daemon/src/process/scheduling/broker_registry.ts
+++ b/packages/daemon/src/process/scheduling/broker_registry.ts
@@ -153,7 +153,7 @@
     this.#members = present;
     for (const [service, broker] of this.#brokers) {
       const owns = this.#finder.rank(service)[0] === this.#self;
-      if (owns && !this.#owned.has(service)) broker.holdBack(HAND_OVER_MS);
+      if (owns && !this.#owned.has(service)) broker.pauseGranting(HAND_OVER_MS);
       if (owns) this.#owned.add(service);
       else this.#owned.delete(service);
     }
@@ -170,7 +170,7 @@
     });
     this.#brokers.set(service, made);
     this.#parts.reports.watch(service);
-    if (this.#members.size > 1) made.holdBack(HAND_OVER_MS);
+    if (this.#members.size > 1) made.pauseGranting(HAND_OVER_MS);
     if (this.#finder.rank(service)[0] === this.#self) this.#owned.add(service);
     return made;
   }
