--- a/packages/daemon/src/process/scheduling/broker.ts
+++ b/packages/daemon/src/process/scheduling/broker.ts
@@ -191,7 +191,7 @@
   }
 
   /** Learns from a runner's newest report, and grants what it makes room for. */
-  reported(runner: string): void {
+  reportReceived(runner: string): void {
     const report = this.#parts.reports.get(runner);
     if (report === undefined) return;
     this.#learning.reported(runner, report, this.#now);
--- a/packages/daemon/src/process/scheduling/broker_registry.ts
+++ b/packages/daemon/src/process/scheduling/broker_registry.ts
@@ -99,7 +99,7 @@
         }),
         reports.subscribe((runner) => {
           const service = directory.find(runner)?.service ?? "";
-          this.#brokers.get(service)?.reported(runner);
+          this.#brokers.get(service)?.reportReceived(runner);
         }),
         table.subscribe(() => {
           const current = table.current();
--- a/packages/daemon/tests/scheduling/broker_fixture.ts
+++ b/packages/daemon/tests/scheduling/broker_fixture.ts
@@ -62,7 +62,7 @@
   });
   directory.subscribe(() => broker.runnersChanged());
   table.subscribe(() => broker.tableChanged(table.current()));
-  reports.subscribe((runner) => broker.reported(runner));
+  reports.subscribe((runner) => broker.reportReceived(runner));
   return { broker, clock, log, table, directory, reports, sent };
 }
 
