--- a/packages/daemon/src/process/scheduling/admission_control.ts
+++ b/packages/daemon/src/process/scheduling/admission_control.ts
@@ -12,7 +12,7 @@
 import type { RunnerPool } from "./runner_pool.ts";
 import { ServiceRate } from "./service_rate.ts";
 import type { Settlement } from "./settlement.ts";
-import type { Switches } from "./switches.ts";
+import type { SchedulerSwitches } from "./switches.ts";
 import type { Waiting } from "./waiting_ask.ts";
 
 const FIXED_COST = 100;
@@ -34,7 +34,7 @@
   readonly queue: FairQueue;
   readonly pool: RunnerPool;
   readonly learning: RunnerLearning;
-  readonly switches: Switches;
+  readonly switches: SchedulerSwitches;
 }
 
 /** Why an ask is refused, and when to come back. */
--- a/packages/daemon/src/process/scheduling/broker_dependencies.ts
+++ b/packages/daemon/src/process/scheduling/broker_dependencies.ts
@@ -10,7 +10,7 @@
 import type { QueueBounds } from "./fair_queue.ts";
 import type { LoadReports } from "./load_reports.ts";
 import type { EntryMessage } from "./messages.ts";
-import type { Switches } from "./switches.ts";
+import type { SchedulerSwitches } from "./switches.ts";
 
 /** What a broker works with. */
 export interface BrokerDependencies {
@@ -19,7 +19,7 @@
   readonly table: TableSource;
   readonly clock: Clock;
   readonly log: Log;
-  readonly switches: Switches;
+  readonly switches: SchedulerSwitches;
   readonly bounds?: QueueBounds;
   /** Sends to an entry; this daemon's own entry too. */
   readonly send: (entry: string, message: EntryMessage) => void;
--- a/packages/daemon/src/process/scheduling/fair_queue.ts
+++ b/packages/daemon/src/process/scheduling/fair_queue.ts
@@ -11,7 +11,7 @@
 import type { Class, Table } from "@umbermast/table";
 import { Flow } from "./flow.ts";
 import { MinimumShares, type SlotUsage } from "./minimum_shares.ts";
-import type { Switches } from "./switches.ts";
+import type { SchedulerSwitches } from "./switches.ts";
 import type { Waiting } from "./waiting_ask.ts";
 
 /** Bounds of what may wait. */
@@ -46,7 +46,7 @@
 
 /** Waiting asks of one broker. */
 export class FairQueue {
-  readonly #switches: Switches;
+  readonly #switches: SchedulerSwitches;
   readonly #bounds: QueueBounds;
   readonly #flows = new Map<string, Flow>();
   readonly #shares: MinimumShares;
@@ -62,7 +62,7 @@
   constructor(
     table: Table,
     options: {
-      readonly switches: Switches;
+      readonly switches: SchedulerSwitches;
       readonly bounds?: QueueBounds;
       /** Absent: minimum shares are kept by cost alone. */
       readonly usage?: SlotUsage;
--- a/packages/daemon/src/process/scheduling/runner_feedback.ts
+++ b/packages/daemon/src/process/scheduling/runner_feedback.ts
@@ -9,7 +9,7 @@
 import type { Held, RunnerState } from "./runner_state.ts";
 import type { Settlement } from "./settlement.ts";
 import type { LatencyRatios } from "./slot_limit.ts";
-import type { Switches } from "./switches.ts";
+import type { SchedulerSwitches } from "./switches.ts";
 
 /** A runner that takes this many times the median between tokens is ejected. */
 const STRAGGLER_FACTOR = 2.5;
@@ -31,9 +31,9 @@
 /** Watches the runners of a pool. */
 export class RunnerLearning {
   readonly #pool: RunnerPool;
-  readonly #switches: Switches;
+  readonly #switches: SchedulerSwitches;
 
-  constructor(pool: RunnerPool, switches: Switches) {
+  constructor(pool: RunnerPool, switches: SchedulerSwitches) {
     this.#pool = pool;
     this.#switches = switches;
   }
--- a/packages/daemon/src/process/scheduling/runner_pool.ts
+++ b/packages/daemon/src/process/scheduling/runner_pool.ts
@@ -8,7 +8,7 @@
 import type { AskMessage } from "./messages.ts";
 import { PrefixHomes } from "./prefix_affinity.ts";
 import { type Held, RunnerState } from "./runner_state.ts";
-import type { Switches } from "./switches.ts";
+import type { SchedulerSwitches } from "./switches.ts";
 
 const DEFAULT_SLOTS = 16;
 /** A prefix draws a request to a runner this much fuller than the emptiest. */
@@ -38,7 +38,7 @@
 
 /** Slots and observations of the runners of one service. */
 export class RunnerPool {
-  readonly #switches: Switches;
+  readonly #switches: SchedulerSwitches;
   readonly #states = new Map<string, RunnerState>();
   readonly #homes = new PrefixHomes();
   #runners: readonly Runner[] = [];
@@ -47,7 +47,7 @@
 
   constructor(
     service: string,
-    options: { readonly table: Table; readonly switches: Switches },
+    options: { readonly table: Table; readonly switches: SchedulerSwitches },
   ) {
     this.#switches = options.switches;
     this.setTable(options.table, service);
--- a/packages/daemon/src/process/scheduling/switches.ts
+++ b/packages/daemon/src/process/scheduling/switches.ts
@@ -5,7 +5,7 @@
  */
 
 /** One switch a mechanism; all are on in ordinary use. */
-export interface Switches {
+export interface SchedulerSwitches {
   /** Strict priority between tiers; off: all classes share one tier. */
   readonly tiers: boolean;
   /** Minimum share of service for each waiting class. */
@@ -29,7 +29,7 @@
 }
 
 /** Every mechanism on. */
-export const ALL_ON: Switches = {
+export const ALL_ON: SchedulerSwitches = {
   tiers: true,
   minimumShare: true,
   fairQueueing: true,
--- a/packages/daemon/src/request/scheduling.ts
+++ b/packages/daemon/src/request/scheduling.ts
@@ -10,7 +10,10 @@
 import type { RunnerDirectory } from "../process/runner_directory.ts";
 import { BrokerRegistry } from "../process/scheduling/broker_registry.ts";
 import { LoadReports } from "../process/scheduling/load_reports.ts";
-import { ALL_ON, type Switches } from "../process/scheduling/switches.ts";
+import {
+  ALL_ON,
+  type SchedulerSwitches,
+} from "../process/scheduling/switches.ts";
 import type { TableSource } from "../process/table_source.ts";
 import { BrokeredScheduler } from "./brokered_scheduler.ts";
 import { FifoScheduler } from "./fifo_scheduler.ts";
@@ -25,7 +28,7 @@
   /** `umbermast` by default; the others are baselines for measurement. */
   readonly policy?: Policy;
   /** Mechanisms to switch off for measurement; all are on by default. */
-  readonly switches?: Partial<Switches>;
+  readonly switches?: Partial<SchedulerSwitches>;
   /** Milliseconds between two load reports of a runner; 250 by default. */
   readonly reportIntervalMs?: number;
 }
