--- a/packages/daemon/src/process/scheduling/fair_queue_test.ts
+++ b/packages/daemon/src/process/scheduling/fair_queue_test.ts
@@ -9,7 +9,7 @@
   tableOf,
 } from "../../../tests/scheduling/table_fixture.ts";
 import { FairQueue, type QueueBounds } from "./fair_queue.ts";
-import { ALL_ON } from "./switches.ts";
+import { ALL_ENABLED } from "./switches.ts";
 import type { Waiting } from "./waiting_ask.ts";
 
 const WIDE: QueueBounds = { count: 10_000, bytes: 1e9, perWorkspace: 10_000 };
@@ -47,7 +47,7 @@
     ...(options.classes === undefined ? {} : { classes: options.classes }),
   });
   return new FairQueue(table, {
-    switches: ALL_ON,
+    switches: ALL_ENABLED,
     bounds: options.bounds ?? WIDE,
   });
 }
@@ -113,7 +113,7 @@
     inFlight: 20,
     inFlightOf: (name: string) => inUse.get(name) ?? 0,
   };
-  const queue = new FairQueue(tableOf(), { switches: ALL_ON, usage });
+  const queue = new FairQueue(tableOf(), { switches: ALL_ENABLED, usage });
   queue.offer(waitingOf({ class: "quote" }));
   queue.offer(waitingOf({ class: "cut-sheet" }));
   assert.equal(queue.order()[0]?.class, "cut-sheet");
--- a/packages/daemon/src/process/scheduling/switches.ts
+++ b/packages/daemon/src/process/scheduling/switches.ts
@@ -29,7 +29,7 @@
 }
 
 /** Every mechanism on. */
-export const ALL_ON: SchedulerSwitches = {
+export const ALL_ENABLED: SchedulerSwitches = {
   tiers: true,
   minimumShare: true,
   fairQueueing: true,
--- a/packages/daemon/src/request/scheduling.ts
+++ b/packages/daemon/src/request/scheduling.ts
@@ -11,7 +11,7 @@
 import { BrokerRegistry } from "../process/scheduling/broker_registry.ts";
 import { LoadReports } from "../process/scheduling/load_reports.ts";
 import {
-  ALL_ON,
+  ALL_ENABLED,
   type SchedulerSwitches,
 } from "../process/scheduling/switches.ts";
 import type { TableSource } from "../process/table_source.ts";
@@ -73,7 +73,7 @@
     });
     yield* reports.follow(directory);
     if (policy === "fifo") return new FifoScheduler({ ...parts, reports });
-    const switches = { ...ALL_ON, ...settings.switches };
+    const switches = { ...ALL_ENABLED, ...settings.switches };
     const host = new BrokerRegistry({ ...parts, reports, switches });
     const scheduler = new BrokeredScheduler({ ...parts, host });
     yield* host.start();
--- a/packages/daemon/tests/scheduling/broker_fixture.ts
+++ b/packages/daemon/tests/scheduling/broker_fixture.ts
@@ -11,7 +11,7 @@
 import type { BrokerDependencies } from "../../src/process/scheduling/broker_dependencies.ts";
 import { LoadReports } from "../../src/process/scheduling/load_reports.ts";
 import type { EntryMessage } from "../../src/process/scheduling/messages.ts";
-import { ALL_ON } from "../../src/process/scheduling/switches.ts";
+import { ALL_ENABLED } from "../../src/process/scheduling/switches.ts";
 import { clockOf } from "./clock_fixture.ts";
 import { TestLog } from "./log_fixture.ts";
 import { runnerOf, SERVICE } from "./runner_fixture.ts";
@@ -55,7 +55,7 @@
     table,
     clock,
     log,
-    switches: ALL_ON,
+    switches: ALL_ENABLED,
     send: (entry, message) => sent.push({ entry, message }),
     members: () => 3,
     ...options.parts,
--- a/packages/daemon/tests/scheduling/broker_property_test.ts
+++ b/packages/daemon/tests/scheduling/broker_property_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import type { Row } from "@umbermast/table";
-import { ALL_ON } from "../../src/process/scheduling/switches.ts";
+import { ALL_ENABLED } from "../../src/process/scheduling/switches.ts";
 import type { AskMessage } from "../../src/process/scheduling/messages.ts";
 import { askOf } from "./ask_fixture.ts";
 import { brokerWith, release } from "./broker_fixture.ts";
@@ -263,7 +263,7 @@
         runners: RUNNERS.map((name) => runnerOf(name)),
         table: tableOf({ rows: [limited(3)] }),
         parts: {
-          switches: { ...ALL_ON, adaptiveSlots: false },
+          switches: { ...ALL_ENABLED, adaptiveSlots: false },
           bounds: { count: 6, bytes: 1e6, perWorkspace: 4 },
         },
       });
--- a/packages/daemon/tests/scheduling/daemons_fixture.ts
+++ b/packages/daemon/tests/scheduling/daemons_fixture.ts
@@ -10,7 +10,7 @@
 import { RunnerDirectory } from "../../src/process/runner_directory.ts";
 import { BrokerRegistry } from "../../src/process/scheduling/broker_registry.ts";
 import { LoadReports } from "../../src/process/scheduling/load_reports.ts";
-import { ALL_ON } from "../../src/process/scheduling/switches.ts";
+import { ALL_ENABLED } from "../../src/process/scheduling/switches.ts";
 import { BrokeredScheduler } from "../../src/request/brokered_scheduler.ts";
 import { TestLog } from "./log_fixture.ts";
 import { TestMembership } from "./membership_fixture.ts";
@@ -51,7 +51,11 @@
         peers: network.peersOf(name),
       };
       const reports = new LoadReports({ clock: SYSTEM_CLOCK });
-      const host = new BrokerRegistry({ ...parts, reports, switches: ALL_ON });
+      const host = new BrokerRegistry({
+        ...parts,
+        reports,
+        switches: ALL_ENABLED,
+      });
       const scheduler = new BrokeredScheduler({ ...parts, host });
       yield* host.start();
       yield* scheduler.start();
