--- a/packages/daemon/src/process/scheduling/load_reports.ts
+++ b/packages/daemon/src/process/scheduling/load_reports.ts
@@ -83,7 +83,7 @@
   }
 
   /** Polls the runners of watched services until the scope closes: one fibre each. */
-  follow(directory: RunnerDirectory): Effect.Effect<void, never, Scope.Scope> {
+  poll(directory: RunnerDirectory): Effect.Effect<void, never, Scope.Scope> {
     return Effect.gen({ self: this }, function* () {
       const scope = yield* Effect.scope;
       const running = new Map<string, Fiber.Fiber<void>>();
--- a/packages/daemon/src/process/scheduling/load_reports_test.ts
+++ b/packages/daemon/src/process/scheduling/load_reports_test.ts
@@ -45,7 +45,7 @@
       runnerOf("other", { port, service: "yard-app" }),
     ]);
     const reports = new LoadReports({ clock: SYSTEM_CLOCK, intervalMs: 5 });
-    yield* reports.follow(directory);
+    yield* reports.poll(directory);
     reports.watch(SERVICE);
     yield* until(() => paths.length >= 3);
     assert.equal(reports.get("watched")?.running, REPORT.running);
--- a/packages/daemon/src/request/scheduling.ts
+++ b/packages/daemon/src/request/scheduling.ts
@@ -71,7 +71,7 @@
         ? {}
         : { intervalMs: reportIntervalMs }),
     });
-    yield* reports.follow(directory);
+    yield* reports.poll(directory);
     if (policy === "fifo") return new FifoScheduler({ ...parts, reports });
     const switches = { ...ALL_ENABLED, ...settings.switches };
     const host = new BrokerRegistry({ ...parts, reports, switches });
