--- a/packages/daemon/src/process/scheduling/broker_registry.ts
+++ b/packages/daemon/src/process/scheduling/broker_registry.ts
@@ -135,7 +135,7 @@
   #close(service: string): void {
     this.#brokers.delete(service);
     this.#owned.delete(service);
-    this.#parts.reports.unwatch(service);
+    this.#parts.reports.stopWatching(service);
   }
 
   #receiveUnread(from: string, message: unknown): void {
--- a/packages/daemon/src/process/scheduling/load_reports.ts
+++ b/packages/daemon/src/process/scheduling/load_reports.ts
@@ -78,7 +78,7 @@
   }
 
   /** Ends the polling of a service's runners. */
-  unwatch(service: string): void {
+  stopWatching(service: string): void {
     if (this.#watched.delete(service)) this.#adjust();
   }
 
--- a/packages/daemon/src/process/scheduling/load_reports_test.ts
+++ b/packages/daemon/src/process/scheduling/load_reports_test.ts
@@ -50,7 +50,7 @@
     yield* until(() => paths.length >= 3);
     assert.equal(reports.get("watched")?.running, REPORT.running);
     assert.equal(reports.get("other"), undefined);
-    reports.unwatch(SERVICE);
+    reports.stopWatching(SERVICE);
     assert.equal(reports.get("watched"), undefined);
   });
   return Effect.runPromise(Effect.scoped(program)).finally(() => {
