--- a/packages/router/src/process/unreachable_daemons.ts
+++ b/packages/router/src/process/unreachable_daemons.ts
@@ -72,7 +72,7 @@
     return entry.incarnation !== incarnation || entry.until <= now;
   }
 
-  /** Removes old entries, as hosts that were replaced never return by their names. */
+  /** Removes old entries, as replaced hosts never return under their names. */
   #removeExpired(now: number): void {
     for (const [name, { until }] of this.#entries) {
       if (now - until > RETENTION_MS) this.#entries.delete(name);
