--- a/packages/coordination/src/process/host_list.ts
+++ b/packages/coordination/src/process/host_list.ts
@@ -51,23 +51,23 @@
 
 type Check = (value: unknown) => string | undefined;
 
-function text(value: unknown): string | undefined {
+function checkText(value: unknown): string | undefined {
   return typeof value === "string" ? undefined : "expected a text";
 }
 
-function name(value: unknown): string | undefined {
-  return value === "" ? "expected a text that is not empty" : text(value);
+function checkName(value: unknown): string | undefined {
+  return value === "" ? "expected a text that is not empty" : checkText(value);
 }
 
-function whole(value: unknown): string | undefined {
+function checkInteger(value: unknown): string | undefined {
   return Number.isSafeInteger(value) ? undefined : "expected a whole number";
 }
 
-function ipAddress(value: unknown): string | undefined {
+function checkAddress(value: unknown): string | undefined {
   return isAddress(value) ? undefined : "expected an IP address";
 }
 
-function port(value: unknown): string | undefined {
+function checkPort(value: unknown): string | undefined {
   return isPort(value) ? undefined : "expected a port from 1 to 65535";
 }
 
@@ -80,15 +80,15 @@
 // By hand rather than with a schema of effect, which would take 11 MB of a
 // daemon's 64 MB for this one record.
 const CHECKS: Readonly<Record<keyof Host, Check>> = {
-  name,
+  name: checkName,
   role: oneOf("entry", "runner"),
-  service: (value) => value === undefined ? undefined : text(value),
-  address: ipAddress,
-  port,
-  region: text,
-  failureDomain: text,
+  service: (value) => value === undefined ? undefined : checkText(value),
+  address: checkAddress,
+  port: checkPort,
+  region: checkText,
+  failureDomain: checkText,
   state: oneOf("live", "leaving"),
-  incarnation: whole,
+  incarnation: checkInteger,
 };
 
 function findingsOf(item: unknown): readonly string[] {
--- a/packages/coordination/src/process/host_list_client.ts
+++ b/packages/coordination/src/process/host_list_client.ts
@@ -37,7 +37,7 @@
   readonly gone: boolean;
 }
 
-interface HostAnswer {
+interface HostListResponse {
   readonly revision: number;
   readonly hosts: readonly unknown[];
 }
@@ -47,7 +47,7 @@
 const MIN_BACKOFF_MS = 200;
 const MAX_BACKOFF_MS = 10_000;
 /** Beyond the wait: an answer that is later never comes. */
-const ANSWER_MARGIN_MS = 5000;
+const RESPONSE_MARGIN_MS = 5000;
 const HTTP_OK = 200;
 const HTTP_GONE = 410;
 
@@ -55,9 +55,9 @@
   return { _tag: "PollFailed", reason, gone };
 }
 
-function isAnswer(value: unknown): value is HostAnswer {
+function isHostListResponse(value: unknown): value is HostListResponse {
   if (typeof value !== "object" || value === null) return false;
-  const { revision, hosts } = value as Partial<HostAnswer>;
+  const { revision, hosts } = value as Partial<HostListResponse>;
   return Number.isSafeInteger(revision) && Array.isArray(hosts);
 }
 
@@ -65,7 +65,7 @@
   http: HttpExchange,
   path: string,
   options: { readonly timeoutMs: number },
-): Effect.Effect<HostAnswer, PollFailed> {
+): Effect.Effect<HostListResponse, PollFailed> {
   return http.send({ method: "GET", path }, options).pipe(
     Effect.mapError(({ reason }) => pollFailed(reason)),
     Effect.flatMap(({ status, body }) => {
@@ -73,7 +73,7 @@
         const gone = status === HTTP_GONE;
         return Effect.fail(pollFailed(`status ${status}`, gone));
       }
-      return isAnswer(body)
+      return isHostListResponse(body)
         ? Effect.succeed(body)
         : Effect.fail(pollFailed("answer is no host list"));
     }),
@@ -132,7 +132,7 @@
 
   #pollOnce(): Effect.Effect<PollFailed | undefined> {
     const waitMs = this.#options.waitMs ?? DEFAULT_WAIT_MS;
-    const timeoutMs = waitMs + ANSWER_MARGIN_MS;
+    const timeoutMs = waitMs + RESPONSE_MARGIN_MS;
     const path = this.#revision === undefined
       ? "/hosts"
       : `/hosts?from=${this.#revision}&wait=${waitMs}`;
@@ -144,7 +144,7 @@
     );
   }
 
-  #accept(answer: HostAnswer): undefined {
+  #accept(answer: HostListResponse): undefined {
     this.#setCurrent(true, "answered");
     if (answer.revision === this.#revision) return;
     this.#revision = answer.revision;
--- a/packages/coordination/src/process/membership.ts
+++ b/packages/coordination/src/process/membership.ts
@@ -1,12 +1,12 @@
 /**
- * Who takes part, and who of them is believed to be alive.
+ * Members of the fleet and the view of their states.
  *
  * @module
  */
 
-/** A daemon that takes part. */
+/** A daemon in the fleet. */
 export interface Member {
-  /** Unique over the deployment. */
+  /** Unique within the deployment. */
   readonly name: string;
   /** IP address. */
   readonly address: string;
@@ -14,31 +14,34 @@
   readonly port: number;
   readonly region: string;
   readonly failureDomain: string;
-  /** Grows with each start of the member. */
+  /** Increases with each start of the member. */
   readonly incarnation: number;
 }
 
-/** What is believed of a member. */
+/** The state of a member in the view. */
 export type MemberState = "alive" | "suspect" | "leaving";
 
-/** A member with what is believed of it. */
+/** A member and its state. */
 export interface MemberStatus {
   readonly member: Member;
   readonly state: MemberState;
 }
 
-/** The members believed to take part, at one moment. */
+/** A snapshot of the members, without those that were removed. */
 export interface View {
-  /** Grows with each change at this process; not comparable between processes. */
+  /**
+   * Increases with each change at this process; not comparable between
+   * processes.
+   */
   readonly version: number;
-  /** In order of name; holds this process too. Removed members are absent. */
+  /** Sorted by name, this process included. */
   readonly members: readonly MemberStatus[];
 }
 
-/** Tells of members that come, leave and fail. */
+/** Tracks members that join, leave and fail. */
 export interface Membership {
   readonly self: Member;
-  /** The present view. */
+  /** The current view. */
   view(): View;
   /**
    * Calls the listener after each change of the view.
--- a/packages/coordination/src/process/membership_datagram.ts
+++ b/packages/coordination/src/process/membership_datagram.ts
@@ -1,10 +1,10 @@
 /**
- * Probes as authenticated datagrams.
+ * Encoding of probes as authenticated datagrams.
  *
- * A datagram is one version byte, a truncated HMAC-SHA256 and one CBOR item. Its
- * size and HMAC are checked before anything is decoded. A datagram that is
- * played back later does no harm: acks carry the number of a probe that waits
- * no more, and records are older than those known, or are contradicted by the
+ * A datagram is one version byte, a truncated HMAC-SHA256 and one CBOR item.
+ * Its size and HMAC are checked before anything is decoded. A replayed datagram
+ * is harmless: its ack carries the sequence number of a probe that is no longer
+ * pending, and its records are older than the known ones or are refuted by the
  * member itself.
  *
  * @module
@@ -15,30 +15,32 @@
 import type { MemberRecord } from "./membership_record.ts";
 import { decodeRecord, encodeRecord } from "./membership_record.ts";
 
-/** What a datagram is for. */
+/** Kind of a datagram. */
 export type ProbeKind = "ping" | "ack" | "ping-request" | "nack" | "gossip";
 
 /** One datagram between members. */
 export interface Probe {
   readonly kind: ProbeKind;
-  /** Number of the probe, which its ack or nack repeats. */
+  /** Sequence number of the probe, repeated in its ack or nack. */
   readonly sequence: number;
-  /** Name of the member that is meant; another at its address ignores it. */
+  /**
+   * Name of the receiver; another member at its address ignores the datagram.
+   */
   readonly to: string;
-  /** The member to probe, in a ping request. */
+  /** Name of the member to probe, in a ping request. */
   readonly subject: string | null;
-  /** Whether the answer should hold as many records as fit. */
+  /** Whether the ack should hold as many records as fit. */
   readonly wantsRecords: boolean;
   readonly digest: unknown;
-  /** The sender, as it believes itself to be. */
+  /** The sender's record of itself. */
   readonly sender: MemberRecord;
   readonly records: readonly MemberRecord[];
 }
 
-/** Bytes of a datagram beside its records and names. */
+/** Bytes of a datagram in addition to its records and names. */
 export const PROBE_OVERHEAD_BYTES = 64;
 
-/** Bytes that CBOR puts before each record. */
+/** Bytes of the CBOR header of each record. */
 export const RECORD_OVERHEAD_BYTES = 3;
 
 const VERSION = 1;
@@ -55,20 +57,20 @@
   "gossip",
 ];
 
-/** Seals and opens datagrams with the key that all members share. */
+/** Encodes and authenticates datagrams with the key shared by all members. */
 export class ProbeCodec {
   readonly #key: Uint8Array;
   readonly #maxBytes: number;
 
   constructor(key: Uint8Array, maxBytes: number) {
-    // Another key than that of the links, so that no byte string made for one
-    // of them can pass for the other.
+    // Derived separately from the key of the links, so that a byte string
+    // authenticated for one protocol is not valid in the other.
     const derived = hkdfSync("sha256", key, "", "umbermast probes", KEY_BYTES);
     this.#key = Buffer.from(derived);
     this.#maxBytes = maxBytes;
   }
 
-  /** Makes a datagram. */
+  /** Encodes a probe as an authenticated datagram. */
   seal(probe: Probe): Buffer {
     const payload = encodeItem([
       KINDS.indexOf(probe.kind),
@@ -87,7 +89,7 @@
     ]);
   }
 
-  /** Reads a datagram; undefined for one that is not authentic. */
+  /** Decodes a datagram; undefined if it is not authentic or is malformed. */
   open(datagram: Uint8Array): Probe | undefined {
     if (datagram.length > this.#maxBytes) return undefined;
     if (datagram.length <= HEAD_BYTES) return undefined;
--- a/packages/coordination/src/process/membership_event.ts
+++ b/packages/coordination/src/process/membership_event.ts
@@ -1,43 +1,46 @@
 /**
- * What happens to members, for logs and counters.
+ * Events of the membership, for logs and counters.
  *
  * @module
  */
 import type { Health } from "./membership_record.ts";
 
-/** A change of what is believed of a member. */
+/** The health of a member, or whether it is leaving, has changed. */
 export interface MemberChanged {
   readonly type: "changed";
   readonly name: string;
   readonly health: Health;
   readonly leaving: boolean;
-  /** The member that found it out. */
+  /** Name of the member that detected the change. */
   readonly by: string;
 }
 
-/** Another member doubted this process, which contradicts it. */
+/**
+ * Another member reported this process as suspect or removed; it refutes that.
+ */
 export interface SuspicionRefuted {
   readonly type: "refuted";
   readonly health: Health;
   readonly by: string;
 }
 
-/** This process stood still. */
+/** This process did not run for a while. */
 export interface ProcessPaused {
   readonly type: "paused";
   readonly pausedMs: number;
 }
 
 /**
- * Others knew a later start of this name, so this process raised its own. Once
- * is a clock that went back; time and again is a name that two hosts have.
+ * Other members knew a higher incarnation of this name, so this process raised
+ * its own. If this happens once, a clock went back; if repeatedly, two hosts
+ * use the same name.
  */
 export interface IncarnationRaised {
   readonly type: "outdated";
   readonly incarnation: number;
 }
 
-/** Any of the changes worth a log line. */
+/** Any event worth a log line. */
 export type MembershipEvent =
   | MemberChanged
   | SuspicionRefuted
--- a/packages/coordination/src/process/membership_outbox.ts
+++ b/packages/coordination/src/process/membership_outbox.ts
@@ -1,29 +1,29 @@
 /**
- * Sending of probes, each with as many records as its size allows.
+ * Sending of probes, each filled with records up to its maximum size.
  *
  * @module
  */
 import { encodeItem } from "./codec.ts";
 import type { Digest } from "./digest.ts";
 import type { Endpoint } from "./endpoint.ts";
-import type { MemberBook } from "./membership_book.ts";
+import type { MemberTable } from "./membership_table.ts";
 import { PROBE_OVERHEAD_BYTES } from "./membership_datagram.ts";
 import type { ProbeCodec, ProbeKind } from "./membership_datagram.ts";
 import { encodeRecord } from "./membership_record.ts";
 import type { ProbeSettings } from "./membership_settings.ts";
 import type { ProbeTransport } from "./membership_transport.ts";
 
-/** What the outbox needs. */
+/** Dependencies and settings of a {@linkcode ProbeOutbox}. */
 export interface ProbeOutboxOptions {
-  readonly book: MemberBook;
+  readonly table: MemberTable;
   readonly transport: ProbeTransport;
   readonly settings: ProbeSettings;
   readonly digest: Digest;
   readonly codec: ProbeCodec;
 }
 
-/** What a probe says beside records and digest. */
-export interface ProbeSubject {
+/** Contents of a probe other than records and digest. */
+export interface ProbeParameters {
   readonly sequence?: number;
   readonly subject?: string;
   readonly wantsRecords?: boolean;
@@ -32,15 +32,17 @@
 const MAX_DIGEST_BYTES = 128;
 
 /**
- * Datagrams on behalf of a probe that failed. While a failure domain is gone
- * there are several for each of many probes, and were they filled with news too
- * they would take the control traffic over its bound; pings, acks and gossip
- * spread it as fast. There is room for what the receiver has to contradict.
+ * Kinds of datagrams sent for an indirect probe. While a failure domain is
+ * down, several of these are sent for each of many probes. If they carried as
+ * much gossip as other datagrams, control traffic would exceed its bound;
+ * pings, acks and gossip datagrams spread it as fast.
+ * `INDIRECT_PROBE_RECORD_BYTES` leaves space for a record that the receiver has
+ * to refute.
  */
-const ERRANDS: readonly ProbeKind[] = ["ping-request", "nack"];
-const ERRAND_RECORD_BYTES = 200;
+const INDIRECT_PROBE_KINDS: readonly ProbeKind[] = ["ping-request", "nack"];
+const INDIRECT_PROBE_RECORD_BYTES = 200;
 
-/** Sends probes, each with the digest and as much news as still fits. */
+/** Sends probes, each with the digest and as many records as fit. */
 export class ProbeOutbox {
   readonly #options: ProbeOutboxOptions;
 
@@ -48,32 +50,37 @@
     this.#options = options;
   }
 
-  /** Sends a probe to a member by name; none to a member never heard of. */
-  send(kind: ProbeKind, to: string, about: ProbeSubject): void {
-    const record = this.#options.book.record(to);
+  /**
+   * Sends a probe to a member by name; does nothing if the member is unknown.
+   */
+  send(kind: ProbeKind, to: string, parameters: ProbeParameters): void {
+    const record = this.#options.table.get(to);
     if (record === undefined) return;
-    this.sendTo(record.member, { kind, to, ...about });
+    this.sendTo(record.member, { kind, to, ...parameters });
   }
 
-  /** Sends a probe to where a member is known to listen. */
+  /** Sends a probe to an endpoint. */
   sendTo(
     endpoint: Endpoint,
-    about: ProbeSubject & { readonly kind: ProbeKind; readonly to: string },
+    parameters: ProbeParameters & {
+      readonly kind: ProbeKind;
+      readonly to: string;
+    },
   ): void {
-    const { book, settings, transport, codec } = this.#options;
-    const { kind, to, sequence = 0, subject = null } = about;
-    const wantsRecords = about.wantsRecords ?? false;
-    const sender = book.self;
+    const { table, settings, transport, codec } = this.#options;
+    const { kind, to, sequence = 0, subject = null } = parameters;
+    const wantsRecords = parameters.wantsRecords ?? false;
+    const sender = table.self;
     const digest = this.#digest();
     const used = PROBE_OVERHEAD_BYTES + digest.bytes + to.length +
       (subject?.length ?? 0) + encodeRecord(sender).length;
     const rotating = kind === "ack" && wantsRecords
       ? Number.POSITIVE_INFINITY
       : settings.rotatingRecords;
-    const bytes = ERRANDS.includes(kind)
-      ? ERRAND_RECORD_BYTES
+    const bytes = INDIRECT_PROBE_KINDS.includes(kind)
+      ? INDIRECT_PROBE_RECORD_BYTES
       : settings.maxDatagramBytes - used;
-    const records = book.recordsFor(to, { bytes, rotating });
+    const records = table.recordsFor(to, { bytes, rotating });
     const datagram = codec.seal({
       kind,
       sequence,
--- a/packages/coordination/src/process/membership_probed.ts
+++ b/packages/coordination/src/process/membership_probed.ts
@@ -1,5 +1,5 @@
 /**
- * Membership from the platform's list and from probing.
+ * Membership derived from the platform's host list and from probing.
  *
  * @module
  */
@@ -9,14 +9,14 @@
 import type { Clock } from "./clock.ts";
 import type { Digest } from "./digest.ts";
 import type { HostList } from "./host_list.ts";
-import { MemberBook } from "./membership_book.ts";
+import { MemberTable } from "./membership_table.ts";
 import type { MembershipEvent } from "./membership_event.ts";
 import { Prober } from "./membership_prober.ts";
 import type { ProbeSettings } from "./membership_settings.ts";
 import type { ProbeTransport } from "./membership_transport.ts";
 import type { Member, Membership, View } from "./membership.ts";
 
-/** What membership needs. */
+/** Dependencies and settings of a {@linkcode ProbedMembership}. */
 export interface ProbedMembershipOptions {
   readonly self: Member;
   readonly hostList: HostList;
@@ -24,48 +24,49 @@
   readonly settings: ProbeSettings;
   readonly clock: Clock;
   readonly digest: Digest;
-  /** The key that all members share. */
+  /** Authentication key shared by all members. */
   readonly key: Uint8Array;
   readonly onEvent: (event: MembershipEvent) => void;
 }
 
 /**
- * Membership in which the platform's list says who may exist and probing says
- * who answers.
+ * Membership that discovers members by the platform's host list and detects
+ * failures by probing.
  *
- * From start to end: the listed hosts are taken as alive; probing suspects and
- * then removes those that do not answer; a removed one is probed again now and
- * then and returns when it answers; this process announces that it leaves, and
- * at the end of its scope that it is gone.
+ * Listed hosts are initially taken as alive. Members that do not answer probes
+ * are first suspected and then removed. Removed members are probed again at
+ * intervals and return when they answer. This process announces that it leaves
+ * when {@linkcode ProbedMembership.leave} is called, and that it has left when
+ * its scope closes.
  */
 export class ProbedMembership implements Membership {
-  readonly #book: MemberBook;
+  readonly #table: MemberTable;
   readonly #prober: Prober;
   readonly #listeners = new Set<(view: View) => void>();
-  #told: number;
+  #notifiedVersion: number;
 
   /** @internal Use {@linkcode ProbedMembership.make}. */
   constructor(
     options: ProbedMembershipOptions,
-    process: {
+    runtime: {
       readonly random: Random.Random;
       readonly fork: (effect: Effect.Effect<void>) => void;
     },
   ) {
-    this.#book = new MemberBook({
+    this.#table = new MemberTable({
       ...options,
       onJoined: (name) => this.#prober.addMember(name),
     });
     this.#prober = new Prober({
       ...options,
-      book: this.#book,
-      fork: process.fork,
-      onChange: () => this.#tell(),
-    }, process.random);
-    this.#told = this.#book.view().version;
+      table: this.#table,
+      fork: runtime.fork,
+      onChange: () => this.#notify(),
+    }, runtime.random);
+    this.#notifiedVersion = this.#table.view().version;
   }
 
-  /** Takes part until the scope closes. */
+  /** Joins the fleet until the scope closes. */
   static readonly make = Effect.fnUntraced(function* (
     options: ProbedMembershipOptions,
   ): Effect.fn.Return<ProbedMembership, never, Scope.Scope> {
@@ -77,25 +78,27 @@
       fork: (effect) => void run(effect.pipe(Effect.forkIn(scope))),
     });
     const { hostList } = options;
-    membership.#list(hostList);
-    const unsubscribe = hostList.subscribe(() => membership.#list(hostList));
+    membership.#applyHostList(hostList);
+    const unsubscribe = hostList.subscribe(() =>
+      membership.#applyHostList(hostList)
+    );
     yield* Effect.addFinalizer(() =>
       Effect.sync(() => {
         unsubscribe();
-        membership.#prober.depart();
+        membership.#prober.announceDeparture();
       })
     );
-    yield* membership.#prober.probeAll().pipe(Effect.forkScoped);
-    yield* membership.#prober.keepBook().pipe(Effect.forkScoped);
+    yield* membership.#prober.runProbing().pipe(Effect.forkScoped);
+    yield* membership.#prober.runMaintenance().pipe(Effect.forkScoped);
     return membership;
   });
 
   get self(): Member {
-    return this.#book.self.member;
+    return this.#table.self.member;
   }
 
   view(): View {
-    return this.#book.view();
+    return this.#table.view();
   }
 
   subscribe(listener: (view: View) => void): () => void {
@@ -103,30 +106,30 @@
     return () => this.#listeners.delete(listener);
   }
 
-  /** Announces that this process leaves; it goes on answering. */
+  /** Announces that this process is leaving; it continues to answer probes. */
   leave(): Effect.Effect<void> {
     return this.#prober.announceLeaving();
   }
 
-  /** Has a member probed soon, since something hints that it is gone. */
+  /** Schedules an early probe of a member that may have failed. */
   probeSoon(name: string): void {
     this.#prober.probeSoon(name);
   }
 
-  /** Where a member listens, also one that was removed. */
+  /** A member with its endpoint, including members that were removed. */
   member(name: string): Member | undefined {
-    return this.#book.record(name)?.member;
+    return this.#table.get(name)?.member;
   }
 
-  #list(hostList: HostList): void {
-    this.#book.list(hostList.hosts());
-    this.#tell();
+  #applyHostList(hostList: HostList): void {
+    this.#table.applyHostList(hostList.hosts());
+    this.#notify();
   }
 
-  #tell(): void {
-    const view = this.#book.view();
-    if (view.version === this.#told) return;
-    this.#told = view.version;
+  #notify(): void {
+    const view = this.#table.view();
+    if (view.version === this.#notifiedVersion) return;
+    this.#notifiedVersion = view.version;
     for (const listener of [...this.#listeners]) listener(view);
   }
 }
--- a/packages/coordination/src/process/membership_record.ts
+++ b/packages/coordination/src/process/membership_record.ts
@@ -1,5 +1,5 @@
 /**
- * What one member believes of another, and which of two beliefs is newer.
+ * Records of members' states, their precedence and their encoding.
  *
  * @module
  */
@@ -8,21 +8,23 @@
 import { isAddress, isPort } from "./endpoint.ts";
 import type { Member } from "./membership.ts";
 
-/** Whether a member answers. A removed one is absent from the view. */
+/** Health of a member. A removed member is absent from the view. */
 export type Health = "alive" | "suspect" | "removed";
 
-/** A belief about a member. */
+/** The state of a member, as claimed by one member. */
 export interface MemberRecord {
   readonly member: Member;
   /**
-   * How often this start of the member has contradicted that it is suspect or
-   * removed. Only the member itself raises it.
+   * How often this incarnation of the member has refuted that it is suspect or
+   * removed. Only the member itself increments it.
    */
   readonly refutations: number;
   readonly health: Health;
-  /** The member has announced that it leaves. Holds for the rest of its start. */
+  /**
+   * The member has announced that it leaves; not reset within an incarnation.
+   */
   readonly leaving: boolean;
-  /** Name of the member whose belief this is. */
+  /** Name of the member that made this claim. */
   readonly by: string;
 }
 
@@ -31,44 +33,47 @@
 const HEALTH_MASK = 3;
 
 /**
- * Whether one belief about a member is newer than another: a later start wins,
- * then more refutations, then the worse health. So a false suspicion stands
- * until the member itself contradicts it, and no late message of an earlier
- * start changes anything.
+ * Whether one record of a member takes precedence over another: the higher
+ * incarnation wins, then more refutations, then the worse health. So a false
+ * suspicion stands until the member itself refutes it, and a delayed message of
+ * an earlier incarnation changes nothing.
  */
-export function supersedes(heard: MemberRecord, known: MemberRecord): boolean {
-  const starts = heard.member.incarnation - known.member.incarnation;
-  if (starts !== 0) return starts > 0;
-  const refutations = heard.refutations - known.refutations;
+export function supersedes(
+  received: MemberRecord,
+  known: MemberRecord,
+): boolean {
+  const incarnations = received.member.incarnation - known.member.incarnation;
+  if (incarnations !== 0) return incarnations > 0;
+  const refutations = received.refutations - known.refutations;
   if (refutations !== 0) return refutations > 0;
-  return HEALTHS.indexOf(heard.health) > HEALTHS.indexOf(known.health);
+  return HEALTHS.indexOf(received.health) > HEALTHS.indexOf(known.health);
 }
 
-/** Joins two beliefs about one member; undefined when `heard` adds nothing. */
-export function joinRecords(
+/** Merges two records of one member; undefined when `received` adds nothing. */
+export function mergeRecords(
   known: MemberRecord,
-  heard: MemberRecord,
+  received: MemberRecord,
 ): MemberRecord | undefined {
-  const newer = supersedes(heard, known);
-  if (heard.member.incarnation !== known.member.incarnation) {
-    return newer ? heard : undefined;
+  const newer = supersedes(received, known);
+  if (received.member.incarnation !== known.member.incarnation) {
+    return newer ? received : undefined;
   }
-  const leaving = known.leaving || heard.leaving;
+  const leaving = known.leaving || received.leaving;
   if (!newer && leaving === known.leaving) return undefined;
-  return { ...(newer ? heard : known), leaving };
+  return { ...(newer ? received : known), leaving };
 }
 
-/** Whether the member itself said that it is gone. */
+/** Whether the member itself announced that it has left. */
 export function hasLeft(record: MemberRecord): boolean {
   return record.health === "removed" && record.by === record.member.name;
 }
 
 const encoded = new WeakMap<MemberRecord, Buffer>();
 
-/** Encodes a record. The bytes are kept, since a record is sent often. */
+/** Encodes a record. The bytes are cached, since a record is sent often. */
 export function encodeRecord(record: MemberRecord): Buffer {
-  const known = encoded.get(record);
-  if (known !== undefined) return known;
+  const cached = encoded.get(record);
+  if (cached !== undefined) return cached;
   const { member, refutations, health, leaving, by } = record;
   const state = HEALTHS.indexOf(health) | (leaving ? LEAVING_BIT : 0);
   const bytes = encodeItem([
@@ -90,7 +95,7 @@
   return Number.isSafeInteger(value) && Number(value) >= 0;
 }
 
-/** Decodes a record; undefined when the bytes hold none. */
+/** Decodes a record; undefined if the bytes are not a valid record. */
 export function decodeRecord(bytes: unknown): MemberRecord | undefined {
   if (!(bytes instanceof Uint8Array)) return undefined;
   const decoded = decodeItem(bytes);
--- a/packages/coordination/src/process/membership_record_test.ts
+++ b/packages/coordination/src/process/membership_record_test.ts
@@ -6,7 +6,7 @@
 import {
   decodeRecord,
   encodeRecord,
-  joinRecords,
+  mergeRecords,
 } from "./membership_record.ts";
 
 const RECORD: fc.Arbitrary<MemberRecord> = fc.record({
@@ -22,7 +22,7 @@
   const [first, ...rest] = records;
   assert.ok(first);
   let known = first;
-  for (const heard of rest) known = joinRecords(known, heard) ?? known;
+  for (const heard of rest) known = mergeRecords(known, heard) ?? known;
   const { member, refutations, health, leaving } = known;
   return `${member.incarnation} ${refutations} ${health} ${leaving}`;
 }
@@ -60,7 +60,7 @@
     health: "removed",
     leaving: true,
   };
-  assert.equal(joinRecords(known, late), undefined);
+  assert.equal(mergeRecords(known, late), undefined);
 });
 
 test("records survive encoding", () => {
--- a/packages/coordination/src/process/membership_self.ts
+++ b/packages/coordination/src/process/membership_self.ts
@@ -1,5 +1,5 @@
 /**
- * What this process says of itself.
+ * The record of this process.
  *
  * @module
  */
@@ -7,15 +7,15 @@
 import type { MemberRecord } from "./membership_record.ts";
 import type { Member } from "./membership.ts";
 
-/** What the record of this process needs of its book. */
+/** Initial state and callbacks of a {@linkcode SelfRecord}. */
 export interface SelfRecordOptions {
   readonly self: Member;
   readonly onEvent: (event: MembershipEvent) => void;
-  /** Told of each change, which the others have to hear of. */
+  /** Called for each change, which has to be gossiped. */
   readonly onChange: (record: MemberRecord) => void;
 }
 
-/** The record that only this process changes. */
+/** The record of this process, which only this process changes. */
 export class SelfRecord {
   readonly #options: SelfRecordOptions;
   #record: MemberRecord;
@@ -31,51 +31,52 @@
     };
   }
 
-  /** This process, as it believes itself to be. */
+  /** The current record. */
   get record(): MemberRecord {
     return this.#record;
   }
 
-  /** Another says something of this process: contradict what is wrong. */
-  hear(heard: MemberRecord): void {
+  /** Handles a claim about this process, and refutes it if it is wrong. */
+  refute(claim: MemberRecord): void {
     const { member, health, refutations } = this.#record;
-    const { incarnation } = heard.member;
+    const { incarnation } = claim.member;
     if (health === "removed") return;
-    if (incarnation > member.incarnation) return this.#outdo(incarnation);
+    if (incarnation > member.incarnation) return this.#raiseAbove(incarnation);
     if (incarnation < member.incarnation) return;
-    if (heard.health === "alive" || heard.refutations < refutations) return;
+    if (claim.health === "alive" || claim.refutations < refutations) return;
     const { onEvent } = this.#options;
-    onEvent({ type: "refuted", health: heard.health, by: heard.by });
-    this.#set({ refutations: heard.refutations + 1 });
+    onEvent({ type: "refuted", health: claim.health, by: claim.by });
+    this.#update({ refutations: claim.refutations + 1 });
   }
 
-  /** Says anew that this process is alive, before it is asked. */
-  affirm(): void {
-    this.#set({ refutations: this.#record.refutations + 1 });
+  /** Asserts that this process is alive, ahead of any suspicion of it. */
+  reaffirm(): void {
+    this.#update({ refutations: this.#record.refutations + 1 });
   }
 
   /** Marks this process as leaving. */
   leave(): void {
-    if (!this.#record.leaving) this.#set({ leaving: true });
+    if (!this.#record.leaving) this.#update({ leaving: true });
   }
 
-  /** Marks this process as gone. */
+  /** Marks this process as removed. */
   depart(): void {
-    this.#set({ health: "removed" });
+    this.#update({ health: "removed" });
   }
 
   /**
-   * A clock that went back made this start look older than the one before it;
-   * without a higher number all that it says would be ignored.
+   * Raises the incarnation above one that others know. A clock that went back
+   * gave this start a lower incarnation than the previous one, so that other
+   * members would ignore all records of this process.
    */
-  #outdo(known: number): void {
+  #raiseAbove(known: number): void {
     const incarnation = known + 1;
     this.#options.onEvent({ type: "outdated", incarnation });
     const member = { ...this.#record.member, incarnation };
-    this.#set({ member, refutations: 0 });
+    this.#update({ member, refutations: 0 });
   }
 
-  #set(change: Partial<MemberRecord>): void {
+  #update(change: Partial<MemberRecord>): void {
     this.#record = { ...this.#record, ...change };
     this.#options.onChange(this.#record);
   }
--- a/packages/coordination/src/process/membership_settings.ts
+++ b/packages/coordination/src/process/membership_settings.ts
@@ -1,44 +1,60 @@
 /**
- * Intervals and bounds of probing.
+ * Settings of probing and gossip.
  *
  * @module
  */
 
-/** Intervals and bounds of probing. */
+/** Intervals and bounds of probing and gossip. */
 export interface ProbeSettings {
-  /** Each member probes one other a period, in milliseconds. */
+  /**
+   * Length of a period, in milliseconds; each member probes one other per
+   * period.
+   */
   readonly periodMs: number;
-  /** Wait for a direct answer before others are asked to probe. */
+  /**
+   * Wait for a direct ack before indirect probes are requested, in
+   * milliseconds.
+   */
   readonly answerMs: number;
-  /** Members asked to probe one that does not answer. */
+  /** Number of members asked to probe one that does not answer. */
   readonly helpers: number;
   /**
-   * Shortest time from suspicion to removal, in periods, for up to ten members;
-   * grows with the logarithm of their number.
+   * Minimum time from suspicion to removal, in periods, for up to ten members;
+   * grows with the logarithm of the number of members.
    */
   readonly suspicionPeriods: number;
-  /** A suspicion that nobody shares lasts this many times longer. */
+  /** A suspicion without confirmations lasts this many times the minimum. */
   readonly suspicionStretch: number;
-  /** Members that must share a suspicion for the shortest time to hold. */
+  /** Number of confirmations that reduce a suspicion to the minimum time. */
   readonly suspicionConfirmations: number;
-  /** Every so many periods one removed member is probed again. */
+  /** Number of periods between probes of a removed member. */
   readonly reprobePeriods: number;
-  /** A removed member that is not listed is probed again for this long. */
+  /** How long a removed, unlisted member is probed again, in milliseconds. */
   readonly reprobeForMs: number;
-  /** While there is news it is sent this often, to `gossipFanout` members. */
+  /** Interval of gossip while records are queued, in milliseconds. */
   readonly gossipMs: number;
+  /** Number of members that gossip is sent to per interval. */
   readonly gossipFanout: number;
-  /** News is sent this many times the binary logarithm of the members' number. */
+  /**
+   * Gossip is sent this many times the binary logarithm of the number of
+   * members.
+   */
   readonly retransmits: number;
-  /** Records beside the news in each probe, so that all views agree in the end. */
+  /**
+   * Records per probe in addition to gossip, so that all views eventually
+   * converge.
+   */
   readonly rotatingRecords: number;
   /** Largest datagram sent or accepted, in bytes. */
   readonly maxDatagramBytes: number;
-  /** A process that stood still for this long checks its view before it judges. */
+  /**
+   * Shortest pause of this process after which it refreshes its view, in
+   * milliseconds.
+   */
   readonly pauseMs: number;
-  /** Waits grow by this many times at most while this process itself is slow. */
+  /** Maximum local health score; waits are multiplied by the score plus one. */
   readonly maxSlowness: number;
-  /** Members told directly of leaving. */
+  /** Number of members notified directly when this process leaves. */
   readonly leaveFanout: number;
 }
 
--- a/packages/coordination/src/process/membership_suspicion.ts
+++ b/packages/coordination/src/process/membership_suspicion.ts
@@ -1,5 +1,5 @@
 /**
- * How long a suspicion lasts before the member is removed.
+ * Suspicions of members and the time until they expire.
  *
  * @module
  */
@@ -7,23 +7,23 @@
 
 interface Suspicion {
   readonly startedAt: number;
-  readonly sharedBy: Set<string>;
-  readonly shortestMs: number;
-  readonly longestMs: number;
-  readonly needed: number;
+  readonly confirmedBy: Set<string>;
+  readonly minMs: number;
+  readonly maxMs: number;
+  readonly required: number;
 }
 
 /**
- * Suspicions that run at this process.
+ * The active suspicions at this process.
  *
- * A suspicion starts long and is cut short as other members come to share it:
- * a process that is itself slow or half cut off suspects many, but alone, so
- * those it suspects have time to contradict; of a member that is gone, several
- * are sure within a few periods.
+ * A suspicion starts with a long time-out, which shrinks as other members
+ * confirm it. A process that is itself slow or partly cut off suspects many
+ * members, but without confirmations, so these have time to refute it. A member
+ * that has failed is suspected by several others within a few periods.
  */
 export class Suspicions {
   readonly #settings: ProbeSettings;
-  readonly #running = new Map<string, Suspicion>();
+  readonly #active = new Map<string, Suspicion>();
   #extensionMs = 0;
 
   constructor(settings: ProbeSettings) {
@@ -31,53 +31,53 @@
   }
 
   /**
-   * Starts a suspicion, or adds one more member that shares it.
+   * Starts a suspicion, or adds a confirmation by another member.
    *
-   * @returns whether this shortens the suspicion of others too, so that they
-   * should hear of it.
+   * @returns whether the confirmation is new and shortens the suspicion at
+   * other members too, so that it should be gossiped.
    */
   add(
     name: string,
     by: string,
     at: { readonly now: number; readonly members: number },
   ): boolean {
-    const running = this.#running.get(name);
-    if (running !== undefined) {
-      const { sharedBy, needed } = running;
-      if (sharedBy.has(by) || sharedBy.size > needed) return false;
-      sharedBy.add(by);
+    const active = this.#active.get(name);
+    if (active !== undefined) {
+      const { confirmedBy, required } = active;
+      if (confirmedBy.has(by) || confirmedBy.size > required) return false;
+      confirmedBy.add(by);
       return true;
     }
     const settings = this.#settings;
     const scale = Math.max(1, Math.log10(at.members));
-    const shortestMs = settings.suspicionPeriods * settings.periodMs * scale;
-    // Neither the suspect nor this process nor a fellow of the smallest fleets
-    // can be counted on to share it.
-    const sharers = Math.max(0, at.members - 3);
-    this.#running.set(name, {
+    const minMs = settings.suspicionPeriods * settings.periodMs * scale;
+    // The suspect and this process cannot confirm it, and in the smallest
+    // fleets a further member cannot be relied on to do so.
+    const confirmers = Math.max(0, at.members - 3);
+    this.#active.set(name, {
       startedAt: at.now - this.#extensionMs,
-      sharedBy: new Set([by]),
-      shortestMs,
-      longestMs: shortestMs * settings.suspicionStretch,
-      needed: Math.min(settings.suspicionConfirmations, sharers),
+      confirmedBy: new Set([by]),
+      minMs,
+      maxMs: minMs * settings.suspicionStretch,
+      required: Math.min(settings.suspicionConfirmations, confirmers),
     });
     return true;
   }
 
   /** Ends a suspicion. */
   clear(name: string): void {
-    this.#running.delete(name);
+    this.#active.delete(name);
   }
 
-  /** Gives all running suspicions more time. */
+  /** Extends all active suspicions. */
   extend(ms: number): void {
     this.#extensionMs += ms;
   }
 
-  /** Names whose suspicion has run out. */
+  /** Names of the members whose suspicion has expired. */
   expired(now: number): readonly string[] {
     const names: string[] = [];
-    for (const [name, suspicion] of this.#running) {
+    for (const [name, suspicion] of this.#active) {
       const elapsedMs = now - suspicion.startedAt - this.#extensionMs;
       if (elapsedMs >= durationOf(suspicion)) names.push(name);
     }
@@ -86,9 +86,9 @@
 }
 
 function durationOf(suspicion: Suspicion): number {
-  const { shortestMs, longestMs, needed, sharedBy } = suspicion;
-  if (needed === 0) return shortestMs;
-  const others = sharedBy.size - 1;
-  const shared = Math.log(others + 1) / Math.log(needed + 1);
-  return Math.max(shortestMs, longestMs - (longestMs - shortestMs) * shared);
+  const { minMs, maxMs, required, confirmedBy } = suspicion;
+  if (required === 0) return minMs;
+  const confirmations = confirmedBy.size - 1;
+  const progress = Math.log(confirmations + 1) / Math.log(required + 1);
+  return Math.max(minMs, maxMs - (maxMs - minMs) * progress);
 }
--- a/packages/coordination/src/process/membership_transport.ts
+++ b/packages/coordination/src/process/membership_transport.ts
@@ -1,5 +1,5 @@
 /**
- * Datagrams between members.
+ * Transport of datagrams between members.
  *
  * @module
  */
@@ -12,11 +12,11 @@
 import { listenFailed } from "./endpoint.ts";
 import type { TrafficCounter } from "./traffic.ts";
 
-/** Sends and receives datagrams, some of which get lost. */
+/** Unreliable datagram transport. */
 export interface ProbeTransport {
-  /** Sends without knowing whether it arrives. */
+  /** Sends a datagram without confirmation that it arrives. */
   send(datagram: Uint8Array, to: Endpoint): void;
-  /** Sets the one listener. */
+  /** Sets the single listener. */
   listen(listener: (datagram: Uint8Array) => void): void;
 }
 
@@ -29,8 +29,8 @@
   constructor(socket: Socket, traffic: TrafficCounter) {
     this.#socket = socket;
     this.#traffic = traffic;
-    // A send that fails is a datagram lost, which probing allows for; without a
-    // listener it would end the process.
+    // A failed send is a lost datagram, which probing tolerates. Without an
+    // error listener it would end the process.
     socket.on("error", () => {});
   }
 
@@ -50,7 +50,9 @@
     });
   }
 
-  /** Lets the last datagrams out, which say that this process is gone. */
+  /**
+   * Closes after the last datagrams, which announce the departure, are sent.
+   */
   close(): Effect.Effect<void> {
     return Effect.callback((resume) => {
       const end = () => this.#socket.close(() => resume(Effect.void));
@@ -60,7 +62,7 @@
   }
 }
 
-/** Receives datagrams at an endpoint until the scope closes. */
+/** Opens a UDP socket at an endpoint until the scope closes. */
 export function openUdp(
   endpoint: Endpoint,
   traffic: TrafficCounter,
--- a/packages/coordination/src/process/membership_view.ts
+++ b/packages/coordination/src/process/membership_view.ts
@@ -1,5 +1,5 @@
 /**
- * The view that follows from records and the platform's list.
+ * Derivation of the view from records and the platform's host list.
  *
  * @module
  */
@@ -8,29 +8,29 @@
 
 function statusOf(
   record: MemberRecord,
-  drained: ReadonlySet<string>,
+  leavingHosts: ReadonlySet<string>,
 ): MemberStatus {
   const { member, health, leaving } = record;
-  if (leaving || drained.has(member.name)) {
+  if (leaving || leavingHosts.has(member.name)) {
     return { member, state: "leaving" };
   }
   return { member, state: health === "suspect" ? "suspect" : "alive" };
 }
 
 /**
- * Builds the view: removed members are absent, the others in order of name.
+ * Builds the view: the members that are not removed, sorted by name.
  *
- * @param drained names of the hosts that the platform called leaving.
+ * @param leavingHosts names of the hosts that the platform listed as leaving.
  */
 export function buildView(
   version: number,
   records: Iterable<MemberRecord>,
-  drained: ReadonlySet<string>,
+  leavingHosts: ReadonlySet<string>,
 ): View {
   const members: MemberStatus[] = [];
   for (const record of records) {
     if (record.health === "removed") continue;
-    members.push(statusOf(record, drained));
+    members.push(statusOf(record, leavingHosts));
   }
   members.sort((a, b) => a.member.name < b.member.name ? -1 : 1);
   return { version, members };
--- a/packages/coordination/src/process/rendezvous.ts
+++ b/packages/coordination/src/process/rendezvous.ts
@@ -1,14 +1,15 @@
 /**
- * Rendezvous hashing: which member is responsible for what.
+ * Rendezvous hashing: assigns keys to members.
  *
- * Every process with the same members gets the same answer without asking
- * anyone. When a member comes or goes, only what it takes over or leaves moves.
+ * All processes with the same set of members compute the same assignment
+ * without communication. When a member joins or leaves, only the keys that it
+ * gains or loses move.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 
-/** 64 bits of a name's SHA-256, in two halves. */
+/** The first 64 bits of a name's SHA-256, in two halves. */
 interface Digest {
   readonly high: number;
   readonly low: number;
@@ -19,10 +20,10 @@
   readonly score: number;
 }
 
-const BITS_OF_HIGH = 21;
+const HIGH_BITS = 21;
 const LOW_RANGE = 2 ** 32;
 
-/** Members whose digests are remembered, some 100 bytes each. */
+/** Bound of the cache of member digests, about 100 bytes each. */
 const MAX_DIGESTS = 8_192;
 const memberDigests = new Map<string, Digest>();
 
@@ -31,17 +32,20 @@
   return { high: bytes.readUInt32BE(0), low: bytes.readUInt32BE(4) };
 }
 
-/** Lists of members change often, by one or two members. */
-function memberDigestOf(name: string): Digest {
-  const known = memberDigests.get(name);
-  if (known !== undefined) return known;
+/** Cached, since lists of members change often, by one or two members. */
+function cachedDigest(name: string): Digest {
+  const cached = memberDigests.get(name);
+  if (cached !== undefined) return cached;
   if (memberDigests.size >= MAX_DIGESTS) memberDigests.clear();
   const digest = digestOf(name);
   memberDigests.set(name, digest);
   return digest;
 }
 
-/** The finalizer of MurmurHash3: each bit of the input changes half of the output. */
+/**
+ * The finalizer of MurmurHash3: each input bit changes half of the output bits
+ * on average.
+ */
 function mix(value: number): number {
   let mixed = Math.imul(value ^ (value >>> 16), 0x85ebca6b);
   mixed = Math.imul(mixed ^ (mixed >>> 13), 0xc2b2ae35);
@@ -49,32 +53,38 @@
 }
 
 /**
- * How well a member suits a key, 53 bits. One SHA-256 for each name and each
- * key, joined by a cheap mix for each pair: a SHA-256 for each pair would take
- * seconds for thousands of keys and hundreds of members, at each change of the
- * view.
+ * The 53-bit score of a member for a key; the highest score wins. Each name and
+ * each key is hashed once with SHA-256, and a cheap mix combines each pair: a
+ * SHA-256 per pair would take seconds for thousands of keys and hundreds of
+ * members, at each change of the view.
  */
 function scoreOf(key: Digest, member: Digest): number {
   const high = mix(key.high ^ member.low);
   const low = mix((key.low ^ member.high) + high | 0);
-  return (high >>> (32 - BITS_OF_HIGH)) * LOW_RANGE + low;
+  return (high >>> (32 - HIGH_BITS)) * LOW_RANGE + low;
 }
 
-function better(one: Scored, other: Scored): number {
-  return other.score - one.score || (one.name < other.name ? -1 : 1);
+function compareScored(first: Scored, second: Scored): number {
+  return second.score - first.score || (first.name < second.name ? -1 : 1);
 }
 
-/** Members of one moment, hashed once for many keys. */
+/** A fixed set of members, hashed once for many keys. */
 export class Rendezvous {
-  readonly #members: readonly { readonly name: string; readonly of: Digest }[];
+  readonly #members: readonly {
+    readonly name: string;
+    readonly digest: Digest;
+  }[];
 
   /** @param names of the members; their order does not matter. */
   constructor(names: readonly string[]) {
-    this.#members = names.map((name) => ({ name, of: memberDigestOf(name) }));
+    this.#members = names.map((name) => ({
+      name,
+      digest: cachedDigest(name),
+    }));
   }
 
   /**
-   * The members in the order in which they are responsible for a key.
+   * The members in order of responsibility for a key, by descending score.
    *
    * @example
    * ```ts
@@ -82,12 +92,12 @@
    * ```
    */
   order(key: string): readonly string[] {
-    return this.#scored(key).sort(better).map(({ name }) => name);
+    return this.#scored(key).sort(compareScored).map(({ name }) => name);
   }
 
   /**
-   * The first of {@linkcode order} that is accepted. It takes one pass instead of
-   * a sort, for those who ask for each request.
+   * The first member of {@linkcode order} that the predicate accepts. Takes one
+   * pass instead of a sort, for use on every request.
    *
    * @example
    * ```ts
@@ -98,25 +108,29 @@
     key: string,
     accepts: (name: string) => boolean,
   ): string | undefined {
-    const of = digestOf(key);
+    const keyDigest = digestOf(key);
     let best: Scored | undefined;
     for (const member of this.#members) {
       if (!accepts(member.name)) continue;
-      const scored = { name: member.name, score: scoreOf(of, member.of) };
-      if (best === undefined || better(scored, best) < 0) best = scored;
+      const scored = {
+        name: member.name,
+        score: scoreOf(keyDigest, member.digest),
+      };
+      if (best === undefined || compareScored(scored, best) < 0) best = scored;
     }
     return best?.name;
   }
 
   /**
-   * Gives each key an owner, so that no member owns more than `loadBound` times
-   * the mean, rounded up. A key whose first member is full goes to the next one
-   * in its order that it suits better than another key there does; which keys
-   * stay is decided by their scores and not by their order, so a change of one
-   * member or key moves few others.
+   * Assigns an owner to each key, so that no member owns more than `loadBound`
+   * times the mean, rounded up. A key whose first member is full goes to the
+   * next member in its order that has capacity or owns a key with a lower score
+   * there. Which keys a full member keeps depends on their scores and not on
+   * the order of `keys`, so a change of one member or key moves few other keys.
    *
-   * @returns the owner of each key; empty when there are no members.
-   * @throws {RangeError} when the bound is under 1, which leaves keys unowned.
+   * @returns the owner of each key; empty if there are no members.
+   * @throws {RangeError} if the bound is below 1, which would leave keys
+   * unowned.
    *
    * @example
    * ```ts
@@ -132,57 +146,69 @@
   ): ReadonlyMap<string, string> {
     const { loadBound } = options;
     if (!(loadBound >= 1)) {
-      throw new RangeError(`Cannot bound load by ${loadBound}: it is under 1`);
+      throw new RangeError(
+        `Cannot bound load by ${loadBound}: must be at least 1`,
+      );
     }
     if (this.#members.length === 0) return new Map();
     const distinct = [...new Set(keys)];
     const mean = distinct.length / this.#members.length;
-    return this.#match(distinct, Math.ceil(loadBound * mean));
+    return this.#assignOwners(distinct, Math.ceil(loadBound * mean));
   }
 
   /**
    * Deferred acceptance (Gale and Shapley, 1962). Both sides rank by the same
-   * scores, so there is one stable outcome, whatever the order of proposals.
+   * scores, so there is a single stable matching, whatever the order of
+   * proposals.
    */
-  #match(keys: readonly string[], capacity: number): Map<string, string> {
-    const held = new Map<string, Scored[]>();
-    const waiting = keys.map((key) => ({
+  #assignOwners(
+    keys: readonly string[],
+    capacity: number,
+  ): Map<string, string> {
+    const assigned = new Map<string, Scored[]>();
+    const unassigned = keys.map((key) => ({
       key,
-      order: this.#scored(key).sort(better),
+      order: this.#scored(key).sort(compareScored),
       next: 0,
     }));
-    const byKey = new Map(waiting.map((proposer) => [proposer.key, proposer]));
-    for (let it = waiting.pop(); it !== undefined; it = waiting.pop()) {
-      const choice = it.order[it.next];
+    const byKey = new Map(
+      unassigned.map((proposer) => [proposer.key, proposer]),
+    );
+    for (
+      let proposer = unassigned.pop();
+      proposer !== undefined;
+      proposer = unassigned.pop()
+    ) {
+      const choice = proposer.order[proposer.next];
       if (choice === undefined) continue;
-      it.next += 1;
-      const holding = held.get(choice.name) ?? [];
-      holding.push({ name: it.key, score: choice.score });
-      holding.sort(better);
-      held.set(choice.name, holding);
-      if (holding.length <= capacity) continue;
-      const rejected = byKey.get(holding.pop()?.name ?? "");
-      if (rejected !== undefined) waiting.push(rejected);
+      proposer.next += 1;
+      const accepted = assigned.get(choice.name) ?? [];
+      accepted.push({ name: proposer.key, score: choice.score });
+      accepted.sort(compareScored);
+      assigned.set(choice.name, accepted);
+      if (accepted.length <= capacity) continue;
+      const rejected = byKey.get(accepted.pop()?.name ?? "");
+      if (rejected !== undefined) unassigned.push(rejected);
     }
     const owners = new Map<string, string>();
-    for (const [member, holding] of held) {
-      for (const { name: key } of holding) owners.set(key, member);
+    for (const [member, accepted] of assigned) {
+      for (const { name: key } of accepted) owners.set(key, member);
     }
     return owners;
   }
 
   #scored(key: string): Scored[] {
-    const of = digestOf(key);
+    const keyDigest = digestOf(key);
     return this.#members.map((member) => ({
       name: member.name,
-      score: scoreOf(of, member.of),
+      score: scoreOf(keyDigest, member.digest),
     }));
   }
 }
 
 /**
- * The members in the order in which they are responsible for a key: the owner,
- * then its substitutes.
+ * The members in order of responsibility for a key: the owner, then its
+ * substitutes.
  *
  * @example
  * ```ts
@@ -197,7 +223,8 @@
 }
 
 /**
- * Gives each key an owner within a load bound; see {@linkcode Rendezvous.owners}.
+ * Assigns an owner to each key within a load bound; see
+ * {@linkcode Rendezvous.owners}.
  *
  * @example
  * ```ts
