--- a/packages/coordination/src/process/claims_in_store.ts
+++ b/packages/coordination/src/process/claims_in_store.ts
@@ -24,8 +24,8 @@
 import { ClaimSettler } from "./claim_settler.ts";
 import { claimSettings } from "./claim_settings.ts";
 import type { ClaimSettings } from "./claim_settings.ts";
-import { elapsedSince, momentOf, SYSTEM_CLOCK } from "./clock.ts";
-import type { Clock, Moment } from "./clock.ts";
+import { elapsedSince, SYSTEM_CLOCK, timestampOf } from "./clock.ts";
+import type { Clock, Timestamp } from "./clock.ts";
 import { NO_CRASH_POINTS } from "./crash_points.ts";
 import type { CrashPoints } from "./crash_points.ts";
 import type { Membership } from "./membership.ts";
@@ -116,7 +116,7 @@
         id: randomBytes(ID_BYTES).toString("base64url"),
         by: this.#options.membership.self.name,
       };
-      const startedAt = momentOf(this.#clock);
+      const startedAt = timestampOf(this.#clock);
       return Effect.matchEffect(this.#ask(request), {
         onFailure: (undecided) => this.#giveUp(request, undecided),
         onSuccess: (verdict) =>
@@ -151,7 +151,7 @@
     asked: {
       readonly key: string;
       readonly request: ClaimRequest;
-      readonly startedAt: Moment;
+      readonly startedAt: Timestamp;
     },
   ): Effect.Effect<ClaimOutcome, ClaimUnavailable> {
     const { request } = asked;
@@ -187,7 +187,7 @@
     asked: {
       readonly key: string;
       readonly request: ClaimRequest;
-      readonly startedAt: Moment;
+      readonly startedAt: Timestamp;
     },
   ): Effect.Effect<ClaimOutcome, ClaimUnavailable> {
     const { key, request, startedAt } = asked;
--- a/packages/coordination/src/process/clock.ts
+++ b/packages/coordination/src/process/clock.ts
@@ -27,14 +27,14 @@
 };
 
 /** A moment by both clocks. */
-export interface Moment {
+export interface Timestamp {
   readonly monotonic: number;
-  readonly shown: number;
+  readonly wall: number;
 }
 
 /** The present moment. */
-export function momentOf(clock: Clock): Moment {
-  return { monotonic: clock.monotonic(), shown: clock.now() };
+export function timestampOf(clock: Clock): Timestamp {
+  return { monotonic: clock.monotonic(), wall: clock.now() };
 }
 
 /**
@@ -43,9 +43,9 @@
  * acts under a lease would not notice; the shown one is set right after that. A
  * shown time that jumps ahead by mistake only makes the caller too careful.
  */
-export function elapsedSince(moment: Moment, clock: Clock): number {
+export function elapsedSince(moment: Timestamp, clock: Clock): number {
   return Math.max(
     clock.monotonic() - moment.monotonic,
-    clock.now() - moment.shown,
+    clock.now() - moment.wall,
   );
 }
--- a/packages/coordination/src/process/lease_object.ts
+++ b/packages/coordination/src/process/lease_object.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import * as Effect from "effect/Effect";
-import { momentOf } from "./clock.ts";
-import type { Clock, Moment } from "./clock.ts";
+import { timestampOf } from "./clock.ts";
+import type { Clock, Timestamp } from "./clock.ts";
 import type { CrashPoints } from "./crash_points.ts";
 import { fencingAfter, LeaseSight } from "./lease_rules.ts";
 import type { LeaseHolding } from "./lease_rules.ts";
@@ -18,7 +18,7 @@
 export interface LeaseTerm {
   readonly fencing: number;
   /** When the last write that is known to stand was sent. */
-  renewedAt: Moment;
+  renewedAt: Timestamp;
   /** Version on which the next write builds. */
   version: number;
   /** The lease was given up or taken by another process. */
@@ -66,7 +66,7 @@
       if (!this.#isFree(found)) return undefined;
       const ifVersion = found?.version ?? 0;
       const fencing = fencingAfter(ifVersion);
-      const sentAt = momentOf(clock);
+      const sentAt = timestampOf(clock);
       const written = yield* this.#write(this.#value(fencing), ifVersion);
       if (written._tag !== "Written") return undefined;
       const { version } = written;
@@ -78,7 +78,7 @@
   renew(term: LeaseTerm): Effect.Effect<boolean> {
     const { clock } = this.#options;
     return Effect.gen({ self: this }, function* () {
-      const sentAt = momentOf(clock);
+      const sentAt = timestampOf(clock);
       const value = this.#value(term.fencing);
       const written = yield* this.#write(value, term.version);
       if (written._tag === "Unsure") return false;
--- a/packages/coordination/src/process/lease_rules.ts
+++ b/packages/coordination/src/process/lease_rules.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { elapsedSince } from "./clock.ts";
-import type { Clock, Moment } from "./clock.ts";
+import type { Clock, Timestamp } from "./clock.ts";
 
 /** What the object of a lease says of its holder. */
 export interface LeaseHolding {
@@ -55,7 +55,7 @@
  */
 export function leaseRemainingMs(
   durationMs: number,
-  renewedAt: Moment,
+  renewedAt: Timestamp,
   clock: Clock,
 ): number {
   return durationMs * (1 - MARGIN_PART) - elapsedSince(renewedAt, clock);
--- a/packages/coordination/src/process/pause_detector.ts
+++ b/packages/coordination/src/process/pause_detector.ts
@@ -5,8 +5,8 @@
  */
 import * as Effect from "effect/Effect";
 import type * as Scope from "effect/Scope";
-import { elapsedSince, momentOf, SYSTEM_CLOCK } from "./clock.ts";
-import type { Clock, Moment } from "./clock.ts";
+import { elapsedSince, SYSTEM_CLOCK, timestampOf } from "./clock.ts";
+import type { Clock, Timestamp } from "./clock.ts";
 
 const TICK_MS = 250;
 const DEFAULT_THRESHOLD_MS = 2_000;
@@ -28,12 +28,12 @@
   readonly #clock: Clock;
   readonly #thresholdMs: number;
   readonly #listeners = new Set<(pausedMs: number) => void>();
-  #lastTick: Moment;
+  #lastTick: Timestamp;
 
   constructor(options: PauseDetectorOptions = {}) {
     this.#clock = options.clock ?? SYSTEM_CLOCK;
     this.#thresholdMs = options.thresholdMs ?? DEFAULT_THRESHOLD_MS;
-    this.#lastTick = momentOf(this.#clock);
+    this.#lastTick = timestampOf(this.#clock);
   }
 
   /**
@@ -49,7 +49,7 @@
   /** Tells the listeners of a pause, if there was one since the last check. */
   check(): void {
     const pausedMs = elapsedSince(this.#lastTick, this.#clock);
-    this.#lastTick = momentOf(this.#clock);
+    this.#lastTick = timestampOf(this.#clock);
     if (pausedMs < this.#thresholdMs) return;
     for (const listener of [...this.#listeners]) listener(pausedMs);
   }
@@ -61,7 +61,7 @@
       Effect.forever,
     );
     return Effect.suspend(() => {
-      this.#lastTick = momentOf(this.#clock);
+      this.#lastTick = timestampOf(this.#clock);
       return Effect.asVoid(Effect.forkScoped(tick));
     });
   }
--- a/packages/router/src/process/leader_lease.ts
+++ b/packages/router/src/process/leader_lease.ts
@@ -3,8 +3,8 @@
  *
  * @module
  */
-import { momentOf } from "@umbermast/coordination/clock";
-import type { Clock, Moment } from "@umbermast/coordination/clock";
+import { timestampOf } from "@umbermast/coordination/clock";
+import type { Clock, Timestamp } from "@umbermast/coordination/clock";
 import {
   fencingAfter,
   leaseRemainingMs,
@@ -62,7 +62,7 @@
   /** Monotonic ms at which the term started. */
   readonly since: number;
   /** When the last write that is known to have succeeded was sent. */
-  renewedAt: Moment;
+  renewedAt: Timestamp;
   revision: number;
   state: LeaderState;
 }
@@ -70,7 +70,7 @@
 /** A write whose response was lost. */
 interface UnconfirmedWrite {
   readonly attempt: number;
-  readonly sentAt: Moment;
+  readonly sentAt: Timestamp;
 }
 
 /**
@@ -92,10 +92,10 @@
   readonly #clock: Clock;
   readonly #log: EventLog;
   readonly #sight: LeaseSight;
-  readonly #startedAt: Moment;
+  readonly #startedAt: Timestamp;
   #holderId = "";
   #ownWrite = false;
-  #actedAt: Moment;
+  #actedAt: Timestamp;
   #attempts = 0;
   #term: Term | undefined;
   #unconfirmed: UnconfirmedWrite | undefined;
@@ -110,7 +110,7 @@
     this.#clock = clock;
     this.#log = log;
     this.#sight = new LeaseSight(own.incarnation);
-    this.#startedAt = momentOf(clock);
+    this.#startedAt = timestampOf(clock);
     this.#actedAt = this.#startedAt;
   }
 
@@ -173,7 +173,7 @@
 
   /** Records that the leader has acted just now. */
   recordAction(): void {
-    this.#actedAt = momentOf(this.#clock);
+    this.#actedAt = timestampOf(this.#clock);
   }
 
   /** Reads the lease from the store, and takes it if it is free. */
@@ -199,7 +199,7 @@
     if (this.#unconfirmed !== undefined && !await this.#resolve()) return false;
     const term = this.#term;
     if (term === undefined || this.#remainingMs() <= 0) return false;
-    const sentAt = momentOf(this.#clock);
+    const sentAt = timestampOf(this.#clock);
     const record = this.#record(term.fencing, state);
     const result = await this.#write(record, term.revision, sentAt);
     if (result === "unknown") return false;
@@ -235,7 +235,7 @@
     const ifRevision = found?.revision ?? 0;
     const fencing = fencingAfter(ifRevision);
     const state = found?.record.work ?? INITIAL_STATE;
-    const sentAt = momentOf(this.#clock);
+    const sentAt = timestampOf(this.#clock);
     const record = this.#record(fencing, state);
     const result = await this.#write(record, ifRevision, sentAt);
     // If the response was lost, the next read shows whether the write succeeded,
@@ -288,7 +288,7 @@
   async #write(
     record: LeaderRecord,
     ifRevision: number,
-    sentAt: Moment,
+    sentAt: Timestamp,
   ): Promise<RecordWriteResult | "unknown"> {
     const result = await this.#tryStore(() =>
       this.#store.write(record, ifRevision)
@@ -332,7 +332,7 @@
 
   #confirm(term: Term, write: {
     readonly revision: number;
-    readonly sentAt: Moment;
+    readonly sentAt: Timestamp;
     readonly state: LeaderState;
   }): void {
     term.revision = write.revision;
