--- a/packages/coordination/src/process/lease_object.ts
+++ b/packages/coordination/src/process/lease_object.ts
@@ -7,7 +7,7 @@
 import { timestampOf } from "./clock.ts";
 import type { Clock, Timestamp } from "./clock.ts";
 import type { CrashPoints } from "./crash_points.ts";
-import { fencingAfter, LeaseSight } from "./lease_rules.ts";
+import { fencingAfter, LeaseObserver } from "./lease_rules.ts";
 import type { LeaseHolding } from "./lease_rules.ts";
 import type { Conflict, Store, StoredObject, Unavailable } from "./store.ts";
 
@@ -50,12 +50,12 @@
  */
 export class LeaseObject {
   readonly #options: LeaseObjectOptions;
-  readonly #sight: LeaseSight;
+  readonly #sight: LeaseObserver;
   #attempts = 0;
 
   constructor(options: LeaseObjectOptions) {
     this.#options = options;
-    this.#sight = new LeaseSight(options.holderId);
+    this.#sight = new LeaseObserver(options.holderId);
   }
 
   /** Looks at the lease once, and takes it if it is free. */
--- a/packages/coordination/src/process/lease_rules.ts
+++ b/packages/coordination/src/process/lease_rules.ts
@@ -20,7 +20,7 @@
 }
 
 /** The object of a lease as it was read. */
-export interface SeenLease {
+export interface ObservedLease {
   readonly version: number;
   readonly holding: LeaseHolding;
 }
@@ -72,7 +72,7 @@
  * if (sight.isFree(found, clock.monotonic())) take();
  * ```
  */
-export class LeaseSight {
+export class LeaseObserver {
   readonly #holderId: string;
   #version = 0;
   #since = -Infinity;
@@ -88,12 +88,12 @@
   }
 
   /** Steady ms since which it has stood, as far as seen. */
-  get since(): number {
+  get unchangedSince(): number {
     return this.#since;
   }
 
   /** Notes that a version was there at a moment; an older one says nothing. */
-  see(version: number, at: number): void {
+  observe(version: number, at: number): void {
     if (version <= this.#version) return;
     this.#version = version;
     this.#since = at;
@@ -103,9 +103,9 @@
    * Whether the lease may be taken: nobody holds it, this process did, or its
    * version has not changed for its whole duration while this process looked.
    */
-  isFree(found: SeenLease | undefined, now: number): boolean {
+  isFree(found: ObservedLease | undefined, now: number): boolean {
     if (found === undefined) return true;
-    this.see(found.version, now);
+    this.observe(found.version, now);
     const { holderId, durationMs } = found.holding;
     if (holderId === "" || holderId === this.#holderId) return true;
     return found.version === this.#version && now - this.#since >= durationMs;
--- a/packages/router/src/process/leader_lease.ts
+++ b/packages/router/src/process/leader_lease.ts
@@ -7,8 +7,8 @@
 import type { Clock, Timestamp } from "@umbermast/coordination/clock";
 import {
   fencingAfter,
+  LeaseObserver,
   leaseRemainingMs,
-  LeaseSight,
 } from "@umbermast/coordination/lease_rules";
 import type { EventLog } from "./event_log.ts";
 import { FeedError } from "./feed.ts";
@@ -91,7 +91,7 @@
   readonly #leaseMs: number;
   readonly #clock: Clock;
   readonly #log: EventLog;
-  readonly #sight: LeaseSight;
+  readonly #sight: LeaseObserver;
   readonly #startedAt: Timestamp;
   #holderId = "";
   #ownWrite = false;
@@ -109,7 +109,7 @@
     this.#leaseMs = leaseMs;
     this.#clock = clock;
     this.#log = log;
-    this.#sight = new LeaseSight(own.incarnation);
+    this.#sight = new LeaseObserver(own.incarnation);
     this.#startedAt = timestampOf(clock);
     this.#actedAt = this.#startedAt;
   }
@@ -137,7 +137,7 @@
 
   /** The latest observation; undefined before the first one. */
   get observation(): LeaseObservation | undefined {
-    const { version: revision, since: at } = this.#sight;
+    const { version: revision, unchangedSince: at } = this.#sight;
     if (revision === 0) return undefined;
     return { revision, holderId: this.#holderId, at };
   }
@@ -149,7 +149,7 @@
 
   /** Milliseconds for which the revision that was observed last is unchanged. */
   get unchangedMs(): number {
-    return this.#clock.monotonic() - this.#sight.since;
+    return this.#clock.monotonic() - this.#sight.unchangedSince;
   }
 
   /** Whether the lease was released, according to the latest observation. */
@@ -160,7 +160,7 @@
   /** Records an observation of a neighbour; older revisions are ignored. */
   observe({ revision, holderId, at }: LeaseObservation): void {
     if (revision <= this.#sight.version) return;
-    this.#sight.see(revision, at);
+    this.#sight.observe(revision, at);
     this.#holderId = holderId;
     this.#ownWrite = false;
   }
@@ -342,7 +342,7 @@
   }
 
   #recordOwnWrite(revision: number, at: number): void {
-    this.#sight.see(revision, at);
+    this.#sight.observe(revision, at);
     this.#holderId = this.#own.incarnation;
     this.#ownWrite = true;
   }
