--- a/packages/coordination/src/process/digest_board.ts
+++ b/packages/coordination/src/process/digest_board.ts
@@ -17,7 +17,7 @@
  * board.add("table", table.digest);
  * ```
  */
-export class DigestBoard implements Digest {
+export class CompositeDigest implements Digest {
   readonly #parts = new Map<string, Digest>();
 
   /** Adds a part; throws if the name is taken. */
--- a/packages/coordination/src/process/digest_board_test.ts
+++ b/packages/coordination/src/process/digest_board_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { DigestBoard } from "./digest_board.ts";
+import { CompositeDigest } from "./digest_board.ts";
 
 function part(value: unknown) {
   const received: unknown[] = [];
@@ -12,7 +12,7 @@
 }
 
 test("each part gets what the same part of another member reads", () => {
-  const [sender, receiver] = [new DigestBoard(), new DigestBoard()];
+  const [sender, receiver] = [new CompositeDigest(), new CompositeDigest()];
   sender.add("table", part(7));
   sender.add("unknown here", part(1));
   const table = part(3);
@@ -23,7 +23,7 @@
 });
 
 test("a digest that is no board is left alone", () => {
-  const board = new DigestBoard();
+  const board = new CompositeDigest();
   const table = part(3);
   board.add("table", table);
   for (const digest of [null, undefined, 4, "text", []]) {
--- a/packages/coordination/src/process/shares.ts
+++ b/packages/coordination/src/process/shares.ts
@@ -47,7 +47,7 @@
   /** What may be used now, in the limit's unit. */
   allowance(): number;
   /** Tells what could be used at present, in the limit's unit. */
-  demand(amount: number): void;
+  setDemand(amount: number): void;
   /** Follows a change of the limit. */
   resize(limit: { readonly total: number; readonly holders: number }): void;
   /** Ends the holding. */
@@ -102,7 +102,7 @@
     this.#held.add(held);
     return {
       allowance: () => holding.allowance(this.#clock.monotonic()),
-      demand: (amount) => holding.setDemand(amount),
+      setDemand: (amount) => holding.setDemand(amount),
       resize: ({ total, holders }) => holding.setFloor(total / holders),
       close: () => void this.#held.delete(held),
     };
--- a/packages/coordination/tests/shares_test.ts
+++ b/packages/coordination/tests/shares_test.ts
@@ -60,7 +60,7 @@
 
 test("demand at one process draws what the others do not use", async (t) => {
   const { network, shares } = await startFleet(t);
-  shares[1]?.demand(200);
+  shares[1]?.setDemand(200);
   await waitUntil(network, () => (shares[1]?.allowance() ?? 0) > 80);
   const total = shares.reduce((sum, share) => sum + share.allowance(), 0);
   assert.ok(total <= 90 + 1e-6, `${total}`);
--- a/packages/daemon/src/fleet.ts
+++ b/packages/daemon/src/fleet.ts
@@ -6,7 +6,7 @@
  */
 import {
   ClaimsInStore,
-  DigestBoard,
+  CompositeDigest,
   followHostList,
   HttpStore,
   PublishedValue,
@@ -47,7 +47,7 @@
   log: Log,
 ): Effect.Effect<Fleet, ListenFailed, Scope.Scope> {
   return Effect.gen(function* () {
-    const digest = new DigestBoard();
+    const digest = new CompositeDigest();
     const node = yield* joinPeers(settings, { log, digest });
     const directory = new RunnerDirectory();
     yield* followRunners(node.hostList, directory);
@@ -72,7 +72,7 @@
 
 function joinPeers(
   settings: Settings,
-  parts: { readonly log: Log; readonly digest: DigestBoard },
+  parts: { readonly log: Log; readonly digest: CompositeDigest },
 ) {
   const { name, region, failureDomain, peers, platform } = settings;
   const { log, digest } = parts;
@@ -145,7 +145,7 @@
 function followTable(parts: {
   readonly store: Store;
   readonly node: CoordinationNode;
-  readonly digest: DigestBoard;
+  readonly digest: CompositeDigest;
   readonly log: Log;
 }) {
   const { store, node, digest, log } = parts;
