--- a/packages/coordination/src/process/claim_ledger.ts
+++ b/packages/coordination/src/process/claim_ledger.ts
@@ -36,13 +36,13 @@
   /** Version of its object. */
   readonly version: number;
   /** When this process learnt of it, by its own clock that never goes back. */
-  readonly learntAt: number;
+  readonly knownSince: number;
 }
 
 /** What a batch of requests comes to. */
-export interface Composition {
+export interface BatchPlan {
   /** In the order of the requests. */
-  readonly verdicts: readonly Verdict[];
+  readonly decisions: readonly Verdict[];
   /** The next head; absent when nothing needs to be written. */
   readonly head?: ClaimHead;
   /** Records to be sealed, under the present head's version, before the write. */
@@ -70,7 +70,7 @@
   }
 
   /** Segments named by a head that this process has not loaded. */
-  missing(head: ClaimHead): readonly number[] {
+  missingSegments(head: ClaimHead): readonly number[] {
     return head.segments.filter((segment) => !this.#known.has(segment));
   }
 
@@ -80,13 +80,13 @@
   }
 
   /** Keeps a loaded segment until a head no longer names it. */
-  learn(name: number, segment: KnownSegment): void {
+  addSegment(name: number, segment: KnownSegment): void {
     if (this.#known.has(name)) return;
     this.#known.set(name, segment);
   }
 
   /** Takes over a head, all of whose segments are known. */
-  adopt(head: ClaimHead, version: number): void {
+  applyHead(head: ClaimHead, version: number): void {
     this.#version = version;
     this.#head = new Map(head.records.map((record) => [record.key, record]));
     const before = new Set(this.#segments);
@@ -107,10 +107,10 @@
   }
 
   /** Judges a batch, and composes the head that would record it. */
-  compose(
+  planBatch(
     requests: readonly PartitionRequest[],
     options: { readonly now: number; readonly limits: ClaimLimits },
-  ): Composition {
+  ): BatchPlan {
     const { limits } = options;
     const dropped = this.#expired(options);
     const kept = this.#segments.slice(dropped.length);
@@ -137,11 +137,11 @@
       return verdict;
     });
     if (verdicts.every((verdict) => verdict._tag !== "Append")) {
-      return { verdicts, dropped: [] };
+      return { decisions: verdicts, dropped: [] };
     }
     const segments = seals ? [...kept, this.#version] : kept;
     return {
-      verdicts,
+      decisions: verdicts,
       head: { segments, records: [...next.values()] },
       ...(seals ? { sealed: records } : {}),
       dropped,
@@ -149,12 +149,12 @@
   }
 
   /** No live claim is ever dropped to make room: the new one is refused. */
-  #composeFull(requests: readonly PartitionRequest[]): Composition {
+  #composeFull(requests: readonly PartitionRequest[]): BatchPlan {
     const verdicts = requests.map((request): Verdict => {
       const verdict = judge(this.find(request.key), request);
       return verdict._tag === "Append" ? { _tag: "Full" } : verdict;
     });
-    return { verdicts, dropped: [] };
+    return { decisions: verdicts, dropped: [] };
   }
 
   #expired(
@@ -163,7 +163,7 @@
     const learnt = new Map<number, number>();
     for (const name of this.#segments) {
       const segment = this.#known.get(name);
-      if (segment !== undefined) learnt.set(name, segment.learntAt);
+      if (segment !== undefined) learnt.set(name, segment.knownSince);
     }
     const { now } = options;
     const { retentionMs } = options.limits;
--- a/packages/coordination/src/process/claim_objects.ts
+++ b/packages/coordination/src/process/claim_objects.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import * as Effect from "effect/Effect";
-import type { ClaimLedger, Composition, KnownSegment } from "./claim_ledger.ts";
+import type { BatchPlan, ClaimLedger, KnownSegment } from "./claim_ledger.ts";
 import { decodeHead, decodeRecords, encodeHead } from "./claim_record.ts";
 import { encodeRecords } from "./claim_record.ts";
 import type { ClaimHead, UnreadableClaims } from "./claim_record.ts";
@@ -53,14 +53,14 @@
       const head = decodeHead(found.value);
       if ("_tag" in head) return yield* Effect.fail(head);
       yield* this.#loadSegments(ledger, head, found.version);
-      ledger.adopt(head, found.version);
+      ledger.applyHead(head, found.version);
     });
   }
 
   /** Seals if the composition says so, then writes the head. */
   save(
     ledger: ClaimLedger,
-    composition: Composition,
+    composition: BatchPlan,
   ): Effect.Effect<void, ClaimStoreFailure> {
     const { store, crashPoints } = this.#options;
     const head = composition.head;
@@ -77,7 +77,7 @@
         name: this.#headName,
         value: encodeHead(head),
       }, { ifVersion: ledger.version });
-      ledger.adopt(head, version);
+      ledger.applyHead(head, version);
       yield* crashPoints.reached("claim.after_write");
       yield* Effect.forEach(dropped, (segment) => this.#discard(segment));
     });
@@ -85,7 +85,7 @@
 
   #seal(
     ledger: ClaimLedger,
-    composition: Composition,
+    composition: BatchPlan,
   ): Effect.Effect<void, ClaimStoreFailure> {
     const { store, clock, crashPoints } = this.#options;
     const { sealed } = composition;
@@ -103,10 +103,10 @@
         Effect.catchTag("Conflict", (met) => Effect.succeed(met.version)),
       );
       // Learnt now at the earliest; the head that names it comes later still.
-      ledger.learn(name, {
+      ledger.addSegment(name, {
         records: sealed,
         version,
-        learntAt: clock.monotonic(),
+        knownSince: clock.monotonic(),
       });
       yield* crashPoints.reached("claim.after_seal");
     });
@@ -117,7 +117,7 @@
     head: ClaimHead,
     headVersion: number,
   ): Effect.Effect<void, ClaimStoreFailure> {
-    const missing = ledger.missing(head);
+    const missing = ledger.missingSegments(head);
     return Effect.gen({ self: this }, function* () {
       const objects = missing.length > MOST_SINGLE_READS
         ? yield* this.#listSegments(head, headVersion)
@@ -126,7 +126,7 @@
       for (const name of missing) {
         const segment = this.#known(byName.get(name), name);
         if ("_tag" in segment) return yield* Effect.fail(segment);
-        ledger.learn(name, segment);
+        ledger.addSegment(name, segment);
       }
     });
   }
@@ -172,7 +172,7 @@
     const records = decodeRecords(object.value);
     if ("_tag" in records) return records;
     const learntAt = this.#options.clock.monotonic();
-    return { records, version: object.version, learntAt };
+    return { records, version: object.version, knownSince: learntAt };
   }
 
   #absent(name: number): UnreadableClaims {
--- a/packages/coordination/src/process/claim_partition.ts
+++ b/packages/coordination/src/process/claim_partition.ts
@@ -7,7 +7,7 @@
 import * as Effect from "effect/Effect";
 import * as Latch from "effect/Latch";
 import type { PartitionRequest, Verdict } from "./claim_decision.ts";
-import type { ClaimLimits, Composition } from "./claim_ledger.ts";
+import type { BatchPlan, ClaimLimits } from "./claim_ledger.ts";
 import { ClaimLedger } from "./claim_ledger.ts";
 import { ClaimObjects } from "./claim_objects.ts";
 import type { ClaimStoreFailure } from "./claim_objects.ts";
@@ -155,7 +155,7 @@
 
   #compose(): {
     readonly batch: readonly Waiting[];
-    readonly composition: Composition;
+    readonly composition: BatchPlan;
   } {
     const batch = [...this.#waiting].slice(0, MAX_BATCH);
     const requests = batch.map((item) => item.request);
@@ -163,13 +163,13 @@
     const { limits } = this.#options;
     return {
       batch,
-      composition: this.#ledger.compose(requests, { now, limits }),
+      composition: this.#ledger.planBatch(requests, { now, limits }),
     };
   }
 
   #write(
     batch: readonly Waiting[],
-    composition: Composition,
+    composition: BatchPlan,
   ): Effect.Effect<void, ClaimStoreFailure> {
     const before = batch.map(({ tried }) => tried);
     return Effect.gen({ self: this }, function* () {
@@ -196,11 +196,11 @@
 
   #resolve(
     batch: readonly Waiting[],
-    composition: Composition,
+    composition: BatchPlan,
     options: { readonly written: boolean } = { written: false },
   ): void {
     for (const [index, item] of batch.entries()) {
-      const verdict = composition.verdicts[index];
+      const verdict = composition.decisions[index];
       if (verdict === undefined) continue;
       const appended = verdict._tag === "Append";
       if (appended && !options.written) continue;
--- a/packages/coordination/tests/claims_exploration_test.ts
+++ b/packages/coordination/tests/claims_exploration_test.ts
@@ -97,12 +97,12 @@
 function load(world: SimulatedStore, ledger: ClaimLedger): boolean {
   const found = world.read();
   if (found === undefined) return true;
-  for (const name of ledger.missing(found.head)) {
+  for (const name of ledger.missingSegments(found.head)) {
     const records = world.segment(name);
     if (records === undefined) return false;
-    ledger.learn(name, { records, version: 1, learntAt: world.time });
+    ledger.addSegment(name, { records, version: 1, knownSince: world.time });
   }
-  ledger.adopt(found.head, found.version);
+  ledger.applyHead(found.head, found.version);
   return true;
 }
 
@@ -120,24 +120,24 @@
       if ((yield READ_FATES) !== "ok" || !load(world, ledger)) continue;
     }
     current = false;
-    const composed = ledger.compose([request], { now: world.time, limits });
-    const verdict = composed.verdicts[0]?._tag ?? "none";
+    const composed = ledger.planBatch([request], { now: world.time, limits });
+    const verdict = composed.decisions[0]?._tag ?? "none";
     if (composed.head === undefined) return verdict;
     const ifVersion = ledger.version;
     if (composed.sealed !== undefined) {
       yield NO_FAULTS;
       world.seal(ifVersion, composed.sealed);
-      ledger.learn(ifVersion, {
+      ledger.addSegment(ifVersion, {
         records: composed.sealed,
         version: 1,
-        learntAt: world.time,
+        knownSince: world.time,
       });
     }
     const fate = yield WRITE_FATES;
     if (fate === "lose-request") continue;
     const version = world.write(composed.head, ifVersion);
     if (version === undefined || fate === "lose-reply") continue;
-    ledger.adopt(composed.head, version);
+    ledger.applyHead(composed.head, version);
     return request._tag === "Claim" ? "Claimed" : "Settled";
   }
   return "Undecided";
