--- a/packages/coordination/src/mod.ts
+++ b/packages/coordination/src/mod.ts
@@ -9,7 +9,7 @@
 export type { CoordinationNode, NodeOptions, NodeTraffic } from "./node.ts";
 export { SYSTEM_CLOCK } from "./process/clock.ts";
 export type { Clock } from "./process/clock.ts";
-export { CompositeDigest } from "./process/digest_board.ts";
+export { CompositeDigest } from "./process/composite_digest.ts";
 export { NO_DIGEST } from "./process/digest.ts";
 export type { Digest } from "./process/digest.ts";
 export type { Endpoint, ListenFailed } from "./process/endpoint.ts";
--- a/packages/coordination/src/process/claim_partition.ts
+++ b/packages/coordination/src/process/claim_partition.ts
@@ -14,7 +14,7 @@
 import type { Clock } from "./clock.ts";
 import type { CrashPoints } from "./crash_points.ts";
 import type { Store } from "./store.ts";
-import { WriteBudget } from "./write_budget.ts";
+import { WriteBudget } from "./write_rate_limiter.ts";
 
 /** How long a settlement waits for claims to share their write. */
 const SETTLE_DELAY_MS = 100;
--- a/packages/coordination/src/process/digest_board_test.ts
+++ b/packages/coordination/src/process/composite_digest_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { CompositeDigest } from "./digest_board.ts";
+import { CompositeDigest } from "./composite_digest.ts";
 
 function part(value: unknown) {
   const received: unknown[] = [];
--- a/packages/coordination/src/process/host_list_client.ts
+++ b/packages/coordination/src/process/host_list_client.ts
@@ -8,7 +8,7 @@
 import type { Scope } from "effect/Scope";
 import type { Host, HostFinding, HostList } from "./host_list.ts";
 import { parseHosts } from "./host_list.ts";
-import { HttpExchange } from "./http_exchange.ts";
+import { HttpExchange } from "./http_client.ts";
 
 /** How the platform is asked for its hosts. */
 export interface HostListClientOptions {
--- a/packages/coordination/src/process/http_reply.ts
+++ b/packages/coordination/src/process/http_response.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import * as Effect from "effect/Effect";
-import type { StoreReply } from "./http_exchange.ts";
+import type { StoreReply } from "./http_client.ts";
 import type { Conflict, Unavailable } from "./store.ts";
 
 /** The decoded body of a read, list or watch. */
--- a/packages/coordination/src/process/http_store.ts
+++ b/packages/coordination/src/process/http_store.ts
@@ -4,12 +4,12 @@
  * @module
  */
 import * as Effect from "effect/Effect";
-import { HttpExchange } from "./http_exchange.ts";
-import type { StoreReply } from "./http_exchange.ts";
-import { bodyOf, removal, writtenVersion } from "./http_reply.ts";
+import { HttpExchange } from "./http_client.ts";
+import type { StoreReply } from "./http_client.ts";
+import { bodyOf, removal, writtenVersion } from "./http_response.ts";
 import { SYSTEM_CLOCK } from "./clock.ts";
 import type { Clock } from "./clock.ts";
-import { StoreHold } from "./store_hold.ts";
+import { StoreHold } from "./retry_after_gate.ts";
 import type {
   Conflict,
   ObjectKey,
--- a/packages/coordination/src/process/write_budget_test.ts
+++ b/packages/coordination/src/process/write_rate_limiter_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { FakeClock } from "../testing/mod.ts";
-import { WriteBudget } from "./write_budget.ts";
+import { WriteBudget } from "./write_rate_limiter.ts";
 
 const PER_SECOND = 10;
 
