--- a/packages/coordination/src/process/claim_client.ts
+++ b/packages/coordination/src/process/claim_client.ts
@@ -4,15 +4,15 @@
  * @module
  */
 import * as Effect from "effect/Effect";
-import type { PartitionRequest, Verdict } from "./claim_decision.ts";
+import type { ClaimDecision, PartitionRequest } from "./claim_decision.ts";
 import type { ClaimLayout } from "./claim_layout.ts";
 import {
   CLAIMS_CHANNEL,
-  decodeVerdict,
+  decodeDecision,
   encodeMessage,
 } from "./claim_message.ts";
 import type { Undecided } from "./claim_partition.ts";
-import { ClaimRoutes, partitionOf } from "./claim_routing.ts";
+import { partitionOf, RoutingCache } from "./claim_routing.ts";
 import type { ClaimServer } from "./claim_server.ts";
 import type { Clock } from "./clock.ts";
 import type { Membership } from "./membership.ts";
@@ -22,7 +22,7 @@
  * Members asked before deciding here. With one only, the loss of a server would
  * make every other member write the partition at once, until the view shows it.
  */
-const MOST_ASKED = 2;
+const MAX_REMOTE_ATTEMPTS = 2;
 
 /** What a {@linkcode ClaimClient} needs. */
 export interface ClaimClientOptions {
@@ -36,7 +36,7 @@
 /** Routes requests to the members that serve their partitions. */
 export class ClaimClient {
   readonly #options: ClaimClientOptions;
-  readonly #routes = new ClaimRoutes();
+  readonly #routes = new RoutingCache();
 
   constructor(options: ClaimClientOptions) {
     this.#options = options;
@@ -49,20 +49,20 @@
   decide(
     request: PartitionRequest,
     options: { readonly timeoutMs: number },
-  ): Effect.Effect<Verdict, Undecided> {
+  ): Effect.Effect<ClaimDecision, Undecided> {
     const { layout, membership, server, clock } = this.#options;
     return Effect.gen({ self: this }, function* () {
       const deadline = clock.monotonic() + options.timeoutMs;
       const partition = partitionOf(request.key, layout.partitions);
       const self = membership.self.name;
-      const asked = this.#routes.servers(membership.view(), partition)
-        .slice(0, MOST_ASKED);
+      const candidates = this.#routes.servers(membership.view(), partition)
+        .slice(0, MAX_REMOTE_ATTEMPTS);
       let mayStand = false;
-      for (const name of asked) {
+      for (const name of candidates) {
         if (name === self) break;
         const budgetMs = Math.floor((deadline - clock.monotonic()) / 2);
         if (budgetMs <= 0) break;
-        const verdict = yield* this.#ask(name, {
+        const verdict = yield* this.#requestFrom(name, {
           partition,
           request,
           budgetMs,
@@ -85,14 +85,14 @@
     });
   }
 
-  #ask(
+  #requestFrom(
     name: string,
     message: {
       readonly partition: number;
       readonly request: PartitionRequest;
       readonly budgetMs: number;
     },
-  ): Effect.Effect<Verdict | Undecided | PeerUnreachable> {
+  ): Effect.Effect<ClaimDecision | Undecided | PeerUnreachable> {
     const answer = this.#options.peers.request(name, {
       channel: CLAIMS_CHANNEL,
       body: encodeMessage(message),
@@ -100,7 +100,7 @@
     return Effect.match(answer, {
       onFailure: (unreachable) => unreachable,
       onSuccess: (value) =>
-        decodeVerdict(value) ??
+        decodeDecision(value) ??
           {
             _tag: "Undecided",
             reason: "The verdict is not valid",
--- a/packages/coordination/src/process/claim_decision.ts
+++ b/packages/coordination/src/process/claim_decision.ts
@@ -32,7 +32,7 @@
 export type PartitionRequest = ClaimRequest | SettleRequest;
 
 /** Answer to a request. `Append` must be written before it counts. */
-export type Verdict =
+export type ClaimDecision =
   | { readonly _tag: "Append"; readonly record: ClaimRecord }
   /** The claim stands in the store. */
   | { readonly _tag: "Claimed" }
@@ -58,18 +58,18 @@
  * judge(undefined, request); // { _tag: "Append", record }
  * ```
  */
-export function judge(
+export function decideRequest(
   found: ClaimRecord | undefined,
   request: PartitionRequest,
-): Verdict {
-  if (request._tag === "Claim") return judgeClaim(found, request);
-  return judgeSettle(found, request);
+): ClaimDecision {
+  if (request._tag === "Claim") return decideClaim(found, request);
+  return decideSettlement(found, request);
 }
 
-function judgeClaim(
+function decideClaim(
   found: ClaimRecord | undefined,
   request: ClaimRequest,
-): Verdict {
+): ClaimDecision {
   if (found === undefined) return appendRunning(request);
   // One's own id proves that an earlier write of this claim took effect though
   // its reply was lost, or that the request came twice.
@@ -84,10 +84,10 @@
   return { _tag: "Taken", by: found.by, state: found.state };
 }
 
-function judgeSettle(
+function decideSettlement(
   found: ClaimRecord | undefined,
   request: SettleRequest,
-): Verdict {
+): ClaimDecision {
   const { _tag: _, ...record } = request;
   if (found?.id === request.id) {
     if (found.state !== "running") return { _tag: "Settled" };
@@ -100,7 +100,7 @@
   return { _tag: "Settled" };
 }
 
-function appendRunning(request: ClaimRequest): Verdict {
+function appendRunning(request: ClaimRequest): ClaimDecision {
   const { key, digest, id, by } = request;
   return {
     _tag: "Append",
--- a/packages/coordination/src/process/claim_decision_test.ts
+++ b/packages/coordination/src/process/claim_decision_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { expiredSegments, judge } from "./claim_decision.ts";
+import { decideRequest, expiredSegments } from "./claim_decision.ts";
 import type { ClaimRequest, SettleRequest } from "./claim_decision.ts";
 import type { ClaimRecord } from "./claim_record.ts";
 
@@ -21,16 +21,16 @@
 const ANSWER = { status: 200, headers: [], body: new Uint8Array([1]) };
 
 test("a free key is claimed by a write", () => {
-  assert.equal(judge(undefined, claim())._tag, "Append");
+  assert.equal(decideRequest(undefined, claim())._tag, "Append");
 });
 
 test("a key whose claim was withdrawn is free for another claim and body", () => {
   const found = record({ state: "withdrawn" });
-  assert.equal(judge(found, claim({ digest: "other" }))._tag, "Append");
+  assert.equal(decideRequest(found, claim({ digest: "other" }))._tag, "Append");
 });
 
 test("one's own record proves the claim", () => {
-  assert.deepEqual(judge(record(), claim({ id: "first" })), {
+  assert.deepEqual(decideRequest(record(), claim({ id: "first" })), {
     _tag: "Claimed",
   });
 });
@@ -39,33 +39,36 @@
   // The claimant gave up and withdrew while its claim waited at a slow owner. If
   // the owner made it now, the key would stay taken for a run that never comes.
   const found = record({ state: "withdrawn" });
-  const verdict = judge(found, claim({ id: "first" }));
+  const verdict = decideRequest(found, claim({ id: "first" }));
   assert.equal(verdict._tag, "Withdrawn");
 });
 
 test("another body under the same key is told apart in each state", () => {
   for (const state of ["running", "answered", "may-have-run"] as const) {
-    const verdict = judge(record({ state }), claim({ digest: "other" }));
+    const verdict = decideRequest(
+      record({ state }),
+      claim({ digest: "other" }),
+    );
     assert.equal(verdict._tag, "Mismatch");
   }
 });
 
 test("a kept answer is given to a second try", () => {
   const found = record({ state: "answered", answer: ANSWER });
-  assert.deepEqual(judge(found, claim()), {
+  assert.deepEqual(decideRequest(found, claim()), {
     _tag: "Answered",
     answer: ANSWER,
   });
 });
 
 test("a withdrawal frees only its own claim", () => {
-  assert.equal(judge(record(), withdrawal("first"))._tag, "Append");
-  assert.equal(judge(record(), withdrawal("second"))._tag, "Settled");
+  assert.equal(decideRequest(record(), withdrawal("first"))._tag, "Append");
+  assert.equal(decideRequest(record(), withdrawal("second"))._tag, "Settled");
 });
 
 test("an answered claim can't be withdrawn", () => {
   const found = record({ state: "answered" });
-  assert.equal(judge(found, withdrawal("first"))._tag, "Settled");
+  assert.equal(decideRequest(found, withdrawal("first"))._tag, "Settled");
 });
 
 test("segments are dropped from the oldest, once known for the retention", () => {
--- a/packages/coordination/src/process/claim_layout.ts
+++ b/packages/coordination/src/process/claim_layout.ts
@@ -24,7 +24,7 @@
 }
 
 /** Reads the layout, or writes the given one if there is none. */
-export function agreeLayout(
+export function ensureLayout(
   store: Store,
   wanted: ClaimLayout,
 ): Effect.Effect<ClaimLayout, Unavailable | UnreadableClaims> {
--- a/packages/coordination/src/process/claim_ledger.ts
+++ b/packages/coordination/src/process/claim_ledger.ts
@@ -3,13 +3,13 @@
  *
  * @module
  */
-import { expiredSegments, judge } from "./claim_decision.ts";
-import type { PartitionRequest, Verdict } from "./claim_decision.ts";
+import { decideRequest, expiredSegments } from "./claim_decision.ts";
+import type { ClaimDecision, PartitionRequest } from "./claim_decision.ts";
 import { storedBytes } from "./claim_record.ts";
 import type { ClaimHead, ClaimRecord } from "./claim_record.ts";
 
 /** Part of its segments beyond which a partition keeps no more answers. */
-const CROWDED_PART = 0.5;
+const ANSWER_SEGMENT_FRACTION = 0.5;
 /** Bytes of a small segment's records; a partition with few segments has these. */
 const SMALL_SEGMENT_BYTES = 8_192;
 /** Segments at which a new one has twice the size of a small one. */
@@ -42,7 +42,7 @@
 /** What a batch of requests comes to. */
 export interface BatchPlan {
   /** In the order of the requests. */
-  readonly decisions: readonly Verdict[];
+  readonly decisions: readonly ClaimDecision[];
   /** The next head; absent when nothing needs to be written. */
   readonly head?: ClaimHead;
   /** Records to be sealed, under the present head's version, before the write. */
@@ -60,9 +60,9 @@
 export class ClaimLedger {
   #version = 0;
   #segments: readonly number[] = [];
-  #head = new Map<string, ClaimRecord>();
-  readonly #known = new Map<number, KnownSegment>();
-  readonly #sealed = new Map<string, SealedRecord>();
+  #headRecords = new Map<string, ClaimRecord>();
+  readonly #loadedSegments = new Map<number, KnownSegment>();
+  readonly #sealedRecords = new Map<string, SealedRecord>();
 
   /** Version of the head; 0 while there is none in the store. */
   get version(): number {
@@ -71,39 +71,43 @@
 
   /** Segments named by a head that this process has not loaded. */
   missingSegments(head: ClaimHead): readonly number[] {
-    return head.segments.filter((segment) => !this.#known.has(segment));
+    return head.segments.filter((segment) =>
+      !this.#loadedSegments.has(segment)
+    );
   }
 
   /** The segment as loaded. */
   segment(name: number): KnownSegment | undefined {
-    return this.#known.get(name);
+    return this.#loadedSegments.get(name);
   }
 
   /** Keeps a loaded segment until a head no longer names it. */
   addSegment(name: number, segment: KnownSegment): void {
-    if (this.#known.has(name)) return;
-    this.#known.set(name, segment);
+    if (this.#loadedSegments.has(name)) return;
+    this.#loadedSegments.set(name, segment);
   }
 
   /** Takes over a head, all of whose segments are known. */
   applyHead(head: ClaimHead, version: number): void {
     this.#version = version;
-    this.#head = new Map(head.records.map((record) => [record.key, record]));
+    this.#headRecords = new Map(
+      head.records.map((record) => [record.key, record]),
+    );
     const before = new Set(this.#segments);
     const named = new Set(head.segments);
     this.#segments = head.segments;
     // Also one that was sealed here for a head that another process overtook.
-    for (const name of [...this.#known.keys()]) {
-      if (!named.has(name)) this.#forget(name);
+    for (const name of [...this.#loadedSegments.keys()]) {
+      if (!named.has(name)) this.#removeSegment(name);
     }
     for (const name of head.segments) {
-      if (!before.has(name)) this.#merge(name);
+      if (!before.has(name)) this.#indexSegment(name);
     }
   }
 
   /** The latest record of a key. */
   find(key: string): ClaimRecord | undefined {
-    return this.#head.get(key) ?? this.#sealed.get(key)?.record;
+    return this.#headRecords.get(key) ?? this.#sealedRecords.get(key)?.record;
   }
 
   /** Judges a batch, and composes the head that would record it. */
@@ -112,57 +116,57 @@
     options: { readonly now: number; readonly limits: ClaimLimits },
   ): BatchPlan {
     const { limits } = options;
-    const dropped = this.#expired(options);
+    const dropped = this.#expiredSegments(options);
     const kept = this.#segments.slice(dropped.length);
-    const records = [...this.#head.values()];
-    const seals = sum(records.map(storedBytes)) >= sealThreshold(limits, {
+    const records = [...this.#headRecords.values()];
+    const sealsHead = sum(records.map(storedBytes)) >= sealThreshold(limits, {
       segments: kept.length,
       requests: requests.length,
     });
-    if (seals && kept.length >= limits.maxSegments) {
-      return this.#composeFull(requests);
+    if (sealsHead && kept.length >= limits.maxSegments) {
+      return this.#planFullBatch(requests);
     }
-    const next = new Map(seals ? [] : this.#head);
-    const crowded = kept.length > limits.maxSegments * CROWDED_PART;
-    let answerRoom = crowded
+    const next = new Map(sealsHead ? [] : this.#headRecords);
+    const crowded = kept.length > limits.maxSegments * ANSWER_SEGMENT_FRACTION;
+    let answerBudget = crowded
       ? 0
       : limits.answerBytes - answersIn(next.values());
     const verdicts = requests.map((request) => {
       const found = next.get(request.key) ?? this.find(request.key);
-      const verdict = judge(found, request);
+      const verdict = decideRequest(found, request);
       if (verdict._tag !== "Append") return verdict;
-      const record = fitted(verdict.record, answerRoom);
-      answerRoom -= answersIn([record]);
+      const record = withinAnswerBudget(verdict.record, answerBudget);
+      answerBudget -= answersIn([record]);
       next.set(record.key, record);
       return verdict;
     });
     if (verdicts.every((verdict) => verdict._tag !== "Append")) {
       return { decisions: verdicts, dropped: [] };
     }
-    const segments = seals ? [...kept, this.#version] : kept;
+    const segments = sealsHead ? [...kept, this.#version] : kept;
     return {
       decisions: verdicts,
       head: { segments, records: [...next.values()] },
-      ...(seals ? { sealed: records } : {}),
+      ...(sealsHead ? { sealed: records } : {}),
       dropped,
     };
   }
 
   /** No live claim is ever dropped to make room: the new one is refused. */
-  #composeFull(requests: readonly PartitionRequest[]): BatchPlan {
-    const verdicts = requests.map((request): Verdict => {
-      const verdict = judge(this.find(request.key), request);
+  #planFullBatch(requests: readonly PartitionRequest[]): BatchPlan {
+    const verdicts = requests.map((request): ClaimDecision => {
+      const verdict = decideRequest(this.find(request.key), request);
       return verdict._tag === "Append" ? { _tag: "Full" } : verdict;
     });
     return { decisions: verdicts, dropped: [] };
   }
 
-  #expired(
+  #expiredSegments(
     options: { readonly now: number; readonly limits: ClaimLimits },
   ): readonly number[] {
     const learnt = new Map<number, number>();
     for (const name of this.#segments) {
-      const segment = this.#known.get(name);
+      const segment = this.#loadedSegments.get(name);
       if (segment !== undefined) learnt.set(name, segment.knownSince);
     }
     const { now } = options;
@@ -170,18 +174,18 @@
     return expiredSegments(this.#segments, { learnt, now, retentionMs });
   }
 
-  #merge(name: number): void {
-    for (const record of this.#known.get(name)?.records ?? []) {
-      this.#sealed.set(record.key, { record, segment: name });
+  #indexSegment(name: number): void {
+    for (const record of this.#loadedSegments.get(name)?.records ?? []) {
+      this.#sealedRecords.set(record.key, { record, segment: name });
     }
   }
 
-  #forget(name: number): void {
-    for (const record of this.#known.get(name)?.records ?? []) {
-      if (this.#sealed.get(record.key)?.segment !== name) continue;
-      this.#sealed.delete(record.key);
+  #removeSegment(name: number): void {
+    for (const record of this.#loadedSegments.get(name)?.records ?? []) {
+      if (this.#sealedRecords.get(record.key)?.segment !== name) continue;
+      this.#sealedRecords.delete(record.key);
     }
-    this.#known.delete(name);
+    this.#loadedSegments.delete(name);
   }
 }
 
@@ -201,10 +205,13 @@
 }
 
 /** A claim matters more than its answer, so an answer without room goes. */
-function fitted(record: ClaimRecord, answerRoom: number): ClaimRecord {
-  if (answersIn([record]) <= answerRoom) return record;
-  const { answer: _, ...bare } = record;
-  return bare;
+function withinAnswerBudget(
+  record: ClaimRecord,
+  answerBudget: number,
+): ClaimRecord {
+  if (answersIn([record]) <= answerBudget) return record;
+  const { answer: _, ...withoutAnswer } = record;
+  return withoutAnswer;
 }
 
 function answersIn(records: Iterable<ClaimRecord>): number {
--- a/packages/coordination/src/process/claim_message.ts
+++ b/packages/coordination/src/process/claim_message.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { PartitionRequest, Verdict } from "./claim_decision.ts";
+import type { ClaimDecision, PartitionRequest } from "./claim_decision.ts";
 import type { Undecided } from "./claim_partition.ts";
 import { decodeRecord, encodeRecord } from "./claim_record.ts";
 import type { ClaimState } from "./claim_record.ts";
@@ -11,7 +11,7 @@
 /** Channel of the messages. */
 export const CLAIMS_CHANNEL = "claims";
 
-const LONGEST_BUDGET_MS = 60_000;
+const MAX_BUDGET_MS = 60_000;
 const STATES = ["running", "answered", "may-have-run", "withdrawn"];
 
 /** A request, with how long its sender will wait for the verdict. */
@@ -36,7 +36,7 @@
   const budgetMs = message?.["budgetMs"];
   if (record === undefined) return undefined;
   if (!isCount(partition) || !isCount(budgetMs)) return undefined;
-  if (budgetMs > LONGEST_BUDGET_MS) return undefined;
+  if (budgetMs > MAX_BUDGET_MS) return undefined;
   const { key, digest, id, by, state } = record;
   const request: PartitionRequest = state === "running"
     ? { _tag: "Claim", key, digest, id, by }
@@ -45,7 +45,9 @@
 }
 
 /** Reads a verdict; undefined when it is not valid. */
-export function decodeVerdict(value: unknown): Verdict | Undecided | undefined {
+export function decodeDecision(
+  value: unknown,
+): ClaimDecision | Undecided | undefined {
   const verdict = value as Partial<Record<string, unknown>> | null;
   switch (verdict?.["_tag"]) {
     case "Claimed":
@@ -71,7 +73,7 @@
 
 function decodeTaken(
   verdict: Partial<Record<string, unknown>>,
-): Verdict | undefined {
+): ClaimDecision | undefined {
   const { by, state } = verdict;
   if (typeof by !== "string" || !STATES.includes(state as string)) {
     return undefined;
@@ -81,7 +83,7 @@
 
 function decodeAnswered(
   verdict: Partial<Record<string, unknown>>,
-): Verdict | undefined {
+): ClaimDecision | undefined {
   const answer = verdict["answer"] as Record<string, unknown> | undefined;
   const headers = answer?.["headers"];
   const status = answer?.["status"];
--- a/packages/coordination/src/process/claim_objects.ts
+++ b/packages/coordination/src/process/claim_objects.ts
@@ -15,7 +15,7 @@
 /** Kind of the heads. */
 export const CLAIMS_KIND = "claims";
 /** More missing segments than this are read by one list. */
-const MOST_SINGLE_READS = 4;
+const MAX_SINGLE_READS = 4;
 
 /** Why a partition could not be read or written. */
 export type ClaimStoreFailure = Conflict | Unavailable | UnreadableClaims;
@@ -119,12 +119,12 @@
   ): Effect.Effect<void, ClaimStoreFailure> {
     const missing = ledger.missingSegments(head);
     return Effect.gen({ self: this }, function* () {
-      const objects = missing.length > MOST_SINGLE_READS
+      const objects = missing.length > MAX_SINGLE_READS
         ? yield* this.#listSegments(head, headVersion)
         : yield* Effect.forEach(missing, (name) => this.#readSegment(name));
       const byName = new Map(objects.map((item) => [Number(item.name), item]));
       for (const name of missing) {
-        const segment = this.#known(byName.get(name), name);
+        const segment = this.#decodeSegment(byName.get(name), name);
         if ("_tag" in segment) return yield* Effect.fail(segment);
         ledger.addSegment(name, segment);
       }
@@ -139,7 +139,7 @@
       store.read(this.#segmentKind, String(name)),
       (found) =>
         found === undefined
-          ? Effect.fail(this.#absent(name))
+          ? Effect.fail(this.#missingSegment(name))
           : Effect.succeed(found),
     );
   }
@@ -163,19 +163,19 @@
     });
   }
 
-  #known(
+  #decodeSegment(
     object: StoredObject | undefined,
     name: number,
   ): KnownSegment | UnreadableClaims {
     // Without a segment its keys would look free, so nothing is claimed.
-    if (object === undefined) return this.#absent(name);
+    if (object === undefined) return this.#missingSegment(name);
     const records = decodeRecords(object.value);
     if ("_tag" in records) return records;
     const learntAt = this.#options.clock.monotonic();
     return { records, version: object.version, knownSince: learntAt };
   }
 
-  #absent(name: number): UnreadableClaims {
+  #missingSegment(name: number): UnreadableClaims {
     return {
       _tag: "UnreadableClaims",
       message: `Cannot read claims: no segment "${this.#segmentKind}/${name}"`,
--- a/packages/coordination/src/process/claim_partition.ts
+++ b/packages/coordination/src/process/claim_partition.ts
@@ -6,7 +6,7 @@
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
 import * as Latch from "effect/Latch";
-import type { PartitionRequest, Verdict } from "./claim_decision.ts";
+import type { ClaimDecision, PartitionRequest } from "./claim_decision.ts";
 import type { BatchPlan, ClaimLimits } from "./claim_ledger.ts";
 import { ClaimLedger } from "./claim_ledger.ts";
 import { ClaimObjects } from "./claim_objects.ts";
@@ -42,11 +42,11 @@
   readonly writesPerSecond: number;
 }
 
-interface Waiting {
+interface PendingRequest {
   readonly request: PartitionRequest;
-  readonly done: Deferred.Deferred<Verdict>;
+  readonly done: Deferred.Deferred<ClaimDecision>;
   /** A write that carries it may have taken effect. */
-  tried: boolean;
+  mayBeRecorded: boolean;
 }
 
 /**
@@ -63,10 +63,10 @@
   readonly #objects: ClaimObjects;
   readonly #ledger = new ClaimLedger();
   readonly #budget: WriteBudget;
-  readonly #waiting = new Set<Waiting>();
+  readonly #pending = new Set<PendingRequest>();
   readonly #wake = Latch.makeUnsafe(false);
-  #current = false;
-  #contended = false;
+  #headIsCurrent = false;
+  #lastWriteConflicted = false;
   #lastFailure: ClaimStoreFailure | undefined;
   #usedAt: number;
 
@@ -78,32 +78,32 @@
   }
 
   /** When a request last came, by the clock that never goes back. */
-  get usedAt(): number {
+  get lastUsedAt(): number {
     return this.#usedAt;
   }
 
   /** Requests that are not decided yet. */
-  get waiting(): number {
-    return this.#waiting.size;
+  get pendingCount(): number {
+    return this.#pending.size;
   }
 
   /** Decides a request; a verdict that depends on a write comes after it. */
   submit(
     request: PartitionRequest,
     options: { readonly timeoutMs: number },
-  ): Effect.Effect<Verdict, Undecided> {
+  ): Effect.Effect<ClaimDecision, Undecided> {
     return Effect.suspend(() => {
-      const done = Deferred.makeUnsafe<Verdict>();
-      const item: Waiting = { request, done, tried: false };
+      const done = Deferred.makeUnsafe<ClaimDecision>();
+      const item: PendingRequest = { request, done, mayBeRecorded: false };
       this.#usedAt = this.#options.clock.monotonic();
-      this.#waiting.add(item);
-      this.#rouse(request);
+      this.#pending.add(item);
+      this.#scheduleWake(request);
       return Deferred.await(done).pipe(
         Effect.timeoutOrElse({
           duration: options.timeoutMs,
           orElse: () => Effect.fail(this.#undecided(item)),
         }),
-        Effect.ensuring(Effect.sync(() => this.#waiting.delete(item))),
+        Effect.ensuring(Effect.sync(() => this.#pending.delete(item))),
       );
     });
   }
@@ -114,50 +114,50 @@
       yield* this.#wake.await;
       this.#wake.closeUnsafe();
       yield* Effect.sleep(this.#options.batchMs);
-      if (this.#waiting.size === 0) return;
-      yield* this.#turn();
-      if (this.#waiting.size > 0) this.#wake.openUnsafe();
+      if (this.#pending.size === 0) return;
+      yield* this.#processPending();
+      if (this.#pending.size > 0) this.#wake.openUnsafe();
     }).pipe(Effect.forever);
   }
 
-  #rouse(request: PartitionRequest): void {
+  #scheduleWake(request: PartitionRequest): void {
     const urgent = request._tag === "Claim" || request.state === "withdrawn";
     if (urgent) return void this.#wake.openUnsafe();
     setTimeout(() => this.#wake.openUnsafe(), SETTLE_DELAY_MS).unref();
   }
 
   /** Decides what waits, with one write at most. */
-  #turn(): Effect.Effect<void> {
+  #processPending(): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       // Two processes that write at the same pace would meet a conflict each
       // time if they read first and waited for their turn then. So after a
       // conflict the turn comes first, and the write follows the read at once.
-      const waited = this.#contended;
+      const waited = this.#lastWriteConflicted;
       if (waited) yield* this.#budget.take();
-      if (!this.#current) {
+      if (!this.#headIsCurrent) {
         yield* this.#objects.load(this.#ledger);
-        this.#current = true;
+        this.#headIsCurrent = true;
       }
-      const early = this.#compose();
+      const early = this.#planBatch();
       this.#resolve(early.batch, early.composition);
       if (early.composition.head === undefined) return;
       if (!waited) yield* this.#budget.take();
-      const { batch, composition } = this.#compose();
+      const { batch, composition } = this.#planBatch();
       if (composition.head === undefined) {
         return this.#resolve(batch, composition);
       }
       yield* this.#write(batch, composition);
       this.#resolve(batch, composition, { written: true });
     }).pipe(
-      Effect.catch((failure) => this.#retreat(failure)),
+      Effect.catch((failure) => this.#handleFailure(failure)),
     );
   }
 
-  #compose(): {
-    readonly batch: readonly Waiting[];
+  #planBatch(): {
+    readonly batch: readonly PendingRequest[];
     readonly composition: BatchPlan;
   } {
-    const batch = [...this.#waiting].slice(0, MAX_BATCH);
+    const batch = [...this.#pending].slice(0, MAX_BATCH);
     const requests = batch.map((item) => item.request);
     const now = this.#options.clock.monotonic();
     const { limits } = this.#options;
@@ -168,34 +168,34 @@
   }
 
   #write(
-    batch: readonly Waiting[],
+    batch: readonly PendingRequest[],
     composition: BatchPlan,
   ): Effect.Effect<void, ClaimStoreFailure> {
-    const before = batch.map(({ tried }) => tried);
+    const before = batch.map(({ mayBeRecorded: tried }) => tried);
     return Effect.gen({ self: this }, function* () {
       // Unknown until the write has succeeded: an interruption in between must
       // lead to a fresh read, as after a lost reply.
-      this.#current = false;
+      this.#headIsCurrent = false;
       if (composition.sealed !== undefined) {
         yield* this.#budget.take();
       }
-      for (const item of batch) item.tried = true;
+      for (const item of batch) item.mayBeRecorded = true;
       yield* this.#objects.save(this.#ledger, composition);
-      this.#current = true;
-      this.#contended = false;
+      this.#headIsCurrent = true;
+      this.#lastWriteConflicted = false;
       this.#lastFailure = undefined;
       this.#budget.succeeded();
     }).pipe(Effect.tapError((failure) =>
       Effect.sync(() => {
         for (const [index, item] of batch.entries()) {
-          item.tried = mayStand(failure, before[index] ?? true);
+          item.mayBeRecorded = mayBeRecorded(failure, before[index] ?? true);
         }
       })
     ));
   }
 
   #resolve(
-    batch: readonly Waiting[],
+    batch: readonly PendingRequest[],
     composition: BatchPlan,
     options: { readonly written: boolean } = { written: false },
   ): void {
@@ -204,21 +204,21 @@
       if (verdict === undefined) continue;
       const appended = verdict._tag === "Append";
       if (appended && !options.written) continue;
-      this.#waiting.delete(item);
+      this.#pending.delete(item);
       Deferred.doneUnsafe(
         item.done,
-        Effect.succeed(appended ? outcomeOf(item.request) : verdict),
+        Effect.succeed(appended ? recordedDecision(item.request) : verdict),
       );
     }
   }
 
   /** After a conflict, a failure or a lost reply the head is read again. */
-  #retreat(failure: ClaimStoreFailure): Effect.Effect<void> {
+  #handleFailure(failure: ClaimStoreFailure): Effect.Effect<void> {
     return Effect.suspend(() => {
-      this.#current = false;
+      this.#headIsCurrent = false;
       this.#lastFailure = failure;
-      this.#contended = failure._tag === "Conflict";
-      if (this.#contended) {
+      this.#lastWriteConflicted = failure._tag === "Conflict";
+      if (this.#lastWriteConflicted) {
         this.#budget.conflicted();
         return Effect.void;
       }
@@ -229,8 +229,8 @@
     });
   }
 
-  #undecided(item: Waiting): Undecided {
-    const { tried: mayStand } = item;
+  #undecided(item: PendingRequest): Undecided {
+    const { mayBeRecorded: mayStand } = item;
     const failure = this.#lastFailure;
     const unavailable = failure?._tag === "Unavailable" ? failure : undefined;
     const retryAfterMs = unavailable?.retryAfterMs;
@@ -260,10 +260,10 @@
  * Whether an item may be recorded after a write with it failed. A conflict says
  * that this write was not made; it may be with an earlier one that was.
  */
-function mayStand(failure: ClaimStoreFailure, before: boolean): boolean {
+function mayBeRecorded(failure: ClaimStoreFailure, before: boolean): boolean {
   return before || failure._tag === "Unavailable" && failure.mayHaveWritten;
 }
 
-function outcomeOf(request: PartitionRequest): Verdict {
+function recordedDecision(request: PartitionRequest): ClaimDecision {
   return { _tag: request._tag === "Claim" ? "Claimed" : "Settled" };
 }
--- a/packages/coordination/src/process/claim_routing.ts
+++ b/packages/coordination/src/process/claim_routing.ts
@@ -31,7 +31,7 @@
 }
 
 /** The servers of each partition, worked out once for a view. */
-export class ClaimRoutes {
+export class RoutingCache {
   #view: View | undefined;
   readonly #servers = new Map<number, readonly string[]>();
 
--- a/packages/coordination/src/process/claim_server.ts
+++ b/packages/coordination/src/process/claim_server.ts
@@ -6,7 +6,7 @@
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
 import type * as Scope from "effect/Scope";
-import type { PartitionRequest, Verdict } from "./claim_decision.ts";
+import type { ClaimDecision, PartitionRequest } from "./claim_decision.ts";
 import { CLAIMS_CHANNEL, decodeMessage } from "./claim_message.ts";
 import { ClaimPartition } from "./claim_partition.ts";
 import type { ClaimPartitionOptions, Undecided } from "./claim_partition.ts";
@@ -14,8 +14,8 @@
 import type { Peers } from "./peers.ts";
 
 /** A partition that nobody asked for this long is forgotten, to free memory. */
-const FORGET_AFTER_MS = 300_000;
-const SWEEP_EVERY_MS = 60_000;
+const IDLE_TIMEOUT_MS = 300_000;
+const SWEEP_INTERVAL_MS = 60_000;
 
 interface RunningPartition {
   readonly partition: ClaimPartition;
@@ -40,8 +40,8 @@
 
   /** Answers other members until the scope closes. */
   serve(peers: Peers): Effect.Effect<void> {
-    peers.handle(CLAIMS_CHANNEL, (_, message) => this.#answer(message));
-    const sweep = Effect.sleep(SWEEP_EVERY_MS).pipe(
+    peers.handle(CLAIMS_CHANNEL, (_, message) => this.#handleMessage(message));
+    const sweep = Effect.sleep(SWEEP_INTERVAL_MS).pipe(
       Effect.andThen(Effect.suspend(() => this.#sweep())),
       Effect.forever,
     );
@@ -53,14 +53,14 @@
     partition: number,
     request: PartitionRequest,
     options: { readonly timeoutMs: number },
-  ): Effect.Effect<Verdict, Undecided> {
+  ): Effect.Effect<ClaimDecision, Undecided> {
     return Effect.flatMap(
       this.#partition(partition),
       (found) => found.submit(request, options),
     );
   }
 
-  #answer(message: unknown): Effect.Effect<unknown> {
+  #handleMessage(message: unknown): Effect.Effect<unknown> {
     const decoded = decodeMessage(message);
     if (decoded === undefined || decoded.partition >= this.#layout.partitions) {
       const refused: Undecided = {
@@ -92,9 +92,9 @@
   }
 
   #sweep(): Effect.Effect<void> {
-    const oldest = this.#options.clock.monotonic() - FORGET_AFTER_MS;
+    const oldest = this.#options.clock.monotonic() - IDLE_TIMEOUT_MS;
     const idle = [...this.#running].filter(([, { partition }]) =>
-      partition.waiting === 0 && partition.usedAt < oldest
+      partition.pendingCount === 0 && partition.lastUsedAt < oldest
     );
     return Effect.forEach(idle, ([index, { fiber }]) => {
       this.#running.delete(index);
--- a/packages/coordination/src/process/claim_settler.ts
+++ b/packages/coordination/src/process/claim_settler.ts
@@ -13,8 +13,8 @@
 import type { Clock } from "./clock.ts";
 import type { CrashPoints } from "./crash_points.ts";
 
-const SHORTEST_PAUSE_MS = 500;
-const LONGEST_PAUSE_MS = 8_000;
+const MIN_RETRY_DELAY_MS = 500;
+const MAX_RETRY_DELAY_MS = 8_000;
 const DRAIN_POLL_MS = 20;
 /** Settlements that wait for the store; more are given up, their claims stand. */
 const MAX_PENDING = 10_000;
@@ -44,7 +44,7 @@
   }
 
   /** Sets the scope in which settlements are recorded. */
-  open(scope: Scope.Scope): void {
+  setScope(scope: Scope.Scope): void {
     this.#scope = scope;
   }
 
@@ -60,7 +60,7 @@
       }
       this.#pending += 1;
       const { maxAnswerBytes } = this.#options.settings;
-      const settle = settleRequest(request, settlement, { maxAnswerBytes });
+      const settle = toSettleRequest(request, settlement, { maxAnswerBytes });
       const counted = Effect.ensuring(
         this.#record(settle),
         Effect.sync(() => {
@@ -82,27 +82,27 @@
   #record(request: SettleRequest): Effect.Effect<void> {
     const { clock, crashPoints, settings } = this.#options;
     const { timeoutMs, settlePatienceMs } = settings;
-    const giveUpAt = clock.monotonic() + settlePatienceMs;
+    const deadline = clock.monotonic() + settlePatienceMs;
     return Effect.gen({ self: this }, function* () {
       yield* crashPoints.reached("claim.before_settle");
       const client = yield* this.#options.client;
-      let pauseMs = SHORTEST_PAUSE_MS;
-      while (clock.monotonic() < giveUpAt) {
+      let delayMs = MIN_RETRY_DELAY_MS;
+      while (clock.monotonic() < deadline) {
         const decided = client.decide(request, { timeoutMs });
         const done = yield* Effect.match(decided, {
           onFailure: () => false,
           onSuccess: () => true,
         });
         if (done) break;
-        yield* Effect.sleep(pauseMs);
-        pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
+        yield* Effect.sleep(delayMs);
+        delayMs = Math.min(MAX_RETRY_DELAY_MS, delayMs * 2);
       }
       yield* crashPoints.reached("claim.after_settle");
     });
   }
 }
 
-function settleRequest(
+function toSettleRequest(
   request: ClaimRequest,
   settlement: ClaimSettlement,
   options: { readonly maxAnswerBytes: number },
--- a/packages/coordination/src/process/claims_in_store.ts
+++ b/packages/coordination/src/process/claims_in_store.ts
@@ -15,8 +15,8 @@
   ClaimUnavailable,
 } from "./claims.ts";
 import { ClaimClient } from "./claim_client.ts";
-import type { ClaimRequest, Verdict } from "./claim_decision.ts";
-import { agreeLayout } from "./claim_layout.ts";
+import type { ClaimDecision, ClaimRequest } from "./claim_decision.ts";
+import { ensureLayout } from "./claim_layout.ts";
 import type { ClaimLayout } from "./claim_layout.ts";
 import type { Undecided } from "./claim_partition.ts";
 import { bodyDigest, keyDigest } from "./claim_record.ts";
@@ -34,10 +34,10 @@
 
 const ID_BYTES = 9;
 const RETRY_AFTER_MS = 1_000;
-const RETRY_WHEN_FULL_MS = 30_000;
-const LAYOUT_PAUSE_MS = 500;
+const FULL_RETRY_AFTER_MS = 30_000;
+const LAYOUT_RETRY_MS = 500;
 /** Part of the bound after which a decision gives up, so that it can say why. */
-const DECIDE_PART = 0.9;
+const DECISION_TIMEOUT_FRACTION = 0.9;
 
 /** Settings of {@linkcode ClaimsInStore}. */
 export interface ClaimsInStoreOptions {
@@ -94,8 +94,8 @@
   start(): Effect.Effect<void, never, Scope.Scope> {
     return Effect.gen({ self: this }, function* () {
       const scope = yield* Effect.scope;
-      this.#settler.open(scope);
-      yield* Effect.forkIn(this.#open(scope), scope);
+      this.#settler.setScope(scope);
+      yield* Effect.forkIn(this.#initialize(scope), scope);
     });
   }
 
@@ -117,21 +117,23 @@
         by: this.#options.membership.self.name,
       };
       const startedAt = timestampOf(this.#clock);
-      return Effect.matchEffect(this.#ask(request), {
-        onFailure: (undecided) => this.#giveUp(request, undecided),
+      return Effect.matchEffect(this.#requestDecision(request), {
+        onFailure: (undecided) => this.#abandon(request, undecided),
         onSuccess: (verdict) =>
-          this.#conclude(verdict, { key, request, startedAt }),
+          this.#toOutcome(verdict, { key, request, startedAt }),
       }).pipe(Effect.onInterrupt(() => this.#withdraw(request)));
     });
   }
 
-  #ask(request: ClaimRequest): Effect.Effect<Verdict, Undecided> {
+  #requestDecision(
+    request: ClaimRequest,
+  ): Effect.Effect<ClaimDecision, Undecided> {
     const { timeoutMs } = this.#settings;
     return Effect.gen({ self: this }, function* () {
       yield* this.#crashPoints.reached("claim.before_ask");
       const client = yield* Deferred.await(this.#client);
       const verdict = yield* client.decide(request, {
-        timeoutMs: timeoutMs * DECIDE_PART,
+        timeoutMs: timeoutMs * DECISION_TIMEOUT_FRACTION,
       });
       yield* this.#crashPoints.reached("claim.after_ask");
       return verdict;
@@ -146,8 +148,8 @@
     }));
   }
 
-  #conclude(
-    verdict: Verdict,
+  #toOutcome(
+    verdict: ClaimDecision,
     asked: {
       readonly key: string;
       readonly request: ClaimRequest;
@@ -157,21 +159,21 @@
     const { request } = asked;
     switch (verdict._tag) {
       case "Claimed":
-        return this.#claimed(asked);
+        return this.#claimedOutcome(asked);
       case "Answered":
       case "Mismatch":
         return Effect.succeed(verdict);
       case "Taken":
-        return Effect.succeed(this.#taken(verdict));
+        return Effect.succeed(this.#takenOutcome(verdict));
       case "Full":
         return Effect.fail({
           _tag: "ClaimUnavailable",
           reason: "full",
           message: "Cannot claim the key: its partition is full",
-          retryAfterMs: RETRY_WHEN_FULL_MS,
+          retryAfterMs: FULL_RETRY_AFTER_MS,
         });
       default:
-        return this.#giveUp(request, {
+        return this.#abandon(request, {
           _tag: "Undecided",
           reason: `Unexpected verdict "${verdict._tag}"`,
           mayStand: true,
@@ -183,7 +185,7 @@
    * A process that was paused while it asked may find its claim made long ago,
    * even aged out since; its caller has gone and may have tried elsewhere.
    */
-  #claimed(
+  #claimedOutcome(
     asked: {
       readonly key: string;
       readonly request: ClaimRequest;
@@ -194,7 +196,7 @@
     const { timeoutMs, startWithinMs } = this.#settings;
     const elapsed = () => elapsedSince(startedAt, this.#clock);
     if (elapsed() > timeoutMs) {
-      return this.#giveUp(request, {
+      return this.#abandon(request, {
         _tag: "Undecided",
         reason: "The verdict came too late",
         mayStand: true,
@@ -209,19 +211,21 @@
     return Effect.succeed({ _tag: "Claimed", claim });
   }
 
-  #taken(verdict: Verdict & { readonly _tag: "Taken" }): ClaimOutcome {
+  #takenOutcome(
+    verdict: ClaimDecision & { readonly _tag: "Taken" },
+  ): ClaimOutcome {
     const { by } = verdict;
     const { members } = this.#options.membership.view();
-    const lives = members.some(({ member }) => member.name === by);
+    const isMember = members.some(({ member }) => member.name === by);
     if (verdict.state === "answered") {
       return { _tag: "Taken", by, state: "answered" };
     }
-    const running = verdict.state === "running" && lives;
+    const running = verdict.state === "running" && isMember;
     return { _tag: "Taken", by, state: running ? "running" : "may-have-run" };
   }
 
   /** The claim will not be used, so it is taken back where it may stand. */
-  #giveUp(
+  #abandon(
     request: ClaimRequest,
     undecided: Undecided,
   ): Effect.Effect<never, ClaimUnavailable> {
@@ -246,13 +250,13 @@
   }
 
   /** Agrees on the layout; until then claims time out as unavailable. */
-  #open(scope: Scope.Scope): Effect.Effect<void> {
+  #initialize(scope: Scope.Scope): Effect.Effect<void> {
     const { store, peers, membership } = this.#options;
     const { partitions, windowMs } = this.#settings;
     return Effect.gen({ self: this }, function* () {
       const layout = yield* Effect.retry(
-        agreeLayout(store, { partitions, windowMs }),
-        { schedule: Schedule.spaced(LAYOUT_PAUSE_MS) },
+        ensureLayout(store, { partitions, windowMs }),
+        { schedule: Schedule.spaced(LAYOUT_RETRY_MS) },
       );
       const server = this.#server(layout, scope);
       yield* server.serve(peers);
@@ -282,8 +286,9 @@
 
   /** The window, and whatever time may pass before a claim is used or judged. */
   #retentionMs(layout: ClaimLayout): number {
-    const CLOCK_DRIFT = 0.01;
+    const MAX_CLOCK_DRIFT = 0.01;
     const { timeoutMs, startWithinMs } = this.#settings;
-    return layout.windowMs * (1 + CLOCK_DRIFT) + 2 * timeoutMs + startWithinMs;
+    return layout.windowMs * (1 + MAX_CLOCK_DRIFT) + 2 * timeoutMs +
+      startWithinMs;
   }
 }
