--- a/packages/coordination/src/process/lease.ts
+++ b/packages/coordination/src/process/lease.ts
@@ -16,7 +16,7 @@
 
 const DEFAULT_DURATION_MS = 10_000;
 /** Renewals and looks in each duration. */
-const STEPS = 5;
+const STEPS_PER_DURATION = 5;
 const HOLDER_ID_BYTES = 9;
 
 /** Settings of a {@linkcode Lease}. */
@@ -91,7 +91,7 @@
       const term = yield* this.#acquire();
       const work = Effect.raceFirst(
         during(this.#tenure(term)),
-        this.#keep(term),
+        this.#renewUntilLost(term),
       );
       yield* Effect.ensuring(work, this.#object.release(term));
     });
@@ -110,7 +110,7 @@
   }
 
   /** Renews until the term is over, which ends the work. */
-  #keep(term: LeaseTerm): Effect.Effect<void> {
+  #renewUntilLost(term: LeaseTerm): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       while (this.#remainingMs(term) > 0) {
         const stepMs = Math.min(this.#stepMs(), this.#remainingMs(term));
@@ -144,6 +144,6 @@
   #stepMs(): number {
     const JITTER = 0.2;
     const jitter = 1 - JITTER * Math.random();
-    return (this.#durationMs / STEPS) * jitter;
+    return (this.#durationMs / STEPS_PER_DURATION) * jitter;
   }
 }
--- a/packages/coordination/src/process/lease_object.ts
+++ b/packages/coordination/src/process/lease_object.ts
@@ -36,7 +36,7 @@
   readonly durationMs: number;
 }
 
-type Written =
+type WriteResult =
   | { readonly _tag: "Written"; readonly version: number }
   /** An earlier write of the term stands, sent at an unknown time. */
   | { readonly _tag: "Earlier"; readonly version: number }
@@ -50,12 +50,12 @@
  */
 export class LeaseObject {
   readonly #options: LeaseObjectOptions;
-  readonly #sight: LeaseObserver;
+  readonly #observer: LeaseObserver;
   #attempts = 0;
 
   constructor(options: LeaseObjectOptions) {
     this.#options = options;
-    this.#sight = new LeaseObserver(options.holderId);
+    this.#observer = new LeaseObserver(options.holderId);
   }
 
   /** Looks at the lease once, and takes it if it is free. */
@@ -112,7 +112,7 @@
   }
 
   /** After a lost reply the object tells whether the write took effect. */
-  #write(value: LeaseHolding, ifVersion: number): Effect.Effect<Written> {
+  #write(value: LeaseHolding, ifVersion: number): Effect.Effect<WriteResult> {
     const { store, name, crashPoints } = this.#options;
     const object = { kind: LEASE_KIND, name, value };
     return Effect.gen({ self: this }, function* () {
@@ -121,7 +121,7 @@
         store.write(object, { ifVersion }),
         {
           onSuccess: (version) =>
-            Effect.succeed<Written>({ _tag: "Written", version }),
+            Effect.succeed<WriteResult>({ _tag: "Written", version }),
           onFailure: (failure) => this.#resolve(value, failure),
         },
       );
@@ -133,8 +133,8 @@
   #resolve(
     value: LeaseHolding,
     failure: Conflict | Unavailable,
-  ): Effect.Effect<Written> {
-    const unsure: Written = { _tag: "Unsure" };
+  ): Effect.Effect<WriteResult> {
+    const unsure: WriteResult = { _tag: "Unsure" };
     // A conflict, too, may be with one's own write whose reply was lost before.
     if (failure._tag === "Unavailable" && !failure.mayHaveWritten) {
       return Effect.succeed(unsure);
@@ -142,7 +142,7 @@
     const { store, name } = this.#options;
     return Effect.match(store.read(LEASE_KIND, name), {
       onFailure: () => unsure,
-      onSuccess: (found): Written => {
+      onSuccess: (found): WriteResult => {
         const stored = found?.value as LeaseHolding | undefined;
         const own = stored?.holderId === value.holderId &&
           stored.fencing === value.fencing;
@@ -163,7 +163,7 @@
       version: found.version,
       holding: found.value as LeaseHolding,
     };
-    return this.#sight.isFree(seen, this.#options.clock.monotonic());
+    return this.#observer.isFree(seen, this.#options.clock.monotonic());
   }
 
   #value(fencing: number): LeaseHolding {
--- a/packages/coordination/src/process/lease_rules.ts
+++ b/packages/coordination/src/process/lease_rules.ts
@@ -26,7 +26,7 @@
 }
 
 /** Part of the duration that the holder leaves unused. */
-const MARGIN_PART = 0.2;
+const SAFETY_MARGIN = 0.2;
 
 /**
  * Number of a term whose first write replaces a version. Versions only grow and
@@ -58,7 +58,7 @@
   renewedAt: Timestamp,
   clock: Clock,
 ): number {
-  return durationMs * (1 - MARGIN_PART) - elapsedSince(renewedAt, clock);
+  return durationMs * (1 - SAFETY_MARGIN) - elapsedSince(renewedAt, clock);
 }
 
 /**
@@ -74,8 +74,8 @@
  */
 export class LeaseObserver {
   readonly #holderId: string;
-  #version = 0;
-  #since = -Infinity;
+  #lastVersion = 0;
+  #unchangedSince = -Infinity;
 
   /** @param holderId of the process that looks. */
   constructor(holderId: string) {
@@ -84,19 +84,19 @@
 
   /** Version that was seen last; 0 without one. */
   get version(): number {
-    return this.#version;
+    return this.#lastVersion;
   }
 
   /** Steady ms since which it has stood, as far as seen. */
   get unchangedSince(): number {
-    return this.#since;
+    return this.#unchangedSince;
   }
 
   /** Notes that a version was there at a moment; an older one says nothing. */
   observe(version: number, at: number): void {
-    if (version <= this.#version) return;
-    this.#version = version;
-    this.#since = at;
+    if (version <= this.#lastVersion) return;
+    this.#lastVersion = version;
+    this.#unchangedSince = at;
   }
 
   /**
@@ -108,6 +108,7 @@
     this.observe(found.version, now);
     const { holderId, durationMs } = found.holding;
     if (holderId === "" || holderId === this.#holderId) return true;
-    return found.version === this.#version && now - this.#since >= durationMs;
+    return found.version === this.#lastVersion &&
+      now - this.#unchangedSince >= durationMs;
   }
 }
