--- a/packages/coordination/src/process/share_holding.ts
+++ b/packages/coordination/src/process/share_holding.ts
@@ -15,24 +15,24 @@
 }
 
 /** Part of each time that is left unused, against clocks of unequal rates. */
-export const DRIFT_MARGIN = 0.05;
+export const CLOCK_DRIFT_MARGIN = 0.05;
 
 /** Part of the floor that is never yielded, so that new demand starts at once. */
-const RESERVE_PART = 0.1;
+const RESERVED_FRACTION = 0.1;
 /** Demand beyond the present one that is kept for growth. */
-const GROWTH = 1.25;
+const DEMAND_HEADROOM = 1.25;
 
-interface Timed {
+interface TimedAmount {
   readonly amount: number;
   readonly until: number;
 }
 
 /** What a holder knows of one owner. */
-interface Dealing {
-  yields: readonly Timed[];
-  grant: Timed;
+interface OwnerState {
+  yields: readonly TimedAmount[];
+  grant: TimedAmount;
   /** Number of the report whose answer was last taken. */
-  answered: number;
+  lastReport: number;
 }
 
 /** What a holder tells an owner of one limit. */
@@ -49,7 +49,7 @@
  */
 export class ShareHolding {
   readonly #times: ShareTimes;
-  readonly #dealings = new Map<string, Dealing>();
+  readonly #owners = new Map<string, OwnerState>();
   #floor: number;
   #demand = 0;
 
@@ -71,8 +71,8 @@
   /** What may be used now. */
   allowance(now: number): number {
     let allowance = this.#floor;
-    for (const { yields, grant } of this.#dealings.values()) {
-      allowance -= largest(yields, now);
+    for (const { yields, grant } of this.#owners.values()) {
+      allowance -= largestLive(yields, now);
       if (grant.until > now) allowance += grant.amount;
     }
     return Math.max(0, allowance);
@@ -83,22 +83,25 @@
    * if the report never arrives: this process can't know.
    */
   offer(owner: string, now: number): Offer {
-    const dealing = this.#dealing(owner);
+    const dealing = this.#ownerState(owner);
     const elsewhere = this.#yieldedExcept(owner, now);
     const keep = Math.max(
-      this.#floor * RESERVE_PART,
-      this.#demand * GROWTH,
+      this.#floor * RESERVED_FRACTION,
+      this.#demand * DEMAND_HEADROOM,
     );
     const yielded = Math.max(0, this.#floor - keep - elsewhere);
     const until = now + this.#times.yieldMs;
     const live = dealing.yields.filter((entry) => entry.until > now);
     dealing.yields = [...live, { amount: yielded, until }];
-    const kept = this.#floor - elsewhere - largest(dealing.yields, now);
-    return { yielded, wanted: Math.max(0, this.#demand * GROWTH - kept) };
+    const kept = this.#floor - elsewhere - largestLive(dealing.yields, now);
+    return {
+      yielded,
+      wanted: Math.max(0, this.#demand * DEMAND_HEADROOM - kept),
+    };
   }
 
   /** Takes the answer to the numbered report that was sent at `sentAt`. */
-  take(
+  applyGrant(
     owner: string,
     answer: {
       readonly report: number;
@@ -106,13 +109,13 @@
       readonly granted: number;
     },
   ): void {
-    const dealing = this.#dealing(owner);
+    const dealing = this.#ownerState(owner);
     // The owner counts with either of two crossed answers; the later one fits
     // the demand better.
-    if (answer.report <= dealing.answered) return;
-    dealing.answered = answer.report;
+    if (answer.report <= dealing.lastReport) return;
+    dealing.lastReport = answer.report;
     // The owner counts from when it answered, which was after the report.
-    const usableMs = this.#times.grantMs * (1 - DRIFT_MARGIN);
+    const usableMs = this.#times.grantMs * (1 - CLOCK_DRIFT_MARGIN);
     dealing.grant = {
       amount: answer.granted,
       until: answer.sentAt + usableMs,
@@ -121,23 +124,27 @@
 
   #yieldedExcept(owner: string, now: number): number {
     let yielded = 0;
-    for (const [name, { yields }] of this.#dealings) {
-      if (name !== owner) yielded += largest(yields, now);
+    for (const [name, { yields }] of this.#owners) {
+      if (name !== owner) yielded += largestLive(yields, now);
     }
     return yielded;
   }
 
-  #dealing(owner: string): Dealing {
-    const known = this.#dealings.get(owner);
+  #ownerState(owner: string): OwnerState {
+    const known = this.#owners.get(owner);
     if (known !== undefined) return known;
-    const dealing = { yields: [], grant: { amount: 0, until: 0 }, answered: 0 };
-    this.#dealings.set(owner, dealing);
+    const dealing = {
+      yields: [],
+      grant: { amount: 0, until: 0 },
+      lastReport: 0,
+    };
+    this.#owners.set(owner, dealing);
     return dealing;
   }
 }
 
 /** An owner may rely on any one of the yields that it was told, not on all. */
-function largest(entries: readonly Timed[], now: number): number {
+function largestLive(entries: readonly TimedAmount[], now: number): number {
   let most = 0;
   for (const { amount, until } of entries) {
     if (until > now) most = Math.max(most, amount);
--- a/packages/coordination/src/process/share_ledger.ts
+++ b/packages/coordination/src/process/share_ledger.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { DRIFT_MARGIN } from "./share_holding.ts";
+import { CLOCK_DRIFT_MARGIN } from "./share_holding.ts";
 import type { Offer, ShareTimes } from "./share_holding.ts";
 
 interface Grant {
@@ -52,10 +52,10 @@
   }
 
   /** Takes a report and returns the grant to its holder. */
-  settle(offer: ReportedOffer, now: number): number {
+  processOffer(offer: ReportedOffer, now: number): number {
     const before = this.#holders.get(offer.holder);
     const grants = (before?.grants ?? []).filter(({ until }) => until > now);
-    const usableMs = this.#times.yieldMs * (1 - DRIFT_MARGIN);
+    const usableMs = this.#times.yieldMs * (1 - CLOCK_DRIFT_MARGIN);
     const entry: HolderEntry = {
       yielded: offer.sentAfter === undefined ? 0 : offer.yielded,
       yieldedUntil: (offer.sentAfter ?? now) + usableMs,
@@ -64,7 +64,7 @@
       grants,
     };
     this.#holders.set(offer.holder, entry);
-    const amount = this.#grantable(offer.holder, now);
+    const amount = this.#grantableAmount(offer.holder, now);
     const until = now + this.#times.grantMs;
     this.#holders.set(offer.holder, {
       ...entry,
@@ -74,7 +74,7 @@
   }
 
   /** The holder's fair part of the pool, as far as nobody else may use it. */
-  #grantable(holder: string, now: number): number {
+  #grantableAmount(holder: string, now: number): number {
     let pool = 0;
     let others = 0;
     const wants: number[] = [];
@@ -82,8 +82,8 @@
     for (const [name, entry] of this.#holders) {
       // Only what stays yielded until the grant's end can back it.
       if (entry.yieldedUntil >= end) pool += entry.yielded;
-      if (name !== holder) others += largestGrant(entry.grants, now);
-      if (this.#reports(entry, now)) wants.push(entry.wanted);
+      if (name !== holder) others += largestLiveGrant(entry.grants, now);
+      if (this.#isReporting(entry, now)) wants.push(entry.wanted);
     }
     const wanted = this.#holders.get(holder)?.wanted ?? 0;
     const fair = Math.min(wanted, waterLevel(pool, wants));
@@ -91,7 +91,7 @@
   }
 
   /** A holder that has fallen silent no longer takes part in the division. */
-  #reports(entry: HolderEntry, now: number): boolean {
+  #isReporting(entry: HolderEntry, now: number): boolean {
     const MISSED_REPORTS = 3;
     return now - entry.reportedAt <= MISSED_REPORTS * this.#times.periodMs;
   }
@@ -118,7 +118,7 @@
 }
 
 /** The holder uses the last answer that reached it, which may be any of these. */
-function largestGrant(grants: readonly Grant[], now: number): number {
+function largestLiveGrant(grants: readonly Grant[], now: number): number {
   let most = 0;
   for (const { amount, until } of grants) {
     if (until > now) most = Math.max(most, amount);
--- a/packages/coordination/src/process/share_message.ts
+++ b/packages/coordination/src/process/share_message.ts
@@ -9,7 +9,7 @@
 export const SHARES_CHANNEL = "shares";
 
 /** An owner's stamp on an answer, which the holder's next report echoes. */
-export interface Stamp {
+export interface OwnerTimestamp {
   /** Unique for each process that ever started. */
   readonly owner: string;
   /** The owner's clock that never goes back. */
@@ -24,13 +24,13 @@
 
 /** What a process that holds limits tells one owner of them. */
 export interface ShareReport {
-  readonly stamp?: Stamp;
+  readonly stamp?: OwnerTimestamp;
   readonly offers: readonly LimitOffer[];
 }
 
 /** The owner's answer; grants are in the order of the offers. */
-export interface ShareAnswer {
-  readonly stamp: Stamp;
+export interface GrantResponse {
+  readonly stamp: OwnerTimestamp;
   readonly grants: readonly number[];
 }
 
@@ -39,20 +39,20 @@
   const report = value as Partial<Record<string, unknown>> | null | undefined;
   const offers = report?.["offers"];
   if (!Array.isArray(offers) || !offers.every(isOffer)) return undefined;
-  const stamp = decodeStamp(report?.["stamp"]);
+  const stamp = decodeTimestamp(report?.["stamp"]);
   return stamp === undefined ? { offers } : { stamp, offers };
 }
 
 /** Reads an answer; undefined when it is not valid. */
-export function decodeAnswer(value: unknown): ShareAnswer | undefined {
+export function decodeResponse(value: unknown): GrantResponse | undefined {
   const answer = value as Partial<Record<string, unknown>> | null | undefined;
-  const stamp = decodeStamp(answer?.["stamp"]);
+  const stamp = decodeTimestamp(answer?.["stamp"]);
   const grants = answer?.["grants"];
   if (stamp === undefined || !Array.isArray(grants)) return undefined;
   return grants.every(isAmount) ? { stamp, grants } : undefined;
 }
 
-function decodeStamp(value: unknown): Stamp | undefined {
+function decodeTimestamp(value: unknown): OwnerTimestamp | undefined {
   const stamp = value as Partial<Record<string, unknown>> | null | undefined;
   const owner = stamp?.["owner"];
   const at = stamp?.["at"];
--- a/packages/coordination/src/process/share_owner.ts
+++ b/packages/coordination/src/process/share_owner.ts
@@ -8,11 +8,15 @@
 import type { ShareTimes } from "./share_holding.ts";
 import { ShareLedger } from "./share_ledger.ts";
 import { decodeReport } from "./share_message.ts";
-import type { LimitOffer, ShareAnswer, Stamp } from "./share_message.ts";
+import type {
+  GrantResponse,
+  LimitOffer,
+  OwnerTimestamp,
+} from "./share_message.ts";
 
 const OWNER_ID_BYTES = 9;
 /** Reports between two looks for limits that nobody holds any more. */
-const SWEEP_EVERY = 1_000;
+const SWEEP_INTERVAL_REPORTS = 1_000;
 
 /** Ledgers of the limits for which reports came. */
 export class ShareOwner {
@@ -28,13 +32,13 @@
   }
 
   /** Answers one report; undefined when it is not valid. */
-  answer(message: unknown): ShareAnswer | undefined {
+  handleReport(message: unknown): GrantResponse | undefined {
     const report = decodeReport(message);
     if (report === undefined) return undefined;
     const now = this.#clock.monotonic();
     const sentAfter = this.#sentAfter(report.stamp, now);
     const grants = report.offers.map((offer) =>
-      this.#ledger(offer).settle(
+      this.#ledger(offer).processOffer(
         sentAfter === undefined ? offer : { ...offer, sentAfter },
         now,
       )
@@ -44,7 +48,10 @@
   }
 
   /** Only a stamp of this very process tells a moment of its clock. */
-  #sentAfter(stamp: Stamp | undefined, now: number): number | undefined {
+  #sentAfter(
+    stamp: OwnerTimestamp | undefined,
+    now: number,
+  ): number | undefined {
     if (stamp?.owner !== this.#id || stamp.at > now) return undefined;
     return stamp.at;
   }
@@ -59,7 +66,7 @@
 
   #sweep(now: number): void {
     this.#reports += 1;
-    if (this.#reports % SWEEP_EVERY !== 0) return;
+    if (this.#reports % SWEEP_INTERVAL_REPORTS !== 0) return;
     for (const [limit, ledger] of this.#ledgers) {
       if (ledger.isIdle(now)) this.#ledgers.delete(limit);
     }
--- a/packages/coordination/src/process/shares.ts
+++ b/packages/coordination/src/process/shares.ts
@@ -12,8 +12,12 @@
 import { rendezvous } from "./rendezvous.ts";
 import { ShareHolding } from "./share_holding.ts";
 import type { ShareTimes } from "./share_holding.ts";
-import { decodeAnswer, SHARES_CHANNEL } from "./share_message.ts";
-import type { LimitOffer, ShareReport, Stamp } from "./share_message.ts";
+import { decodeResponse, SHARES_CHANNEL } from "./share_message.ts";
+import type {
+  LimitOffer,
+  OwnerTimestamp,
+  ShareReport,
+} from "./share_message.ts";
 import { ShareOwner } from "./share_owner.ts";
 
 const DEFAULT_TIMES: ShareTimes = {
@@ -54,7 +58,7 @@
   close(): void;
 }
 
-interface Held {
+interface LocalShare {
   readonly limit: string;
   readonly holder: string;
   readonly holding: ShareHolding;
@@ -79,9 +83,9 @@
   readonly #clock: Clock;
   readonly #times: ShareTimes;
   readonly #owner: ShareOwner;
-  readonly #held = new Set<Held>();
-  readonly #stamps = new Map<string, Stamp>();
-  #reports = 0;
+  readonly #localShares = new Set<LocalShare>();
+  readonly #stamps = new Map<string, OwnerTimestamp>();
+  #reportCount = 0;
 
   constructor(options: SharesOptions) {
     this.#peers = options.peers;
@@ -98,13 +102,13 @@
       this.#times,
     );
     const { limit: name, holder } = limit;
-    const held: Held = { limit: name, holder, holding };
-    this.#held.add(held);
+    const held: LocalShare = { limit: name, holder, holding };
+    this.#localShares.add(held);
     return {
       allowance: () => holding.allowance(this.#clock.monotonic()),
       setDemand: (amount) => holding.setDemand(amount),
       resize: ({ total, holders }) => holding.setFloor(total / holders),
-      close: () => void this.#held.delete(held),
+      close: () => void this.#localShares.delete(held),
     };
   }
 
@@ -113,33 +117,33 @@
     return Effect.gen({ self: this }, function* () {
       this.#peers.handle(
         SHARES_CHANNEL,
-        (_, message) => Effect.sync(() => this.#owner.answer(message)),
+        (_, message) => Effect.sync(() => this.#owner.handleReport(message)),
       );
       const round = Effect.andThen(
         Effect.sleep(this.#times.periodMs),
-        this.#round(),
+        this.#sendReports(),
       );
       yield* Effect.forkScoped(Effect.forever(round));
     });
   }
 
   /** One report to each owner of a limit held here. */
-  #round(): Effect.Effect<void> {
+  #sendReports(): Effect.Effect<void> {
     return Effect.suspend(() =>
       Effect.forEach(
-        this.#byOwner(),
-        ([owner, held]) => this.#report(owner, held),
+        this.#sharesByOwner(),
+        ([owner, held]) => this.#reportTo(owner, held),
         { concurrency: "unbounded", discard: true },
       )
     );
   }
 
-  #byOwner(): ReadonlyMap<string, readonly Held[]> {
+  #sharesByOwner(): ReadonlyMap<string, readonly LocalShare[]> {
     const names = this.#membership.view().members
       .filter(({ state }) => state === "alive")
       .map(({ member }) => member.name);
-    const byOwner = new Map<string, Held[]>();
-    for (const held of this.#held) {
+    const byOwner = new Map<string, LocalShare[]>();
+    for (const held of this.#localShares) {
       const [owner] = rendezvous(`shares/${held.limit}`, names);
       if (owner === undefined) continue;
       const others = byOwner.get(owner) ?? [];
@@ -148,10 +152,10 @@
     return byOwner;
   }
 
-  #report(owner: string, held: readonly Held[]): Effect.Effect<void> {
+  #reportTo(owner: string, held: readonly LocalShare[]): Effect.Effect<void> {
     return Effect.suspend(() => {
       const sentAt = this.#clock.monotonic();
-      const report = this.#reports += 1;
+      const report = this.#reportCount += 1;
       const stamp = this.#stamps.get(owner);
       const offers = held.map(({ limit, holder, holding }): LimitOffer => ({
         limit,
@@ -161,21 +165,21 @@
       const body: ShareReport = stamp === undefined
         ? { offers }
         : { stamp, offers };
-      return Effect.map(this.#ask(owner, body), (message) => {
-        const answer = decodeAnswer(message);
+      return Effect.map(this.#sendReport(owner, body), (message) => {
+        const answer = decodeResponse(message);
         if (answer === undefined) return;
         this.#stamps.set(owner, answer.stamp);
         for (const [index, { holding }] of held.entries()) {
           const granted = answer.grants[index] ?? 0;
-          holding.take(owner, { report, sentAt, granted });
+          holding.applyGrant(owner, { report, sentAt, granted });
         }
       });
     });
   }
 
-  #ask(owner: string, body: ShareReport): Effect.Effect<unknown> {
+  #sendReport(owner: string, body: ShareReport): Effect.Effect<unknown> {
     if (owner === this.#membership.self.name) {
-      return Effect.sync(() => this.#owner.answer(body));
+      return Effect.sync(() => this.#owner.handleReport(body));
     }
     const request = { channel: SHARES_CHANNEL, body };
     const timeoutMs = this.#times.grantMs;
--- a/packages/coordination/tests/shares_property_test.ts
+++ b/packages/coordination/tests/shares_property_test.ts
@@ -5,11 +5,11 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import { ShareHolding } from "../src/process/share_holding.ts";
-import { decodeAnswer } from "../src/process/share_message.ts";
+import { decodeResponse } from "../src/process/share_message.ts";
 import type {
-  ShareAnswer,
+  GrantResponse,
   ShareReport,
-  Stamp,
+  OwnerTimestamp,
 } from "../src/process/share_message.ts";
 import { ShareOwner } from "../src/process/share_owner.ts";
 import { FakeClock } from "../src/testing/mod.ts";
@@ -100,7 +100,7 @@
 
 interface AnswerInFlight extends Omit<ReportInFlight, "kind" | "body"> {
   readonly kind: "answer";
-  readonly answer: ShareAnswer;
+  readonly answer: GrantResponse;
 }
 
 /** Holders, owners and messages, driven step by step. */
@@ -111,7 +111,7 @@
     () => new ShareHolding(TOTAL / HOLDERS, TIMES),
   );
   readonly #owners = new Map<string, ShareOwner>();
-  readonly #stamps = new Map<string, Stamp>();
+  readonly #stamps = new Map<string, OwnerTimestamp>();
   readonly #inFlight: (ReportInFlight | AnswerInFlight)[] = [];
   #reports = 0;
 
@@ -181,8 +181,8 @@
     if (!again) this.#inFlight.splice(index, 1);
     const { holder, owner, report, sentAt } = message;
     if (message.kind === "report") {
-      const answer = decodeAnswer(
-        this.#owners.get(owner)?.answer(message.body),
+      const answer = decodeResponse(
+        this.#owners.get(owner)?.handleReport(message.body),
       );
       assert.ok(answer);
       const { body: _, ...rest } = message;
@@ -191,7 +191,7 @@
     }
     this.#stamps.set(`${holder}/${owner}`, message.answer.stamp);
     const granted = message.answer.grants[0] ?? 0;
-    this.#holdings[holder]?.take(owner, { report, sentAt, granted });
+    this.#holdings[holder]?.applyGrant(owner, { report, sentAt, granted });
   }
 
   #restart(name: string): void {
