--- a/packages/coordination/src/process/claim_partition.ts
+++ b/packages/coordination/src/process/claim_partition.ts
@@ -14,7 +14,7 @@
 import type { Clock } from "./clock.ts";
 import type { CrashPoints } from "./crash_points.ts";
 import type { Store } from "./store.ts";
-import { WriteBudget } from "./write_rate_limiter.ts";
+import { WriteRateLimiter } from "./write_rate_limiter.ts";
 
 /** How long a settlement waits for claims to share their write. */
 const SETTLE_DELAY_MS = 100;
@@ -62,7 +62,7 @@
   readonly #options: ClaimPartitionOptions;
   readonly #objects: ClaimObjects;
   readonly #ledger = new ClaimLedger();
-  readonly #budget: WriteBudget;
+  readonly #rateLimiter: WriteRateLimiter;
   readonly #pending = new Set<PendingRequest>();
   readonly #wake = Latch.makeUnsafe(false);
   #headIsCurrent = false;
@@ -73,7 +73,7 @@
   constructor(index: number, options: ClaimPartitionOptions) {
     this.#options = options;
     this.#objects = new ClaimObjects(index, options);
-    this.#budget = new WriteBudget(options.clock, options);
+    this.#rateLimiter = new WriteRateLimiter(options.clock, options);
     this.#usedAt = options.clock.monotonic();
   }
 
@@ -133,7 +133,7 @@
       // time if they read first and waited for their turn then. So after a
       // conflict the turn comes first, and the write follows the read at once.
       const waited = this.#lastWriteConflicted;
-      if (waited) yield* this.#budget.take();
+      if (waited) yield* this.#rateLimiter.acquire();
       if (!this.#headIsCurrent) {
         yield* this.#objects.load(this.#ledger);
         this.#headIsCurrent = true;
@@ -141,7 +141,7 @@
       const early = this.#planBatch();
       this.#resolve(early.batch, early.composition);
       if (early.composition.head === undefined) return;
-      if (!waited) yield* this.#budget.take();
+      if (!waited) yield* this.#rateLimiter.acquire();
       const { batch, composition } = this.#planBatch();
       if (composition.head === undefined) {
         return this.#resolve(batch, composition);
@@ -177,14 +177,14 @@
       // lead to a fresh read, as after a lost reply.
       this.#headIsCurrent = false;
       if (composition.sealed !== undefined) {
-        yield* this.#budget.take();
+        yield* this.#rateLimiter.acquire();
       }
       for (const item of batch) item.mayBeRecorded = true;
       yield* this.#objects.save(this.#ledger, composition);
       this.#headIsCurrent = true;
       this.#lastWriteConflicted = false;
       this.#lastFailure = undefined;
-      this.#budget.succeeded();
+      this.#rateLimiter.recordSuccess();
     }).pipe(Effect.tapError((failure) =>
       Effect.sync(() => {
         for (const [index, item] of batch.entries()) {
@@ -219,13 +219,13 @@
       this.#lastFailure = failure;
       this.#lastWriteConflicted = failure._tag === "Conflict";
       if (this.#lastWriteConflicted) {
-        this.#budget.conflicted();
+        this.#rateLimiter.recordConflict();
         return Effect.void;
       }
-      this.#budget.failed(
+      this.#rateLimiter.recordFailure(
         failure._tag === "Unavailable" ? failure.retryAfterMs : 0,
       );
-      return Effect.sleep(this.#budget.intervalMs);
+      return Effect.sleep(this.#rateLimiter.intervalMs);
     });
   }
 
--- a/packages/coordination/src/process/host_list_client.ts
+++ b/packages/coordination/src/process/host_list_client.ts
@@ -8,7 +8,7 @@
 import type { Scope } from "effect/Scope";
 import type { Host, HostFinding, HostList } from "./host_list.ts";
 import { parseHosts } from "./host_list.ts";
-import { HttpExchange } from "./http_client.ts";
+import { HttpClient } from "./http_client.ts";
 
 /** How the platform is asked for its hosts. */
 export interface HostListClientOptions {
@@ -62,7 +62,7 @@
 }
 
 function poll(
-  http: HttpExchange,
+  http: HttpClient,
   path: string,
   options: { readonly timeoutMs: number },
 ): Effect.Effect<HostListResponse, PollFailed> {
@@ -82,7 +82,7 @@
 
 class PolledHostList implements HostList {
   readonly #options: HostListClientOptions;
-  readonly #http: HttpExchange;
+  readonly #http: HttpClient;
   readonly #listeners = new Set<(hosts: readonly Host[]) => void>();
   #hosts: readonly Host[];
   #revision: number | undefined;
@@ -90,7 +90,7 @@
 
   constructor(options: HostListClientOptions) {
     this.#options = options;
-    this.#http = new HttpExchange(new URL(options.url), { maxSockets: 1 });
+    this.#http = new HttpClient(new URL(options.url), { maxSockets: 1 });
     this.#hosts = options.initial ?? [];
   }
 
--- a/packages/coordination/src/process/http_client.ts
+++ b/packages/coordination/src/process/http_client.ts
@@ -8,11 +8,11 @@
 import type { ClientRequest, IncomingMessage } from "node:http";
 import type { Unavailable } from "./store.ts";
 
-const MAX_ANSWER_BYTES = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 const MS_PER_SECOND = 1_000;
 
 /** An answer of the store, whole. */
-export interface StoreReply {
+export interface StoreResponse {
   readonly status: number;
   /** Decoded JSON; absent when there was none. */
   readonly body?: unknown;
@@ -28,7 +28,7 @@
 }
 
 /** Sends requests to one address. */
-export class HttpExchange {
+export class HttpClient {
   readonly #base: URL;
   readonly #agent: Agent;
 
@@ -50,10 +50,10 @@
   send(
     message: StoreRequest,
     options: { readonly timeoutMs: number },
-  ): Effect.Effect<StoreReply, Unavailable> {
-    return Effect.callback<StoreReply, Unavailable>((resume) => {
-      const exchange = new Exchange(message.method !== "GET");
-      const finish = (result: Effect.Effect<StoreReply, Unavailable>) => {
+  ): Effect.Effect<StoreResponse, Unavailable> {
+    return Effect.callback<StoreResponse, Unavailable>((resume) => {
+      const exchange = new RequestTracker(message.method !== "GET");
+      const finish = (result: Effect.Effect<StoreResponse, Unavailable>) => {
         clearTimeout(timer);
         resume(result);
       };
@@ -68,14 +68,14 @@
       const timer = setTimeout(() => {
         finish(Effect.fail(exchange.failure("No answer in time")));
         outgoing.destroy();
-        this.dropIdle();
+        this.closeIdleConnections();
       }, options.timeoutMs);
-      exchange.follow(outgoing);
+      exchange.track(outgoing);
       outgoing.on("error", (error) => {
         finish(Effect.fail(exchange.failure(error.message)));
       });
       outgoing.on("response", (incoming) => {
-        collect(incoming, (reply) => {
+        readResponse(incoming, (reply) => {
           finish(
             typeof reply === "string"
               ? Effect.fail(exchange.failure(reply))
@@ -95,7 +95,7 @@
    * Closes idle connections. They share the path of one that went silent, and
    * each would cost the next request its whole time.
    */
-  dropIdle(): void {
+  closeIdleConnections(): void {
     for (const sockets of Object.values(this.#agent.freeSockets)) {
       for (const socket of sockets ?? []) socket.destroy();
     }
@@ -103,15 +103,15 @@
 }
 
 /** Knows whether any byte of a request can have left this process. */
-class Exchange {
-  readonly #writes: boolean;
+class RequestTracker {
+  readonly #isWrite: boolean;
   #connected = false;
 
   constructor(writes: boolean) {
-    this.#writes = writes;
+    this.#isWrite = writes;
   }
 
-  follow(outgoing: ClientRequest): void {
+  track(outgoing: ClientRequest): void {
     outgoing.on("socket", (socket) => {
       if (!socket.connecting) {
         this.#connected = true;
@@ -129,7 +129,7 @@
       reason,
       // Before the connection stands nothing can have reached the store. After
       // that nothing is known, so a write must be read back by its caller.
-      mayHaveWritten: this.#writes && this.#connected,
+      mayHaveWritten: this.#isWrite && this.#connected,
     };
   }
 }
@@ -143,15 +143,15 @@
   };
 }
 
-function collect(
+function readResponse(
   incoming: IncomingMessage,
-  done: (reply: StoreReply | string) => void,
+  done: (reply: StoreResponse | string) => void,
 ): void {
   const parts: Buffer[] = [];
   let size = 0;
   incoming.on("data", (part: Buffer) => {
     size += part.length;
-    if (size > MAX_ANSWER_BYTES) {
+    if (size > MAX_RESPONSE_BYTES) {
       incoming.destroy();
       done("The answer is too large");
       return;
@@ -161,14 +161,16 @@
   incoming.on("error", (error) => done(error.message));
   incoming.on("aborted", () => done("The answer broke off"));
   incoming.on("end", () => {
-    if (incoming.complete) done(replyOf(incoming, Buffer.concat(parts)));
+    if (incoming.complete) {
+      done(toStoreResponse(incoming, Buffer.concat(parts)));
+    }
   });
 }
 
-function replyOf(
+function toStoreResponse(
   incoming: IncomingMessage,
   bytes: Buffer,
-): StoreReply | string {
+): StoreResponse | string {
   const retryAfter = Number(incoming.headers["retry-after"]);
   const status = incoming.statusCode ?? 0;
   const body = bytes.length === 0 ? undefined : parse(bytes);
--- a/packages/coordination/src/process/http_response.ts
+++ b/packages/coordination/src/process/http_response.ts
@@ -4,20 +4,22 @@
  * @module
  */
 import * as Effect from "effect/Effect";
-import type { StoreReply } from "./http_client.ts";
+import type { StoreResponse } from "./http_client.ts";
 import type { Conflict, Unavailable } from "./store.ts";
 
 /** The decoded body of a read, list or watch. */
-export function bodyOf<T>(reply: StoreReply): Effect.Effect<T, Unavailable> {
+export function responseBody<T>(
+  reply: StoreResponse,
+): Effect.Effect<T, Unavailable> {
   if (reply.status === 200 && reply.body !== undefined) {
     return Effect.succeed(reply.body as T);
   }
-  return unusable(reply, { mayHaveWritten: false });
+  return unavailable(reply, { mayHaveWritten: false });
 }
 
 /** The new version after a write. */
 export function writtenVersion(
-  reply: StoreReply,
+  reply: StoreResponse,
 ): Effect.Effect<number, Conflict | Unavailable> {
   const version = versionIn(reply);
   if (reply.status === 200 && version !== undefined) {
@@ -27,8 +29,8 @@
 }
 
 /** Succeeds after a removal; one that is gone already conflicts as version 0. */
-export function removal(
-  reply: StoreReply,
+export function removalResult(
+  reply: StoreResponse,
 ): Effect.Effect<void, Conflict | Unavailable> {
   if (reply.status === 200) return Effect.void;
   if (reply.status === 404) return conflict(0);
@@ -36,7 +38,7 @@
 }
 
 function writeFailure(
-  reply: StoreReply,
+  reply: StoreResponse,
 ): Effect.Effect<never, Conflict | Unavailable> {
   const version = versionIn(reply);
   if (reply.status === 409 && version !== undefined) return conflict(version);
@@ -44,15 +46,15 @@
   // something between the two ends, after the store did the write.
   const refused = reply.status >= 400 && reply.status < 500 ||
     reply.status === 503;
-  return unusable(reply, { mayHaveWritten: !refused });
+  return unavailable(reply, { mayHaveWritten: !refused });
 }
 
 function conflict(version: number): Effect.Effect<never, Conflict> {
   return Effect.fail({ _tag: "Conflict", version });
 }
 
-function unusable(
-  reply: StoreReply,
+function unavailable(
+  reply: StoreResponse,
   options: { readonly mayHaveWritten: boolean },
 ): Effect.Effect<never, Unavailable> {
   const { status, retryAfterMs } = reply;
@@ -64,7 +66,7 @@
   });
 }
 
-function versionIn(reply: StoreReply): number | undefined {
+function versionIn(reply: StoreResponse): number | undefined {
   const version = (reply.body as { version?: unknown } | undefined)?.version;
   return typeof version === "number" ? version : undefined;
 }
--- a/packages/coordination/src/process/http_store.ts
+++ b/packages/coordination/src/process/http_store.ts
@@ -4,12 +4,16 @@
  * @module
  */
 import * as Effect from "effect/Effect";
-import { HttpExchange } from "./http_client.ts";
-import type { StoreReply } from "./http_client.ts";
-import { bodyOf, removal, writtenVersion } from "./http_response.ts";
+import { HttpClient } from "./http_client.ts";
+import type { StoreResponse } from "./http_client.ts";
+import {
+  removalResult,
+  responseBody,
+  writtenVersion,
+} from "./http_response.ts";
 import { SYSTEM_CLOCK } from "./clock.ts";
 import type { Clock } from "./clock.ts";
-import { StoreHold } from "./retry_after_gate.ts";
+import { RetryAfterGate } from "./retry_after_gate.ts";
 import type {
   Conflict,
   ObjectKey,
@@ -71,11 +75,11 @@
  * ```
  */
 export class HttpStore implements Store {
-  readonly #calls: HttpExchange;
-  readonly #watches: HttpExchange;
+  readonly #calls: HttpClient;
+  readonly #watches: HttpClient;
   readonly #timeoutMs: number;
-  readonly #readHold: StoreHold;
-  readonly #writeHold: StoreHold;
+  readonly #readGate: RetryAfterGate;
+  readonly #writeGate: RetryAfterGate;
   readonly #counters: CountersDraft = {
     reads: 0,
     writes: 0,
@@ -90,11 +94,11 @@
     const clock = options.clock ?? SYSTEM_CLOCK;
     const base = new URL(options.url);
     const maxSockets = options.maxConcurrent ?? DEFAULT_MAX_CONCURRENT;
-    this.#calls = new HttpExchange(base, { maxSockets });
-    this.#watches = new HttpExchange(base, { maxSockets: Infinity });
+    this.#calls = new HttpClient(base, { maxSockets });
+    this.#watches = new HttpClient(base, { maxSockets: Infinity });
     this.#timeoutMs = options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
-    this.#readHold = new StoreHold(clock);
-    this.#writeHold = new StoreHold(clock);
+    this.#readGate = new RetryAfterGate(clock);
+    this.#writeGate = new RetryAfterGate(clock);
   }
 
   /** Calls made so far. */
@@ -115,7 +119,7 @@
     const call = this.#read(pathOf(kind, name));
     return Effect.flatMap(call, (reply) => {
       if (reply.status === 404) return Effect.succeed(undefined);
-      return this.#tally(bodyOf<StoredObject>(reply));
+      return this.#countFailures(responseBody<StoredObject>(reply));
     });
   }
 
@@ -129,7 +133,7 @@
     });
     return Effect.flatMap(
       call,
-      (reply) => this.#tally(writtenVersion(reply)),
+      (reply) => this.#countFailures(writtenVersion(reply)),
     );
   }
 
@@ -139,7 +143,10 @@
   ): Effect.Effect<void, Conflict | Unavailable> {
     const path = pathOf(object.kind, object.name);
     const call = this.#write("DELETE", path, options);
-    return Effect.flatMap(call, (reply) => this.#tally(removal(reply)));
+    return Effect.flatMap(
+      call,
+      (reply) => this.#countFailures(removalResult(reply)),
+    );
   }
 
   list(kind: string): Effect.Effect<StoreListing, Unavailable> {
@@ -147,8 +154,8 @@
       this.#read(pathOf(kind)),
       (reply) =>
         Effect.map(
-          this.#tally(
-            bodyOf<StoreListing>(reply),
+          this.#countFailures(
+            responseBody<StoreListing>(reply),
           ),
           (body) => ({
             revision: body.revision,
@@ -173,32 +180,34 @@
     }).pipe(
       // What silenced the watch has silenced the idle connections of the calls
       // as well, and the list that follows would wait for one of them in vain.
-      Effect.tapError(() => Effect.sync(() => this.#calls.dropIdle())),
+      Effect.tapError(() =>
+        Effect.sync(() => this.#calls.closeIdleConnections())
+      ),
     );
     return Effect.flatMap(
-      this.#guarded(this.#readHold, call),
+      this.#sendUnlessHeld(this.#readGate, call),
       (reply) =>
-        this.#tally(
-          bodyOf<StoreChanges>(reply),
+        this.#countFailures(
+          responseBody<StoreChanges>(reply),
         ),
     );
   }
 
-  #read(path: string): Effect.Effect<StoreReply, Unavailable> {
+  #read(path: string): Effect.Effect<StoreResponse, Unavailable> {
     const call = Effect.suspend(() => {
       this.#counters.reads += 1;
       return this.#calls.send({ method: "GET", path }, {
         timeoutMs: this.#timeoutMs,
       });
     });
-    return this.#guarded(this.#readHold, call);
+    return this.#sendUnlessHeld(this.#readGate, call);
   }
 
   #write(
     method: "PUT" | "DELETE",
     path: string,
     options: { readonly ifVersion: number; readonly value?: unknown },
-  ): Effect.Effect<StoreReply, Unavailable> {
+  ): Effect.Effect<StoreResponse, Unavailable> {
     const call = Effect.suspend(() => {
       this.#counters.writes += 1;
       const headers = { "if-version": String(options.ifVersion) };
@@ -208,13 +217,13 @@
         timeoutMs: this.#timeoutMs,
       });
     });
-    return this.#guarded(this.#writeHold, call);
+    return this.#sendUnlessHeld(this.#writeGate, call);
   }
 
-  #guarded(
-    hold: StoreHold,
-    call: Effect.Effect<StoreReply, Unavailable>,
-  ): Effect.Effect<StoreReply, Unavailable> {
+  #sendUnlessHeld(
+    hold: RetryAfterGate,
+    call: Effect.Effect<StoreResponse, Unavailable>,
+  ): Effect.Effect<StoreResponse, Unavailable> {
     return Effect.suspend(() => {
       const remainingMs = hold.remainingMs();
       if (remainingMs > 0) {
@@ -226,14 +235,14 @@
           retryAfterMs: remainingMs,
         });
       }
-      return this.#tally(call).pipe(
-        Effect.tap((reply) => Effect.sync(() => hold.note(reply))),
+      return this.#countFailures(call).pipe(
+        Effect.tap((reply) => Effect.sync(() => hold.recordResponse(reply))),
       );
     });
   }
 
   /** Counts how a call failed. */
-  #tally<A, E extends Conflict | Unavailable>(
+  #countFailures<A, E extends Conflict | Unavailable>(
     call: Effect.Effect<A, E>,
   ): Effect.Effect<A, E> {
     return Effect.tapError(call, (error) =>
--- a/packages/coordination/src/process/retry_after_gate.ts
+++ b/packages/coordination/src/process/retry_after_gate.ts
@@ -6,10 +6,10 @@
 import type { Clock } from "./clock.ts";
 
 /** Bounds what a store may ask for, so that a wrong header cannot stop us for good. */
-const LONGEST_HOLD_MS = 10_000;
+const MAX_WAIT_MS = 10_000;
 
 /** Time until which no call of a kind may be made. */
-export class StoreHold {
+export class RetryAfterGate {
   readonly #clock: Clock;
   #until = 0;
 
@@ -23,12 +23,12 @@
   }
 
   /** Takes note of the `retry-after` of a refusal. */
-  note(
+  recordResponse(
     reply: { readonly status: number; readonly retryAfterMs?: number },
   ): void {
     if (reply.status !== 429 && reply.status !== 503) return;
     if (reply.retryAfterMs === undefined) return;
-    const holdMs = Math.min(reply.retryAfterMs, LONGEST_HOLD_MS);
+    const holdMs = Math.min(reply.retryAfterMs, MAX_WAIT_MS);
     this.#until = Math.max(this.#until, this.#clock.monotonic() + holdMs);
   }
 }
--- a/packages/coordination/src/process/write_rate_limiter_test.ts
+++ b/packages/coordination/src/process/write_rate_limiter_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { FakeClock } from "../testing/mod.ts";
-import { WriteBudget } from "./write_rate_limiter.ts";
+import { WriteRateLimiter } from "./write_rate_limiter.ts";
 
 const PER_SECOND = 10;
 
@@ -9,7 +9,7 @@
   const clock = new FakeClock({ at: 1_000 });
   return {
     clock,
-    writes: new WriteBudget(clock, { writesPerSecond: PER_SECOND }),
+    writes: new WriteRateLimiter(clock, { writesPerSecond: PER_SECOND }),
   };
 }
 
@@ -39,21 +39,25 @@
 test("a failing store is written to less and less, and more again after", () => {
   const { writes } = budget();
   const usual = writes.intervalMs;
-  for (let failures = 0; failures < 20; failures += 1) writes.failed();
+  for (let failures = 0; failures < 20; failures += 1) writes.recordFailure();
   assert.equal(writes.intervalMs, 1_000);
-  for (let successes = 0; successes < 20; successes += 1) writes.succeeded();
+  for (let successes = 0; successes < 20; successes += 1) {
+    writes.recordSuccess();
+  }
   assert.equal(writes.intervalMs, usual);
 });
 
 test("a store that names a time is left alone until then", () => {
   const { writes } = budget();
-  writes.failed(5_000);
+  writes.recordFailure(5_000);
   assert.ok(writes.reserve() >= 5_000);
 });
 
 test("conflicts slow a writer down to half its rate at most", () => {
   const { writes } = budget();
   const usual = writes.intervalMs;
-  for (let conflicts = 0; conflicts < 20; conflicts += 1) writes.conflicted();
+  for (let conflicts = 0; conflicts < 20; conflicts += 1) {
+    writes.recordConflict();
+  }
   assert.equal(writes.intervalMs, 2 * usual);
 });
--- a/packages/coordination/tests/shares_property_test.ts
+++ b/packages/coordination/tests/shares_property_test.ts
@@ -8,8 +8,8 @@
 import { decodeResponse } from "../src/process/share_message.ts";
 import type {
   GrantResponse,
-  ShareReport,
   OwnerTimestamp,
+  ShareReport,
 } from "../src/process/share_message.ts";
 import { ShareOwner } from "../src/process/share_owner.ts";
 import { FakeClock } from "../src/testing/mod.ts";
