--- a/packages/coordination/src/mod.ts
+++ b/packages/coordination/src/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Coordination parts for fleets of daemons.
+ * Coordination primitives for fleets of daemons: membership, links, leases,
+ * claims, shared limits and published values.
  *
  * @module
  */
--- a/packages/coordination/src/node.ts
+++ b/packages/coordination/src/node.ts
@@ -1,5 +1,5 @@
 /**
- * One member, composed: its links, its membership and its host list.
+ * Composition of a fleet member from its links, membership and host list.
  *
  * @module
  */
@@ -27,57 +27,57 @@
 import { TrafficCounter } from "./process/traffic.ts";
 import type { Traffic } from "./process/traffic.ts";
 
-/** How this process takes part. */
+/** Options of {@linkcode startNode}. */
 export interface NodeOptions {
-  /** Unique over the deployment. */
+  /** Unique within the deployment. */
   readonly name: string;
   /** IP address that others dial. */
   readonly address: string;
-  /** Port that others dial, TCP and UDP; 0 takes a free one. */
+  /** Port that others dial, TCP and UDP; 0 selects a free one. */
   readonly port: number;
-  /** Where to listen, if that differs from what others dial. */
+  /** Endpoint to listen on, if it differs from the one that others dial. */
   readonly listen?: Endpoint;
   readonly region: string;
   readonly failureDomain: string;
   /**
-   * Grows with each start of this host. Default: the time of the start in
+   * Increases with each start of this host. Default: the time of the start, in
    * milliseconds since the epoch.
    */
   readonly incarnation?: number;
-  /** The key that all members share. Never logged. */
+  /** Authentication key shared by all members. Never logged. */
   readonly key: string;
-  /** Who may exist. */
+  /** The hosts to discover members from. */
   readonly hostList: HostList;
-  /** Rides on heartbeats and probes. Default: nothing. */
+  /** Piggybacked on heartbeats and probes. Default: empty. */
   readonly digest?: Digest;
   readonly links?: Partial<LinkSettings>;
   readonly probes?: Partial<ProbeSettings>;
   readonly clock?: Clock;
-  /** Told of each change of membership that is worth a log line. */
+  /** Called for each membership event worth a log line. */
   readonly onEvent?: (event: MembershipEvent) => void;
 }
 
-/** A process that takes part. */
+/** A running member of the fleet. */
 export interface CoordinationNode {
   readonly peers: Peers;
   readonly membership: Membership;
   readonly hostList: HostList;
-  /** Announces that this process leaves; it goes on answering. */
+  /** Announces that this process is leaving; it continues to answer. */
   readonly leave: Effect.Effect<void>;
-  /** What was sent and received so far, for metrics. */
+  /** Traffic since the start, for metrics. */
   traffic(): NodeTraffic;
 }
 
-/** Traffic of a member by protocol. */
+/** Traffic of a member, by protocol. */
 export interface NodeTraffic {
-  /** Datagrams of membership. */
+  /** Datagrams of the membership protocol. */
   readonly probes: Traffic;
-  /** Frames of links, without those of the handshake. */
+  /** Frames of links, excluding those of the handshake. */
   readonly links: Traffic;
 }
 
 /**
- * Takes part until the scope closes.
+ * Starts a member, which takes part in the fleet until the scope closes.
  *
  * @example
  * ```ts
@@ -101,18 +101,19 @@
   const digest = options.digest ?? NO_DIGEST;
   const incarnation = options.incarnation ?? Math.floor(clock.now());
   const { name, address, region, failureDomain, hostList } = options;
-  // Links find members through the membership, which needs their port first.
-  const late: { membership?: ProbedMembership } = {};
+  // Links resolve members through the membership, which needs the links' port
+  // first.
+  const lateBound: { membership?: ProbedMembership } = {};
   const probes = new TrafficCounter();
   const links = new TrafficCounter();
-  const { peers, transport, port } = yield* listenTwice(options, probes, {
+  const { peers, transport, port } = yield* listenTcpAndUdp(options, probes, {
     traffic: links,
     key,
     settings: { ...DEFAULT_LINK_SETTINGS, ...options.links },
     clock,
     digest,
-    self: () => late.membership?.self ?? { name, incarnation },
-    resolve: (peer) => late.membership?.member(peer),
+    self: () => lateBound.membership?.self ?? { name, incarnation },
+    resolve: (peer) => lateBound.membership?.member(peer),
   });
   const membership = yield* ProbedMembership.make({
     self: { name, address, port, region, failureDomain, incarnation },
@@ -124,9 +125,9 @@
     key,
     onEvent: options.onEvent ?? (() => {}),
   });
-  late.membership = membership;
-  // A link that cannot be dialled again hints at a host that is gone; probing
-  // decides, since it may be just this link's path that is cut.
+  lateBound.membership = membership;
+  // A link that cannot be dialled again suggests that the host has failed.
+  // Probing decides, since only the path of this link may be broken.
   peers.subscribe((peer, state) => {
     if (state === "down") membership.probeSoon(peer);
   });
@@ -142,14 +143,14 @@
 interface Listeners {
   readonly peers: LinkedPeers;
   readonly transport: ProbeTransport;
-  /** What others dial. */
+  /** Port that others dial. */
   readonly port: number;
 }
 
 const PORT_ATTEMPTS = 10;
 
-/** Listens on TCP and UDP with one port number. */
-function listenTwice(
+/** Listens on TCP and UDP with the same port number. */
+function listenTcpAndUdp(
   options: NodeOptions,
   probes: TrafficCounter,
   links: Omit<Parameters<typeof LinkedPeers.make>[0], "endpoint">,
@@ -162,12 +163,14 @@
     const port = options.port === 0 ? tcp.endpoint.port : options.port;
     return { peers: tcp.peers, transport, port };
   });
-  // A port that is free for TCP may be taken for UDP; then take another one.
+  // A port that is free for TCP may be in use for UDP; then another is tried.
   const attempts = listen.port === 0 ? PORT_ATTEMPTS : 1;
   return inOwnScope(attempt).pipe(Effect.retry({ times: attempts - 1 }));
 }
 
-/** Closes at once what a failed attempt opened, not only with the outer scope. */
+/**
+ * Closes the resources of a failed attempt at once, not with the outer scope.
+ */
 function inOwnScope<A, E>(
   effect: Effect.Effect<A, E, Scope.Scope>,
 ): Effect.Effect<A, E, Scope.Scope> {
--- a/packages/coordination/src/process/endpoint.ts
+++ b/packages/coordination/src/process/endpoint.ts
@@ -1,32 +1,32 @@
 /**
- * Where processes listen.
+ * Network endpoints and their validation.
  *
  * @module
  */
 
 import { isIP } from "node:net";
 
-/** Where a member listens. */
+/** The address and port that a member listens on. */
 export interface Endpoint {
   /** IP address. */
   readonly address: string;
   readonly port: number;
 }
 
-const HIGHEST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
-/** Whether text is an IP address that can be dialled. */
+/** Whether a value is an IP address. */
 export function isAddress(address: unknown): address is string {
   return typeof address === "string" && isIP(address) !== 0;
 }
 
 /**
- * Whether a number is a port that can be dialled. Node throws on any other, and
- * a record heard from another process must not end this one.
+ * Whether a value is a port that can be dialled. Node throws on any other
+ * value, and a record received from another process must not crash this one.
  */
 export function isPort(port: unknown): port is number {
   return Number.isSafeInteger(port) && Number(port) >= 1 &&
-    Number(port) <= HIGHEST_PORT;
+    Number(port) <= MAX_PORT;
 }
 
 /** The address or port cannot be listened on. */
--- a/packages/coordination/src/process/host_list.ts
+++ b/packages/coordination/src/process/host_list.ts
@@ -1,11 +1,11 @@
 /**
- * The platform's list of hosts: who may exist.
+ * The platform's list of hosts, and validation of its entries.
  *
  * @module
  */
 import { isAddress, isPort } from "./endpoint.ts";
 
-/** A host as the platform lists it. */
+/** A host as listed by the platform. */
 export interface Host {
   readonly name: string;
   readonly role: "entry" | "runner";
@@ -22,11 +22,11 @@
   readonly incarnation: number;
 }
 
-/** The hosts that the platform lists; it lags behind the truth by seconds. */
+/** The hosts listed by the platform; the list may be stale by seconds. */
 export interface HostList {
-  /** The hosts last heard of. They are kept while the platform is down. */
+  /** The hosts last received. They are kept while the platform is down. */
   hosts(): readonly Host[];
-  /** Whether the platform answered the last time that it was asked. */
+  /** Whether the platform answered the last request. */
   current(): boolean;
   /**
    * Calls the listener after each change of the list.
@@ -36,14 +36,14 @@
   subscribe(listener: (hosts: readonly Host[]) => void): () => void;
 }
 
-/** A host of the platform's answer that cannot be read. It is left out. */
+/** A malformed host in the platform's response. It is omitted from the list. */
 export interface HostFinding {
-  /** Place in the answer, from 0. */
+  /** Zero-based index in the response. */
   readonly index: number;
   readonly message: string;
 }
 
-/** Hosts read from an answer of the platform. */
+/** The hosts parsed from a response of the platform. */
 export interface ParsedHosts {
   readonly hosts: readonly Host[];
   readonly findings: readonly HostFinding[];
@@ -52,15 +52,15 @@
 type Check = (value: unknown) => string | undefined;
 
 function checkText(value: unknown): string | undefined {
-  return typeof value === "string" ? undefined : "expected a text";
+  return typeof value === "string" ? undefined : "expected a string";
 }
 
 function checkName(value: unknown): string | undefined {
-  return value === "" ? "expected a text that is not empty" : checkText(value);
+  return value === "" ? "expected a non-empty string" : checkText(value);
 }
 
 function checkInteger(value: unknown): string | undefined {
-  return Number.isSafeInteger(value) ? undefined : "expected a whole number";
+  return Number.isSafeInteger(value) ? undefined : "expected an integer";
 }
 
 function checkAddress(value: unknown): string | undefined {
@@ -77,8 +77,8 @@
     words.some((word) => word === value) ? undefined : `expected ${listed}`;
 }
 
-// By hand rather than with a schema of effect, which would take 11 MB of a
-// daemon's 64 MB for this one record.
+// Validated by hand, since effect's schema module would take 11 MB of a
+// daemon's 64 MB for this single record type.
 const CHECKS: Readonly<Record<keyof Host, Check>> = {
   name: checkName,
   role: oneOf("entry", "runner"),
@@ -105,8 +105,8 @@
 }
 
 /**
- * Reads the hosts of an answer. One that is malformed is reported and left out,
- * so that it does not hide the others.
+ * Parses the hosts of a response. Malformed hosts are reported and omitted, so
+ * that they do not prevent the use of the others.
  */
 export function parseHosts(items: readonly unknown[]): ParsedHosts {
   const hosts: Host[] = [];
@@ -119,8 +119,7 @@
 }
 
 /**
- * A list that does not change, for deployments without a platform's list and
- * for tests.
+ * A constant host list, for tests and for deployments without a platform.
  *
  * @example
  * ```ts
--- a/packages/coordination/src/process/host_list_client.ts
+++ b/packages/coordination/src/process/host_list_client.ts
@@ -1,5 +1,5 @@
 /**
- * The host list over HTTP, by long polls.
+ * HTTP client of the platform's host list, which it follows by long polling.
  *
  * @module
  */
@@ -10,30 +10,31 @@
 import { parseHosts } from "./host_list.ts";
 import { HttpClient } from "./http_client.ts";
 
-/** How the platform is asked for its hosts. */
+/** Options of {@linkcode followHostList}. */
 export interface HostListClientOptions {
   /** Base URL of the platform, such as `http://10.0.0.1:8080`. */
   readonly url: string;
-  /** Hosts to go by until the platform has answered. Default: none. */
+  /** Hosts to use until the platform has answered. Default: none. */
   readonly initial?: readonly Host[];
   /** How long the platform may hold a poll, in milliseconds. Default 30,000. */
   readonly waitMs?: number;
   /**
-   * Pause between two polls, in milliseconds. Default 1,000. Many hosts that
-   * change at once then cost a few polls instead of one each.
+   * Pause between two polls, in milliseconds. Default 1,000. It batches
+   * changes: many hosts that change at once cost a few polls instead of one
+   * each.
    */
   readonly pauseMs?: number;
-  /** Told of hosts that cannot be read. */
+  /** Called with the malformed hosts of a response. */
   readonly onFindings?: (findings: readonly HostFinding[]) => void;
-  /** Told when the platform stops or starts answering. */
+  /** Called when the platform starts or stops answering. */
   readonly onCurrent?: (current: boolean, reason: string) => void;
 }
 
-/** The platform did not answer a poll, or not with a list. */
+/** The platform did not answer a poll, or its response is not a host list. */
 interface PollFailed {
   readonly _tag: "PollFailed";
   readonly reason: string;
-  /** The revision asked from is too old. */
+  /** Whether the requested revision has expired at the platform. */
   readonly gone: boolean;
 }
 
@@ -46,7 +47,7 @@
 const DEFAULT_PAUSE_MS = 1000;
 const MIN_BACKOFF_MS = 200;
 const MAX_BACKOFF_MS = 10_000;
-/** Beyond the wait: an answer that is later never comes. */
+/** Added to the wait for the time-out of a poll. */
 const RESPONSE_MARGIN_MS = 5000;
 const HTTP_OK = 200;
 const HTTP_GONE = 410;
@@ -75,7 +76,7 @@
       }
       return isHostListResponse(body)
         ? Effect.succeed(body)
-        : Effect.fail(pollFailed("answer is no host list"));
+        : Effect.fail(pollFailed("response is not a host list"));
     }),
   );
 }
@@ -107,7 +108,7 @@
     return () => this.#listeners.delete(listener);
   }
 
-  /** Polls for ever, straight down. */
+  /** Polls without end, in sequence. */
   readonly run = Effect.fnUntraced(
     { self: this },
     function* (): Effect.fn.Return<never> {
@@ -121,7 +122,7 @@
         }
         if (failure.gone) this.#revision = undefined;
         this.#setCurrent(false, failure.reason);
-        // Spread, so that the fleet does not come back in one moment.
+        // Jitter, so that the whole fleet does not retry at the same time.
         yield* Effect.sleep(
           yield* Random.nextBetween(backoffMs / 2, backoffMs),
         );
@@ -167,9 +168,9 @@
 }
 
 /**
- * Follows the platform's host list until the scope closes. Returns at once; the
- * list is that of `initial` until the platform has answered, and keeps what it
- * has while the platform is down.
+ * Follows the platform's host list until the scope closes. Returns immediately;
+ * the list holds the `initial` hosts until the platform has answered, and keeps
+ * the last received hosts while the platform is down.
  *
  * @example
  * ```ts
--- a/packages/coordination/src/process/pause_detector.ts
+++ b/packages/coordination/src/process/pause_detector.ts
@@ -1,5 +1,5 @@
 /**
- * Notices that this process did not run for a while.
+ * Detection of pauses, in which this process did not run.
  *
  * @module
  */
@@ -14,15 +14,15 @@
 /** Settings of a {@linkcode PauseDetector}. */
 export interface PauseDetectorOptions {
   readonly clock?: Clock;
-  /** Shortest pause that is told, in milliseconds; 2,000 by default. */
+  /** Shortest pause that is reported, in milliseconds. Default 2,000. */
   readonly thresholdMs?: number;
 }
 
 /**
- * A process that was stopped, or starved of processor time, wakes with beliefs
- * that may be long out of date. After a pause the first tick comes only when its
- * turn comes, so whoever is about to act on a belief calls
- * {@linkcode PauseDetector.check} first.
+ * Detects pauses of this process. A process that was stopped, or starved of CPU
+ * time, resumes with state that may be stale. The timer that detects the pause
+ * may fire only after other events, so code that is about to act on such state
+ * calls {@linkcode PauseDetector.check} first.
  */
 export class PauseDetector {
   readonly #clock: Clock;
@@ -46,7 +46,7 @@
     return () => this.#listeners.delete(listener);
   }
 
-  /** Tells the listeners of a pause, if there was one since the last check. */
+  /** Notifies the listeners if there was a pause since the last check. */
   check(): void {
     const pausedMs = elapsedSince(this.#lastTick, this.#clock);
     this.#lastTick = timestampOf(this.#clock);
@@ -54,7 +54,7 @@
     for (const listener of [...this.#listeners]) listener(pausedMs);
   }
 
-  /** Checks regularly until the scope closes. */
+  /** Checks at regular intervals until the scope closes. */
   start(): Effect.Effect<void, never, Scope.Scope> {
     const tick = Effect.sleep(TICK_MS).pipe(
       Effect.andThen(Effect.sync(() => this.check())),
--- a/packages/coordination/src/process/peers.ts
+++ b/packages/coordination/src/process/peers.ts
@@ -1,13 +1,13 @@
 /**
- * Messages between members, over authenticated links.
+ * The interface of messaging between members over authenticated links.
  *
  * @module
  */
 import type * as Effect from "effect/Effect";
 
 /**
- * A message could not be sent, or its answer did not come. After `no-link` and
- * `refused` the handler has not run; after the others it may have.
+ * A message could not be sent, or its response did not arrive. With `no-link`
+ * and `refused`, the handler has not run; with the other reasons it may have.
  */
 export interface PeerUnreachable {
   readonly _tag: "PeerUnreachable";
@@ -28,42 +28,42 @@
   return { _tag: "PeerUnreachable", peer, reason };
 }
 
-/** Receives the messages of one channel. */
+/** Handles the messages of a channel; its result is the response. */
 export type MessageHandler = (
   from: string,
   message: unknown,
 ) => Effect.Effect<unknown>;
 
 /**
- * Links to all members. A message belongs to a named channel; the value is any
- * CBOR item, which the receiver checks.
+ * Links to all members. Each message is sent on a named channel. Its value may
+ * be any CBOR item, which the receiver validates.
  */
 export interface Peers {
   /**
-   * Sends without waiting for an answer. A link that is not there yet is dialled
-   * and the message waits for it.
+   * Sends a message without waiting for a response. If there is no link yet, it
+   * is dialled and the message is queued.
    *
-   * @returns false when the message is dropped at once: the member is not known
-   * or could not be reached a moment ago, the queue is full, or the message is
-   * larger than a frame. True is no promise that it arrives.
+   * @returns false if the message is dropped immediately: the member is unknown
+   * or was recently unreachable, the queue is full, or the message is larger
+   * than a frame. True does not guarantee delivery.
    */
   send(to: string, channel: string, message: unknown): boolean;
   /**
-   * Sends and waits for the answer of the other end's handler. Interrupting the
-   * effect, or its timeout, interrupts that handler.
+   * Sends a message and waits for the response of the peer's handler.
+   * Interrupting the effect, or its time-out, interrupts that handler.
    */
   request(
     to: string,
     message: { readonly channel: string; readonly body: unknown },
     options: { readonly timeoutMs: number },
   ): Effect.Effect<unknown, PeerUnreachable>;
-  /** Sets the handler of a channel; a second one for the same channel throws. */
+  /** Sets the handler of a channel. Throws if the channel already has one. */
   handle(channel: string, handler: MessageHandler): void;
   /**
-   * Calls the listener when a member can be reached over a link after it could
-   * not, and when a link that failed in use could not be replaced. That an idle
-   * link closes is not told, so `down` hints at a member that is gone, and
-   * `membership` decides.
+   * Calls the listener with `up` when a member becomes reachable over a link,
+   * and with `down` when a link that failed in use could not be replaced.
+   * Closing an idle link is not reported. So `down` only suggests that a member
+   * has failed; the membership decides.
    *
    * @returns a function that ends the subscription.
    */
--- a/packages/coordination/src/process/traffic.ts
+++ b/packages/coordination/src/process/traffic.ts
@@ -1,10 +1,12 @@
 /**
- * Counts of what a process sends to others and gets from them.
+ * Counters of messages and bytes sent and received.
  *
  * @module
  */
 
-/** Messages and bytes since the start, without the headers of TCP, UDP and IP. */
+/**
+ * Messages and bytes since the start, without the headers of TCP, UDP and IP.
+ */
 export interface Traffic {
   readonly sent: number;
   readonly sentBytes: number;
@@ -19,19 +21,19 @@
   #received = 0;
   #receivedBytes = 0;
 
-  /** One message of this size was sent. */
+  /** Counts a sent message of `bytes` bytes. */
   addSent(bytes: number): void {
     this.#sent += 1;
     this.#sentBytes += bytes;
   }
 
-  /** One message of this size came. */
+  /** Counts a received message of `bytes` bytes. */
   addReceived(bytes: number): void {
     this.#received += 1;
     this.#receivedBytes += bytes;
   }
 
-  /** The counts at this moment. */
+  /** A snapshot of the counters. */
   read(): Traffic {
     return {
       sent: this.#sent,
--- a/packages/coordination/src/testing/fake_clock.ts
+++ b/packages/coordination/src/testing/fake_clock.ts
@@ -1,5 +1,5 @@
 /**
- * A clock that moves only when told.
+ * A clock that advances only on request.
  *
  * @module
  */
@@ -10,7 +10,7 @@
   #monotonic: number;
   #skew: number;
 
-  /** `skew` is what the shared clock shows beyond the own one. */
+  /** `skew` is the offset of the wall clock from the monotonic clock. */
   constructor(options: { readonly at?: number; readonly skew?: number } = {}) {
     this.#monotonic = options.at ?? 0;
     this.#skew = options.skew ?? 0;
@@ -24,7 +24,7 @@
     return this.#monotonic;
   }
 
-  /** Lets time pass. */
+  /** Advances both clocks. */
   advance(ms: number): void {
     this.#monotonic += ms;
   }
--- a/packages/coordination/src/testing/fake_membership.ts
+++ b/packages/coordination/src/testing/fake_membership.ts
@@ -1,11 +1,11 @@
 /**
- * A membership whose view is set by the test.
+ * A membership with a view set by the test.
  *
  * @module
  */
 import type { Member, Membership, View } from "../process/membership.ts";
 
-/** Makes a member with the fields that a test does not care about. */
+/** Makes a member with default values for the fields not given. */
 export function memberNamed(
   name: string,
   fields: Partial<Member> = {},
@@ -21,7 +21,7 @@
   };
 }
 
-/** {@linkcode Membership} with a view by hand. */
+/** {@linkcode Membership} with a settable view. */
 export class FakeMembership implements Membership {
   readonly self: Member;
   readonly #listeners = new Set<(view: View) => void>();
@@ -41,7 +41,7 @@
     return () => this.#listeners.delete(listener);
   }
 
-  /** Replaces the view; all of it alive. */
+  /** Replaces the members; all of them are alive. */
   set(members: readonly Member[]): void {
     this.#view = viewOf(this.#view.version + 1, members);
     for (const listener of [...this.#listeners]) listener(this.#view);
--- a/packages/coordination/src/testing/memory_network.ts
+++ b/packages/coordination/src/testing/memory_network.ts
@@ -1,5 +1,5 @@
 /**
- * Links between members in memory, with cuts and losses on demand.
+ * In-memory links between members, with fault injection.
  *
  * @module
  */
@@ -11,7 +11,7 @@
   PeerUnreachable,
 } from "../process/peers.ts";
 
-/** A message on its way. */
+/** A message in transit. */
 export interface Delivery {
   readonly from: string;
   readonly to: string;
@@ -19,25 +19,28 @@
   readonly kind: "send" | "request" | "answer";
 }
 
-/** What happens to a message: delivered, lost without a sign, or refused at once. */
+/**
+ * What is done with a message: deliver it, lose it silently, or refuse it at
+ * once.
+ */
 export type DeliveryAction = "deliver" | "lose" | "refuse";
 
-/** Links all its {@linkcode Peers} with each other. */
+/** A network that links all its {@linkcode Peers} with each other. */
 export class MemoryNetwork {
   readonly #members = new Map<string, MemoryPeers>();
-  /** Decides the fate of each message; all are delivered by default. */
+  /** Decides what is done with each message. Default: all are delivered. */
   intercept: (delivery: Delivery) => DeliveryAction = () => "deliver";
-  /** Messages so far, lost ones included. */
+  /** All messages so far, including lost ones. */
   readonly deliveries: Delivery[] = [];
 
-  /** The links of one member; a second call replaces it, as a restart does. */
+  /** The links of a member; a second call replaces them, as a restart does. */
   peers(name: string): Peers {
     const peers = new MemoryPeers(name, this);
     this.#members.set(name, peers);
     return peers;
   }
 
-  /** Takes a member off the network. */
+  /** Disconnects a member from the network. */
   remove(name: string): void {
     this.#members.delete(name);
   }
@@ -45,14 +48,14 @@
   /** @internal */
   handler(delivery: Delivery): MessageHandler | DeliveryAction {
     this.deliveries.push(delivery);
-    const fate = this.intercept(delivery);
-    if (fate !== "deliver") return fate;
+    const action = this.intercept(delivery);
+    if (action !== "deliver") return action;
     const to = this.#members.get(delivery.to);
     return to?.handler(delivery.channel) ?? "refuse";
   }
 
   /** @internal */
-  answered(delivery: Delivery): DeliveryAction {
+  interceptAnswer(delivery: Delivery): DeliveryAction {
     this.deliveries.push(delivery);
     return this.intercept(delivery);
   }
@@ -99,27 +102,27 @@
       });
     const { channel } = message;
     return Effect.gen({ self: this }, function* () {
-      const there: Delivery = {
+      const outbound: Delivery = {
         from: this.#name,
         to,
         channel,
         kind: "request",
       };
-      const handler = this.#network.handler(there);
+      const handler = this.#network.handler(outbound);
       if (handler === "refuse") return yield* failed("no-link");
       if (typeof handler === "string") return yield* Effect.never;
       const body: unknown = decode(encode(message.body));
-      const answer = yield* handler(this.#name, body);
-      const back: Delivery = {
+      const response = yield* handler(this.#name, body);
+      const inbound: Delivery = {
         from: to,
         to: this.#name,
         channel,
         kind: "answer",
       };
-      const fate = this.#network.answered(back);
-      if (fate === "refuse") return yield* failed("closed");
-      if (fate === "lose") return yield* Effect.never;
-      return decode(encode(answer)) as unknown;
+      const action = this.#network.interceptAnswer(inbound);
+      if (action === "refuse") return yield* failed("closed");
+      if (action === "lose") return yield* Effect.never;
+      return decode(encode(response)) as unknown;
     }).pipe(Effect.timeoutOrElse({
       duration: options.timeoutMs,
       orElse: () => failed("timeout"),
@@ -128,7 +131,7 @@
 
   handle(channel: string, handler: MessageHandler): void {
     if (this.#handlers.has(channel)) {
-      throw new Error(`Channel "${channel}" has a handler already`);
+      throw new Error(`Channel "${channel}" already has a handler`);
     }
     this.#handlers.set(channel, handler);
   }
--- a/packages/coordination/src/testing/memory_store.ts
+++ b/packages/coordination/src/testing/memory_store.ts
@@ -1,5 +1,5 @@
 /**
- * An object store in memory, with faults on demand.
+ * An in-memory object store with fault injection.
  *
  * @module
  */
@@ -18,7 +18,7 @@
   WriteCondition,
 } from "../process/store.ts";
 
-/** A call about to be made. */
+/** A call to the store. */
 export interface StoreCall {
   readonly operation: "read" | "write" | "remove" | "list" | "watch";
   readonly kind: string;
@@ -29,13 +29,13 @@
 }
 
 /**
- * What happens to a call. `lose-reply`: it takes effect and its reply is lost.
- * `refuse`: the store refuses it, nothing is written. `lose-request`: nothing is
- * written and the caller can't know that.
+ * Fault injected into a call. `lose-reply`: the call takes effect, but its
+ * reply is lost. `refuse`: the store refuses the call, and nothing is written.
+ * `lose-request`: nothing is written, and the caller cannot know that.
  */
 export type StoreFault = "none" | "lose-reply" | "refuse" | "lose-request";
 
-/** Decides the fate of each call; an effect may wait, to make a call slow. */
+/** Chooses the fault of each call; an effect may wait, to make a call slow. */
 export type FaultPlan = (
   call: StoreCall,
 ) => StoreFault | Effect.Effect<StoreFault>;
@@ -44,18 +44,18 @@
   readonly kind: string;
 }
 
-/** {@linkcode Store} for tests. Shared by all that are given the same object. */
+/** {@linkcode Store} for tests; processes share it by sharing the object. */
 export class MemoryStore implements Store {
   readonly #objects = new Map<string, StoredObject>();
   readonly #events: Event[] = [];
-  readonly #waiting = new Set<() => void>();
+  readonly #watchers = new Set<() => void>();
   #revision = 0;
-  /** Calls made so far, refused ones included. */
+  /** All calls so far, including refused ones. */
   readonly calls: StoreCall[] = [];
-  /** Asked before each call; none fail by default. */
+  /** Called before each call. Default: no faults. */
   plan: FaultPlan = () => "none";
 
-  /** A view of the same objects with faults of its own. */
+  /** A view of the same objects with its own fault plan. */
   withPlan(plan: FaultPlan): Store {
     return new FaultyStore(this, plan);
   }
@@ -79,12 +79,13 @@
       { operation: "write", ...object },
       this.plan,
       this.#conditional(object, options.ifVersion, () => {
-        const version = this.#next();
-        // Values cross a wire in truth; a copy keeps tests from sharing state.
+        const version = this.#nextRevision();
+        // A real store serializes values; a copy prevents tests from sharing
+        // state.
         const value: unknown = JSON.parse(JSON.stringify(object.value));
         const { kind, name } = object;
         this.#objects.set(keyOf(kind, name), { kind, name, version, value });
-        this.#announce({ type: "put", kind, name, version, value });
+        this.#publish({ type: "put", kind, name, version, value });
         return version;
       }),
     );
@@ -100,8 +101,8 @@
       this.plan,
       this.#conditional(object, options.ifVersion, () => {
         this.#objects.delete(keyOf(kind, name));
-        const version = this.#next();
-        this.#announce({ type: "delete", kind, name, version });
+        const version = this.#nextRevision();
+        this.#publish({ type: "delete", kind, name, version });
       }),
     );
   }
@@ -155,8 +156,8 @@
     change: () => A,
   ): Effect.Effect<A, Conflict> {
     return Effect.suspend(() => {
-      const present = this.#objects.get(keyOf(object.kind, object.name));
-      const version = present?.version ?? 0;
+      const current = this.#objects.get(keyOf(object.kind, object.name));
+      const version = current?.version ?? 0;
       if (version !== ifVersion) {
         return Effect.fail<Conflict>({ _tag: "Conflict", version });
       }
@@ -168,41 +169,43 @@
     kind: string,
     options: WatchRange,
   ) {
-    const later = () =>
+    const newEvents = () =>
       this.#events.filter((event) =>
         event.kind === kind && event.version > options.from
       );
     return Effect.callback<StoreChanges>((resume) => {
-      const answer = () => {
+      const respond = () => {
         clearTimeout(timer);
-        this.#waiting.delete(look);
-        resume(Effect.succeed({ revision: this.#revision, events: later() }));
+        this.#watchers.delete(check);
+        resume(
+          Effect.succeed({ revision: this.#revision, events: newEvents() }),
+        );
       };
-      const look = () => {
-        if (later().length > 0) answer();
+      const check = () => {
+        if (newEvents().length > 0) respond();
       };
-      const timer = setTimeout(answer, options.waitMs);
-      this.#waiting.add(look);
-      look();
+      const timer = setTimeout(respond, options.waitMs);
+      this.#watchers.add(check);
+      check();
       return Effect.sync(() => {
         clearTimeout(timer);
-        this.#waiting.delete(look);
+        this.#watchers.delete(check);
       });
     });
   }
 
-  #next(): number {
+  #nextRevision(): number {
     this.#revision += 1;
     return this.#revision;
   }
 
-  #announce(event: Event): void {
+  #publish(event: Event): void {
     this.#events.push(event);
-    for (const look of [...this.#waiting]) look();
+    for (const check of [...this.#watchers]) check();
   }
 }
 
-/** One caller's view of a shared store. */
+/** A view of a shared store with its own fault plan. */
 class FaultyStore implements Store {
   readonly #store: MemoryStore;
   readonly #plan: FaultPlan;
--- a/packages/coordination/src/testing/mod.ts
+++ b/packages/coordination/src/testing/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Fakes of the interfaces of coordination, for tests.
+ * Test doubles of the interfaces of coordination.
  *
  * @module
  */
--- a/packages/coordination/src/testing/settable_host_list.ts
+++ b/packages/coordination/src/testing/settable_host_list.ts
@@ -1,12 +1,12 @@
 /**
- * A host list that is set from outside.
+ * A host list that is set by its user.
  *
  * @module
  */
 import type { Host, HostList } from "../process/host_list.ts";
 
 /**
- * {@linkcode HostList} for tests and measurements: empty until it is set, and
+ * {@linkcode HostList} for tests and benchmarks: empty until it is set, and
  * always current.
  *
  * @example
@@ -33,7 +33,7 @@
     return () => this.#listeners.delete(listener);
   }
 
-  /** Takes a whole list in place of the former one and tells the listeners. */
+  /** Replaces the list and notifies the listeners. */
   set(hosts: readonly Host[]): void {
     this.#hosts = hosts;
     for (const listener of [...this.#listeners]) listener(hosts);
