--- a/packages/coordination/src/process/host_list_client_test.ts
+++ b/packages/coordination/src/process/host_list_client_test.ts
@@ -21,7 +21,7 @@
   };
 }
 
-/** A platform whose polls the test answers, one by one. */
+/** A fake platform whose polls the test answers one at a time. */
 class Platform {
   readonly paths: string[] = [];
   readonly #server: Server;
@@ -74,9 +74,9 @@
 
 function follow(
   platform: Platform,
-  change: Partial<HostListClientOptions> = {},
+  overrides: Partial<HostListClientOptions> = {},
 ) {
-  return followHostList({ url: platform.url, pauseMs: 1, ...change });
+  return followHostList({ url: platform.url, pauseMs: 1, ...overrides });
 }
 
 function names(list: HostList): readonly string[] {
@@ -85,14 +85,14 @@
 
 function nextChange(list: HostList): Effect.Effect<readonly Host[]> {
   return Effect.callback((resume) => {
-    const end = list.subscribe((hosts) => {
-      end();
+    const unsubscribe = list.subscribe((hosts) => {
+      unsubscribe();
       resume(Effect.succeed(hosts));
     });
   });
 }
 
-test("the list follows the platform's answers, from revision to revision", () =>
+test("the list follows the platform from revision to revision", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const platform = yield* Platform.open;
     const list = yield* follow(platform, { waitMs: 777 });
@@ -106,25 +106,26 @@
     ]);
   }))));
 
-test("the list stays as it was while the platform is down", () =>
-  // The platform answers once and then fails. The hosts last heard of stay, the
-  // list says that it is not current, and follows again once answers come.
+test("the list keeps its hosts while the platform is down", () =>
+  // The platform answers once and then fails. The list keeps the hosts last
+  // received, reports that it is not current, and recovers with the next
+  // answer.
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const platform = yield* Platform.open;
-    const turns: boolean[] = [];
+    const states: boolean[] = [];
     const list = yield* follow(platform, {
-      onCurrent: (current) => turns.push(current),
+      onCurrent: (current) => states.push(current),
     });
     yield* platform.answer(200, { revision: 1, hosts: [hostNamed("a")] });
     yield* platform.answer(503, {});
     yield* platform.answer(200, { revision: 1, hosts: [hostNamed("a")] });
     yield* platform.answer(200, { revision: 1, hosts: [hostNamed("a")] });
     assert.deepEqual(names(list), ["a"]);
-    assert.deepEqual(turns, [true, false, true]);
+    assert.deepEqual(states, [true, false, true]);
     assert.equal(list.current(), true);
   }))));
 
-test("a revision that is too old is asked for no more", () =>
+test("an expired revision is not requested again", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const platform = yield* Platform.open;
     yield* follow(platform);
@@ -134,7 +135,7 @@
     assert.equal(platform.paths[2], "/hosts");
   }))));
 
-test("hosts to start with serve until the platform has answered", () =>
+test("the initial hosts are used until the platform has answered", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const platform = yield* Platform.open;
     const list = yield* follow(platform, { initial: [hostNamed("seed")] });
@@ -149,19 +150,19 @@
     assert.deepEqual(hosts.map(({ name }) => name), ["a"]);
   }))));
 
-test("a host that cannot be read is reported with its place, and the others kept", () =>
+test("a malformed host is reported with its index, and the others are kept", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const platform = yield* Platform.open;
     const found: HostFinding[] = [];
     const list = yield* follow(platform, {
       onFindings: (findings) => found.push(...findings),
     });
-    const broken = { ...hostNamed("b"), port: "x", state: "asleep" };
+    const malformed = { ...hostNamed("b"), port: "x", state: "asleep" };
     yield* nextChange(list).pipe(
       Effect.zip(
         platform.answer(200, {
           revision: 1,
-          hosts: [hostNamed("a"), broken, hostNamed("c")],
+          hosts: [hostNamed("a"), malformed, hostNamed("c")],
         }),
         { concurrent: true },
       ),
@@ -174,7 +175,7 @@
     );
   }))));
 
-test("an answer that is no host list counts as none", () =>
+test("a response that is not a host list counts as a failed poll", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const platform = yield* Platform.open;
     const list = yield* follow(platform, { initial: [hostNamed("seed")] });
--- a/packages/coordination/src/process/membership_datagram_test.ts
+++ b/packages/coordination/src/process/membership_datagram_test.ts
@@ -32,19 +32,19 @@
   };
 }
 
-test("a datagram holds what was sealed", () => {
+test("a sealed datagram opens to the same probe", () => {
   const codec = new ProbeCodec(KEY, MAX_BYTES);
   const probe = probeWith([recordOf("m4"), recordOf("m5")]);
   assert.deepEqual(codec.open(codec.seal(probe)), probe);
 });
 
-test("a datagram of another key is not decoded", () => {
+test("a datagram sealed with another key is ignored", () => {
   const other = new ProbeCodec(Buffer.from("another key"), MAX_BYTES);
   const codec = new ProbeCodec(KEY, MAX_BYTES);
   assert.equal(codec.open(other.seal(probeWith([]))), undefined);
 });
 
-test("a changed, cut, empty or foreign datagram is ignored", () => {
+test("a corrupted, truncated or empty datagram is ignored", () => {
   const codec = new ProbeCodec(KEY, MAX_BYTES);
   const datagram = codec.seal(probeWith([recordOf("m4")]));
   for (let at = 0; at < datagram.length; at++) {
@@ -55,7 +55,7 @@
   }
 });
 
-test("a datagram over the size is ignored even when it is authentic", () => {
+test("a datagram over the maximum size is ignored even if it is authentic", () => {
   const sender = new ProbeCodec(KEY, MAX_BYTES);
   const strict = new ProbeCodec(KEY, 100);
   const datagram = sender.seal(probeWith([recordOf("m4")]));
--- a/packages/coordination/src/process/membership_record_test.ts
+++ b/packages/coordination/src/process/membership_record_test.ts
@@ -18,16 +18,16 @@
   by: fc.constantFrom("m1", "m2"),
 }, { noNullPrototype: true });
 
-function joined(records: readonly MemberRecord[]): string {
+function merged(records: readonly MemberRecord[]): string {
   const [first, ...rest] = records;
   assert.ok(first);
   let known = first;
-  for (const heard of rest) known = mergeRecords(known, heard) ?? known;
+  for (const received of rest) known = mergeRecords(known, received) ?? known;
   const { member, refutations, health, leaving } = known;
   return `${member.incarnation} ${refutations} ${health} ${leaving}`;
 }
 
-test("members that heard the same beliefs in any order agree", () => {
+test("merging the same records in any order gives the same result", () => {
   fc.assert(
     fc.property(
       fc.array(RECORD, { minLength: 1, maxLength: 8 }),
@@ -38,14 +38,14 @@
           const at = (picks.next().value ?? 0) % (shuffled.length + 1);
           shuffled.splice(at, 0, record);
         }
-        assert.equal(joined(shuffled), joined(records));
-        assert.equal(joined([...records, ...shuffled]), joined(records));
+        assert.equal(merged(shuffled), merged(records));
+        assert.equal(merged([...records, ...shuffled]), merged(records));
       },
     ),
   );
 });
 
-test("a late message of an earlier start changes nothing", () => {
+test("a delayed record of an earlier incarnation changes nothing", () => {
   const known: MemberRecord = {
     member: memberNamed("m1", { incarnation: 5 }),
     refutations: 0,
@@ -63,21 +63,21 @@
   assert.equal(mergeRecords(known, late), undefined);
 });
 
-test("records survive encoding", () => {
+test("a record decodes to what was encoded", () => {
   fc.assert(fc.property(RECORD, (record) => {
     assert.deepEqual(decodeRecord(encodeRecord(record)), record);
   }));
 });
 
-test("bytes that hold no record are none", () => {
+test("bytes that are not a record decode to undefined", () => {
   for (const bytes of [new Uint8Array([0xff]), new Uint8Array(), "x", null]) {
     assert.equal(decodeRecord(bytes), undefined);
   }
 });
 
-test("a record that nobody could send to is none", () => {
-  // Node throws on port 0 or 70,000, and looks names up. One such record,
-  // heard or listed, would end each process that came to probe the member.
+test("a record with an endpoint that cannot be dialled is rejected", () => {
+  // Node throws on port 0 or 70,000, and resolves host names. One such record,
+  // received or listed, would crash each process that probes the member.
   const record: MemberRecord = {
     member: memberNamed("m1"),
     refutations: 0,
@@ -85,8 +85,8 @@
     leaving: false,
     by: "m1",
   };
-  const broken = [{ port: 0 }, { port: 70_000 }, { address: "localhost" }];
-  for (const change of broken) {
+  const invalid = [{ port: 0 }, { port: 70_000 }, { address: "localhost" }];
+  for (const change of invalid) {
     const member = { ...record.member, ...change };
     assert.equal(decodeRecord(encodeRecord({ ...record, member })), undefined);
   }
--- a/packages/coordination/src/process/rendezvous_test.ts
+++ b/packages/coordination/src/process/rendezvous_test.ts
@@ -22,7 +22,7 @@
 
 const NAMES = fc.uniqueArray(fc.string({ minLength: 1 }), { maxLength: 30 });
 
-test("the order holds each member once and ignores how they are listed", () => {
+test("the order holds each member once and does not depend on input order", () => {
   fc.assert(fc.property(fc.string(), NAMES, (key, names) => {
     const order = rendezvous(key, names);
     assert.deepEqual([...order].sort(), [...names].sort());
@@ -30,7 +30,7 @@
   }));
 });
 
-test("the first that is accepted is the first of the order that is", () => {
+test("first returns the first accepted member of the order", () => {
   const names = named("host", 60);
   const members = new Rendezvous(names);
   const accepted = new Set(names.filter((_, index) => index % 7 === 0));
@@ -45,7 +45,7 @@
   }
 });
 
-test("without one member the order of the others stays", () => {
+test("removing a member does not change the order of the others", () => {
   fc.assert(fc.property(fc.string(), NAMES, fc.nat(), (key, names, pick) => {
     const gone = names[pick % Math.max(1, names.length)];
     const rest = names.filter((name) => name !== gone);
@@ -61,11 +61,12 @@
   );
   const loads = [...counts(firsts).values()];
   assert.equal(loads.length, members.length);
-  // 1000 each in the mean; a binomial spread stays within 5 deviations.
+  // 1000 each in the mean; the bound is 5 standard deviations of a binomial
+  // distribution.
   for (const load of loads) assert.ok(Math.abs(load - 1000) < 155, `${load}`);
 });
 
-test("each key has an owner, and no member more than the bound", () => {
+test("each key has an owner, and no member exceeds the bound", () => {
   fc.assert(
     fc.property(
       NAMES.filter((names) => names.length > 0),
@@ -86,7 +87,7 @@
   );
 });
 
-test("with room to spare each key stays with its first member", () => {
+test("with spare capacity each key is owned by its first member", () => {
   const members = named("m", 5);
   const keys = named("k", 50);
   const owners = boundedOwners(keys, members, { loadBound: 5 });
@@ -95,9 +96,10 @@
   }
 });
 
-test("a member that goes moves few keys beside its own", () => {
-  // 60 members own 150 shards. Losing one raises the others' bound or fills a
-  // few of them, so a key or two beside its own move (measured: 2 at most).
+test("removing a member moves few keys besides its own", () => {
+  // 60 members own 150 shards. Removing one raises the others' bound or fills a
+  // few of them, so at most 2 other keys move here; the bound below leaves a
+  // margin.
   const members = named("m", 60);
   const keys = named("shard", 150);
   const before = boundedOwners(keys, members, { loadBound: 1.25 });
@@ -109,14 +111,14 @@
   }
 });
 
-test("a bound under 1 is refused", () => {
+test("a bound below 1 throws", () => {
   assert.throws(
     () => boundedOwners(["k"], ["m"], { loadBound: 0.5 }),
     /Cannot bound load by 0.5/,
   );
 });
 
-test("no members own nothing", () => {
+test("without members no key has an owner", () => {
   assert.equal(boundedOwners(["k"], [], { loadBound: 1.25 }).size, 0);
   assert.deepEqual(rendezvous("k", []), []);
 });
--- a/packages/coordination/tests/fleet_fixture.ts
+++ b/packages/coordination/tests/fleet_fixture.ts
@@ -1,5 +1,5 @@
 /**
- * Members on a network in memory, in the time of a test clock.
+ * A fleet of members on an in-memory network, driven by a test clock.
  *
  * @module
  */
@@ -29,12 +29,12 @@
 const ADDRESS = "10.0.0.1";
 const FIRST_PORT = 7000;
 
-/** Whether a datagram is lost between two members. */
+/** Whether a datagram between two members is lost. */
 export type Loss = (from: string, to: string) => boolean;
 
 export function memberNamed(
   name: string,
-  change: Partial<Member> = {},
+  overrides: Partial<Member> = {},
 ): Member {
   return {
     name,
@@ -43,12 +43,12 @@
     region: "kingston",
     failureDomain: "portmore",
     incarnation: 1,
-    ...change,
+    ...overrides,
   };
 }
 
-export function hostOf(member: Member, change: Partial<Host> = {}): Host {
-  return { ...member, role: "entry", state: "live", ...change };
+export function hostOf(member: Member, overrides: Partial<Host> = {}): Host {
+  return { ...member, role: "entry", state: "live", ...overrides };
 }
 
 interface Running {
@@ -63,10 +63,10 @@
 
 /** Members that share a host list and a network. */
 export class Fleet {
-  readonly list = new SettableHostList();
+  readonly hostList = new SettableHostList();
   readonly events: { readonly at: string; readonly event: MembershipEvent }[] =
     [];
-  /** Loses nothing until a test says otherwise. */
+  /** Datagram loss; none by default. */
   loss: Loss = () => false;
   datagrams = 0;
   bytes = 0;
@@ -92,25 +92,26 @@
     return this.#clock;
   }
 
-  /** Lists members as live hosts. */
+  /** Sets the host list to the members, as live hosts. */
   listAll(members: readonly Member[]): void {
-    this.list.set(members.map((member) => hostOf(member)));
+    this.hostList.set(members.map((member) => hostOf(member)));
   }
 
   readonly start = Effect.fnUntraced(
     { self: this },
     function* (
       self: Member,
-      given: { readonly digest?: Digest; readonly hostList?: HostList } = {},
+      overrides: { readonly digest?: Digest; readonly hostList?: HostList } =
+        {},
     ): Effect.fn.Return<ProbedMembership> {
       const scope = yield* Scope.fork(this.#scope);
       const membership = yield* ProbedMembership.make({
         self,
-        hostList: given.hostList ?? this.list,
-        transport: this.#attach(self),
+        hostList: overrides.hostList ?? this.hostList,
+        transport: this.#connect(self),
         settings: { ...DEFAULT_PROBE_SETTINGS, ...this.#options.settings },
         clock: this.#clock,
-        digest: given.digest ?? NO_DIGEST,
+        digest: overrides.digest ?? NO_DIGEST,
         key: FLEET_KEY,
         onEvent: (event) => this.events.push({ at: self.name, event }),
       }).pipe(Scope.provide(scope));
@@ -119,7 +120,7 @@
     },
   );
 
-  /** Starts listed members, all at once. */
+  /** Lists and starts members, all at once. */
   readonly startAll = Effect.fnUntraced(
     { self: this },
     function* (members: readonly Member[]): Effect.fn.Return<void> {
@@ -128,17 +129,17 @@
     },
   );
 
-  /** Ends a member without a word. */
+  /** Ends a member without an announcement. */
   kill(name: string): Effect.Effect<void> {
     return Effect.suspend(() => {
-      for (const [place, listener] of this.#listeners) {
-        if (listener.name === name) this.#listeners.delete(place);
+      for (const [key, listener] of this.#listeners) {
+        if (listener.name === name) this.#listeners.delete(key);
       }
       return this.stop(name);
     });
   }
 
-  /** Ends a member in good order. */
+  /** Ends a member, which announces its departure. */
   stop(name: string): Effect.Effect<void> {
     return Effect.suspend(() => {
       const running = this.#running.get(name);
@@ -154,7 +155,10 @@
     return running.membership;
   }
 
-  /** The view of a member: its names, with a state other than alive after "=". */
+  /**
+   * The view of a member as text: names, each with "=" and a state if not
+   * alive.
+   */
   viewOf(name: string): string {
     return this.member(name).view().members
       .map(({ member, state }) =>
@@ -168,12 +172,12 @@
     return [...this.#running.keys()].map((name) => this.viewOf(name));
   }
 
-  /** Each time that a member came to believe another removed. */
+  /** All events in which a member removed another. */
   removals(): readonly string[] {
     return this.#changesTo("removed");
   }
 
-  /** Each time that a member came to believe another suspect. */
+  /** All events in which a member suspected another. */
   suspicions(): readonly string[] {
     return this.#changesTo("suspect");
   }
@@ -186,44 +190,44 @@
     );
   }
 
-  #attach(self: Member): ProbeTransport {
-    const place = placeOf(self);
+  #connect(self: Member): ProbeTransport {
+    const key = endpointKey(self);
     const connected = { name: self.name, receive: (_: Uint8Array) => {} };
-    this.#listeners.set(place, connected);
+    this.#listeners.set(key, connected);
     return {
       listen: (receive) => {
         connected.receive = receive;
       },
       send: (datagram, to) => {
-        if (this.#listeners.get(place) !== connected) return;
-        this.#carry(self.name, placeOf(to), datagram);
+        if (this.#listeners.get(key) !== connected) return;
+        this.#transmit(self.name, endpointKey(to), datagram);
       },
     };
   }
 
-  #carry(from: string, place: string, datagram: Uint8Array): void {
+  #transmit(from: string, key: string, datagram: Uint8Array): void {
     this.datagrams += 1;
     this.bytes += datagram.length;
-    const to = this.#listeners.get(place);
+    const to = this.#listeners.get(key);
     if (to === undefined || this.loss(from, to.name)) return;
-    this.#deliver(place, datagram);
+    this.#deliver(key, datagram);
   }
 
-  #deliver: (place: string, datagram: Uint8Array) => void = () => {};
+  #deliver: (key: string, datagram: Uint8Array) => void = () => {};
 
-  /** Connects the network to the fibres of the test. */
+  /** Starts delivery of datagrams on fibres of the test. */
   readonly open = Effect.fnUntraced(
     { self: this },
     function* (): Effect.fn.Return<void> {
       const run = Effect.runForkWith(yield* Effect.context());
       const latencyMs = this.#options.latencyMs ?? 2;
-      this.#deliver = (place, datagram) => {
-        const arrive = Effect.sync(() =>
-          this.#listeners.get(place)?.receive(datagram)
+      this.#deliver = (key, datagram) => {
+        const deliver = Effect.sync(() =>
+          this.#listeners.get(key)?.receive(datagram)
         );
         run(
           Effect.sleep(latencyMs).pipe(
-            Effect.andThen(arrive),
+            Effect.andThen(deliver),
             Effect.forkIn(this.#scope),
           ),
         );
@@ -232,11 +236,11 @@
   );
 }
 
-function placeOf(endpoint: Endpoint): string {
+function endpointKey(endpoint: Endpoint): string {
   return `${endpoint.address}:${endpoint.port}`;
 }
 
-/** Runs a test with a fleet, in the time of a test clock. */
+/** Runs a test with a fleet on a test clock. */
 export function withFleet(
   test: (fleet: Fleet) => Effect.Effect<void>,
   options: FleetOptions & { readonly seed?: number } = {},
@@ -256,7 +260,7 @@
   );
 }
 
-/** Lets the given virtual seconds pass. */
-export function pass(seconds: number): Effect.Effect<void> {
+/** Advances the test clock. */
+export function advanceSeconds(seconds: number): Effect.Effect<void> {
   return TestClock.adjust(seconds * 1000);
 }
--- a/packages/coordination/tests/membership_pause_test.ts
+++ b/packages/coordination/tests/membership_pause_test.ts
@@ -13,14 +13,19 @@
 import { DEFAULT_PROBE_SETTINGS } from "../src/process/membership_settings.ts";
 import type { ProbeTransport } from "../src/process/membership_transport.ts";
 import type { MemberState } from "../src/process/membership.ts";
-import { FLEET_KEY, hostOf, memberNamed, pass } from "./fleet_fixture.ts";
+import {
+  advanceSeconds,
+  FLEET_KEY,
+  hostOf,
+  memberNamed,
+} from "./fleet_fixture.ts";
 
 const HOUR_MS = 3_600_000;
 const STEP_S = 0.25;
 
-/** Others that answer as the test says. */
-class Others implements ProbeTransport {
-  readonly heard: Probe[] = [];
+/** Fake members that answer pings while `answering` is set. */
+class FakeMembers implements ProbeTransport {
+  readonly received: Probe[] = [];
   answering = true;
   readonly #codec = new ProbeCodec(
     FLEET_KEY,
@@ -35,7 +40,7 @@
   send(datagram: Uint8Array): void {
     const probe = this.#codec.open(datagram);
     if (probe === undefined) return;
-    this.heard.push(probe);
+    this.received.push(probe);
     if (this.answering && probe.kind === "ping") this.answer(probe);
   }
 
@@ -56,16 +61,16 @@
   }
 }
 
-interface Stage {
-  readonly others: Others;
+interface TestContext {
+  readonly members: FakeMembers;
   readonly membership: ProbedMembership;
-  /** Lets the process stand still, as seen by its own clock. */
-  readonly standStill: (ms: number) => void;
+  /** Pauses the process, as measured by its own clock. */
+  readonly pause: (ms: number) => void;
 }
 
-/** "m1" among three others, on a clock that can jump. */
-function withPauses(
-  test: (stage: Stage) => Effect.Effect<void>,
+/** Runs "m1" with three other members, on a clock that can jump. */
+function withPausableProcess(
+  test: (context: TestContext) => Effect.Effect<void>,
 ): Promise<void> {
   const run = Effect.gen(function* () {
     const testClock = yield* Clock.clockWith(Effect.succeed);
@@ -74,12 +79,12 @@
       now: () => testClock.currentTimeMillisUnsafe() + pausedMs,
       monotonic: () => testClock.currentTimeMillisUnsafe() + pausedMs,
     };
-    const others = new Others();
+    const members = new FakeMembers();
     const names = ["m1", "m2", "m3", "m4"];
     const membership = yield* ProbedMembership.make({
       self: memberNamed("m1"),
       hostList: fixedHostList(names.map((name) => hostOf(memberNamed(name)))),
-      transport: others,
+      transport: members,
       settings: DEFAULT_PROBE_SETTINGS,
       clock,
       digest: NO_DIGEST,
@@ -87,9 +92,9 @@
       onEvent: () => {},
     });
     yield* test({
-      others,
+      members,
       membership,
-      standStill: (ms) => {
+      pause: (ms) => {
         pausedMs += ms;
       },
     });
@@ -106,93 +111,97 @@
   return membership.view().members.map(({ state }) => state);
 }
 
-/** Seconds until "m1" suspects or removes someone, if nobody answers from 3 s. */
+/** Seconds until the states at "m1" match, if no member answers from 3 s on. */
 function secondsUntil(
-  happened: (states: readonly MemberState[]) => boolean,
+  matches: (states: readonly MemberState[]) => boolean,
 ): Promise<number> {
   let seconds = 3;
-  return withPauses(({ others, membership }) =>
+  return withPausableProcess(({ members, membership }) =>
     Effect.gen(function* () {
-      yield* pass(seconds);
-      others.answering = false;
-      while (!happened(statesOf(membership))) {
-        yield* pass(STEP_S);
+      yield* advanceSeconds(seconds);
+      members.answering = false;
+      while (!matches(statesOf(membership))) {
+        yield* advanceSeconds(STEP_S);
         seconds += STEP_S;
       }
     })
   ).then(() => seconds);
 }
 
-test("a process that stood still waits to hear the others before it removes one", async () => {
-  // m1 is about to remove one that did not answer, and is paused for an hour.
-  // When it wakes the time is up, while what the others said waits unread.
+test("after a pause, no member is removed before the others could answer", async () => {
+  // m1 is paused for an hour just before it removes a member that did not
+  // answer. When it resumes, the suspicion has expired while the others'
+  // datagrams are still unread.
   const removedAt = await secondsUntil((states) => states.length < 4);
-  await withPauses(({ others, membership, standStill }) =>
+  await withPausableProcess(({ members, membership, pause }) =>
     Effect.gen(function* () {
-      yield* pass(3);
-      others.answering = false;
-      yield* pass(removedAt - 3 - 2 * STEP_S);
-      standStill(HOUR_MS);
-      yield* pass(1.5);
+      yield* advanceSeconds(3);
+      members.answering = false;
+      yield* advanceSeconds(removedAt - 3 - 2 * STEP_S);
+      pause(HOUR_MS);
+      yield* advanceSeconds(1.5);
       assert.equal(statesOf(membership).length, 4);
     })
   );
 });
 
-test("a process that stood still gives those it suspects the time that it missed", async () => {
-  // m1 has just come to suspect one and is paused for an hour. That hour must
-  // not count: the suspect has had no time to contradict.
+test("a pause extends the suspicions of a process", async () => {
+  // m1 is paused for an hour just after it suspects a member. That hour must
+  // not count, since the suspect had no time to refute the suspicion.
   const suspectedAt = await secondsUntil((states) =>
     states.includes("suspect")
   );
-  await withPauses(({ others, membership, standStill }) =>
+  await withPausableProcess(({ members, membership, pause }) =>
     Effect.gen(function* () {
-      yield* pass(3);
-      others.answering = false;
-      yield* pass(suspectedAt - 3);
-      standStill(HOUR_MS);
-      yield* pass(2.9);
+      yield* advanceSeconds(3);
+      members.answering = false;
+      yield* advanceSeconds(suspectedAt - 3);
+      pause(HOUR_MS);
+      yield* advanceSeconds(2.9);
       assert.equal(statesOf(membership).length, 4);
     })
   );
 });
 
-test("a process that stood still judges nobody by the probe that it missed", () =>
-  // The pause falls between the last wait of a probe, from 4 s on, and its end.
-  // The timer fires at the wake, before anything that came can be read.
-  withPauses(({ others, membership, standStill }) =>
+test("a probe interrupted by a pause causes no suspicion", () =>
+  // The pause falls into the last wait of a probe, which starts at 4 s. On
+  // resume the timer fires before received datagrams can be read.
+  withPausableProcess(({ members, membership, pause }) =>
     Effect.gen(function* () {
-      yield* pass(3);
-      others.answering = false;
-      yield* pass(2.02);
-      standStill(10_000);
-      others.answering = true;
-      yield* pass(3);
+      yield* advanceSeconds(3);
+      members.answering = false;
+      yield* advanceSeconds(2.02);
+      pause(10_000);
+      members.answering = true;
+      yield* advanceSeconds(3);
       assert.ok(!statesOf(membership).includes("suspect"));
     })
   ));
 
-test("a process that stood still contradicts first and asks for what it missed", () =>
-  // The others have removed m1 meanwhile. It says that it is alive, with a
-  // higher number of refutations, before anyone tells it, and asks for records.
-  withPauses(({ others, standStill }) =>
+test("after a pause, a process first refutes its removal and requests records", () =>
+  // The others have removed m1 during the pause. It asserts that it is alive,
+  // with a higher number of refutations, before it receives a claim of its
+  // removal, and requests records.
+  withPausableProcess(({ members, pause }) =>
     Effect.gen(function* () {
-      yield* pass(12);
-      others.heard.length = 0;
-      standStill(HOUR_MS);
-      yield* pass(0.3);
-      const asked = others.heard.filter(({ wantsRecords }) => wantsRecords);
-      assert.ok(asked.length >= 3);
-      for (const { sender } of asked) assert.equal(sender.refutations, 1);
+      yield* advanceSeconds(12);
+      members.received.length = 0;
+      pause(HOUR_MS);
+      yield* advanceSeconds(0.3);
+      const requests = members.received.filter(({ wantsRecords }) =>
+        wantsRecords
+      );
+      assert.ok(requests.length >= 3);
+      for (const { sender } of requests) assert.equal(sender.refutations, 1);
     })
   ));
 
-test("a process that did not stand still removes those that do not answer", () =>
-  withPauses(({ others, membership }) =>
+test("without a pause, members that do not answer are removed", () =>
+  withPausableProcess(({ members, membership }) =>
     Effect.gen(function* () {
-      yield* pass(3);
-      others.answering = false;
-      yield* pass(120);
+      yield* advanceSeconds(3);
+      members.answering = false;
+      yield* advanceSeconds(120);
       assert.deepEqual(statesOf(membership), ["alive"]);
     })
   ));
--- a/packages/coordination/tests/membership_property_test.ts
+++ b/packages/coordination/tests/membership_property_test.ts
@@ -2,21 +2,21 @@
 import { test } from "node:test";
 import * as Effect from "effect/Effect";
 import fc from "fast-check";
-import { memberNamed, pass, withFleet } from "./fleet_fixture.ts";
+import { advanceSeconds, memberNamed, withFleet } from "./fleet_fixture.ts";
 import type { Fleet } from "./fleet_fixture.ts";
 
 const MEMBERS = 5;
 const NAMES = Array.from({ length: MEMBERS }, (_, i) => `m${i + 1}`);
 const RUNS = 25;
-/** The same runs each time; 400 others of random seeds were tried by hand. */
+/** Fixed for reproducible runs; 400 more with random seeds were run by hand. */
 const SEED = 6;
-/** Long enough for a member that all have removed to be found again. */
+/** Long enough for a member removed by all others to rejoin. */
 const SETTLING_S = 60;
 
 type Fault =
   | { readonly kind: "lossy"; readonly share: number }
   | { readonly kind: "one-way"; readonly from: string; readonly to: string }
-  | { readonly kind: "apart"; readonly side: readonly string[] }
+  | { readonly kind: "partition"; readonly side: readonly string[] }
   | { readonly kind: "kill"; readonly name: string }
   | { readonly kind: "restart"; readonly name: string };
 
@@ -33,7 +33,7 @@
   }),
   fc.record({ kind: fc.constant("one-way" as const), from: NAME, to: NAME }),
   fc.record({
-    kind: fc.constant("apart" as const),
+    kind: fc.constant("partition" as const),
     side: fc.subarray(NAMES),
   }),
   fc.record({ kind: fc.constant("kill" as const), name: NAME }),
@@ -44,8 +44,8 @@
   { maxLength: 5 },
 );
 
-/** Which members run, and as which start. */
-class Starts {
+/** The running members and their incarnations. */
+class RunningMembers {
   readonly #running = new Map(NAMES.map((name) => [name, 1]));
 
   running(): readonly string[] {
@@ -57,16 +57,16 @@
     function* (
       fleet: Fleet,
       fault: Fault,
-      chance: () => number,
+      random: () => number,
     ): Effect.fn.Return<void> {
       switch (fault.kind) {
         case "lossy":
-          fleet.loss = () => chance() < fault.share;
+          fleet.loss = () => random() < fault.share;
           return;
         case "one-way":
           fleet.loss = (from, to) => from === fault.from && to === fault.to;
           return;
-        case "apart":
+        case "partition":
           fleet.loss = (from, to) =>
             fault.side.includes(from) !== fault.side.includes(to);
           return;
@@ -85,29 +85,29 @@
   );
 }
 
-test("once faults stop, all live members agree on who is alive", () =>
-  // Losses, one-way cuts, partitions, kills and restarts come in any order and
-  // at any time, and some members are suspected or removed by mistake. When the
-  // network is well again each live member must see all live ones and no other.
+test("once faults stop, the views of all live members converge", () =>
+  // Losses, one-way and full partitions, kills and restarts happen in any order
+  // and at any time, and some members are falsely suspected or removed. Once
+  // the network has recovered, each live member must see exactly the live ones.
   fc.assert(
     fc.asyncProperty(
       STEPS,
       fc.integer(),
       fc.infiniteStream(fc.double({ min: 0, max: 1, noNaN: true })),
-      (steps, seed, chances) =>
+      (steps, seed, randoms) =>
         withFleet((fleet) =>
           Effect.gen(function* () {
-            const starts = new Starts();
-            const chance = () => chances.next().value ?? 0;
+            const members = new RunningMembers();
+            const random = () => randoms.next().value ?? 0;
             yield* fleet.startAll(NAMES.map((name) => memberNamed(name)));
             for (const { fault, seconds } of steps) {
-              yield* starts.apply(fleet, fault, chance);
-              yield* pass(seconds);
+              yield* members.apply(fleet, fault, random);
+              yield* advanceSeconds(seconds);
             }
             fleet.loss = () => false;
-            yield* pass(SETTLING_S);
-            const wanted = starts.running().join(" ");
-            for (const view of fleet.views()) assert.equal(view, wanted);
+            yield* advanceSeconds(SETTLING_S);
+            const expected = members.running().join(" ");
+            for (const view of fleet.views()) assert.equal(view, expected);
           }), { seed }),
     ),
     { numRuns: RUNS, seed: SEED },
--- a/packages/coordination/tests/node_test.ts
+++ b/packages/coordination/tests/node_test.ts
@@ -9,7 +9,7 @@
 import type { Host, HostList } from "../src/process/host_list.ts";
 import type { View } from "../src/process/membership.ts";
 
-const EMPTY = fixedHostList([]);
+const EMPTY_HOST_LIST = fixedHostList([]);
 
 function nodeNamed(name: string, hostList: HostList) {
   return startNode({
@@ -25,7 +25,7 @@
   });
 }
 
-function listing(node: CoordinationNode): HostList {
+function hostListOf(node: CoordinationNode): HostList {
   const host: Host = {
     ...node.membership.self,
     role: "entry",
@@ -34,37 +34,37 @@
   return fixedHostList([host]);
 }
 
-/** Waits for a view in which the wanted member has the wanted state. */
+/** Waits for a view in which a member has a state; undefined means absent. */
 function awaitState(
   node: CoordinationNode,
   name: string,
   state: string | undefined,
 ): Effect.Effect<void> {
-  const holds = (view: View) =>
+  const matches = (view: View) =>
     view.members.find(({ member }) => member.name === name)?.state === state;
   return Effect.callback((resume) => {
-    if (holds(node.membership.view())) return resume(Effect.void);
-    const end = node.membership.subscribe((view) => {
-      if (!holds(view)) return;
-      end();
+    if (matches(node.membership.view())) return resume(Effect.void);
+    const unsubscribe = node.membership.subscribe((view) => {
+      if (!matches(view)) return;
+      unsubscribe();
       resume(Effect.void);
     });
   });
 }
 
-test("two nodes find each other, talk, and part", () =>
+test("two nodes discover each other, exchange a message, and one leaves", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const a = yield* nodeNamed("a", EMPTY);
+    const a = yield* nodeNamed("a", EMPTY_HOST_LIST);
     const scope = yield* Scope.make();
-    const b = yield* nodeNamed("b", listing(a)).pipe(Scope.provide(scope));
+    const b = yield* nodeNamed("b", hostListOf(a)).pipe(Scope.provide(scope));
     yield* awaitState(a, "b", "alive");
     yield* awaitState(b, "a", "alive");
     a.peers.handle("hello", (from) => Effect.succeed(`hello ${from}`));
-    const answer = yield* b.peers.request("a", {
+    const response = yield* b.peers.request("a", {
       channel: "hello",
       body: null,
     }, { timeoutMs: 10_000 });
-    assert.equal(answer, "hello b");
+    assert.equal(response, "hello b");
     yield* b.leave;
     yield* awaitState(a, "b", "leaving");
     yield* Scope.close(scope, Exit.void);
@@ -80,7 +80,7 @@
       region: "kingston",
       failureDomain: "portmore",
       key: "a key for tests only",
-      hostList: EMPTY,
+      hostList: EMPTY_HOST_LIST,
     }).pipe(Effect.flip);
     assert.equal(failure._tag, "ListenFailed");
     assert.match(
--- a/packages/coordination/tests/peers_test.ts
+++ b/packages/coordination/tests/peers_test.ts
@@ -5,7 +5,7 @@
 import * as Fiber from "effect/Fiber";
 import { startLinkPair } from "./link_fixture.ts";
 
-test("a request is answered by the other end's handler", () =>
+test("a request is answered by the peer's handler", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const { a } = yield* startLinkPair({
       onB: (peers) =>
@@ -15,24 +15,24 @@
             Effect.succeed({ from, twice: Number(message) * 2 }),
         ),
     });
-    const answer = yield* a.request("b", { channel: "double", body: 21 }, {
+    const response = yield* a.request("b", { channel: "double", body: 21 }, {
       timeoutMs: 10_000,
     });
-    assert.deepEqual(answer, { from: "a", twice: 42 });
+    assert.deepEqual(response, { from: "a", twice: 42 });
   }))));
 
 test("a message sent while the link is dialled arrives", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const heard = yield* Deferred.make<unknown>();
+    const received = yield* Deferred.make<unknown>();
     const { a } = yield* startLinkPair({
       onB: (peers) =>
         peers.handle(
           "note",
-          (_from, message) => Deferred.succeed(heard, message),
+          (_from, message) => Deferred.succeed(received, message),
         ),
     });
     assert.equal(a.send("b", "note", { text: "hello" }), true);
-    assert.deepEqual(yield* Deferred.await(heard), { text: "hello" });
+    assert.deepEqual(yield* Deferred.await(received), { text: "hello" });
   }))));
 
 test("both ends use the link that one of them dialled", () =>
@@ -48,7 +48,7 @@
     assert.equal(yield* b.request("a", message, options), "a");
   }))));
 
-test("a request to a member that nobody knows fails at once", () =>
+test("a request to an unknown member fails at once", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const { a } = yield* startLinkPair({});
     const failure = yield* a.request("c", { channel: "x", body: 0 }, {
@@ -61,7 +61,7 @@
     });
   }))));
 
-test("a handler that fails answers with its failure", () =>
+test("a request whose handler fails is answered with a failure", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const { a } = yield* startLinkPair({
       onB: (peers) => peers.handle("broken", () => Effect.die("bug")),
@@ -72,7 +72,7 @@
     assert.equal(failure.reason, "handler-failed");
   }))));
 
-test("a request on a channel without handler is refused", () =>
+test("a request on a channel without a handler is refused", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const { a } = yield* startLinkPair({});
     const failure = yield* a.request("b", { channel: "none", body: 0 }, {
@@ -81,7 +81,7 @@
     assert.equal(failure.reason, "refused");
   }))));
 
-test("interrupting a request interrupts its handler at the other end", () =>
+test("interrupting a request interrupts its handler at the peer", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const started = yield* Deferred.make<void>();
     const interrupted = yield* Deferred.make<void>();
@@ -93,15 +93,15 @@
             Effect.onInterrupt(() => Deferred.succeed(interrupted, undefined)),
           )),
     });
-    const asking = yield* a.request("b", { channel: "wait", body: 0 }, {
+    const pending = yield* a.request("b", { channel: "wait", body: 0 }, {
       timeoutMs: 60_000,
     }).pipe(Effect.forkChild);
     yield* Deferred.await(started);
-    yield* Fiber.interrupt(asking);
+    yield* Fiber.interrupt(pending);
     yield* Deferred.await(interrupted);
   }))));
 
-test("requests beyond the handlers' bound are refused, and the others answered", () =>
+test("requests beyond the limit of running handlers are refused, and the others answered", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const release = yield* Deferred.make<string>();
     const bothStarted = yield* Deferred.make<void>();
@@ -115,27 +115,27 @@
           return Deferred.await(release);
         }),
     });
-    const ask = a.request("b", { channel: "wait", body: 0 }, {
+    const request = a.request("b", { channel: "wait", body: 0 }, {
       timeoutMs: 60_000,
     });
-    const first = yield* ask.pipe(Effect.forkChild);
-    const second = yield* ask.pipe(Effect.forkChild);
+    const first = yield* request.pipe(Effect.forkChild);
+    const second = yield* request.pipe(Effect.forkChild);
     yield* Deferred.await(bothStarted);
-    const third = yield* ask.pipe(Effect.flip);
+    const third = yield* request.pipe(Effect.flip);
     assert.equal(third.reason, "refused");
     yield* Deferred.succeed(release, "done");
     assert.equal(yield* Fiber.join(first), "done");
     assert.equal(yield* Fiber.join(second), "done");
   }))));
 
-test("a message to oneself reaches one's own handler", () =>
+test("a member can send a request to itself", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const { a } = yield* startLinkPair({
       onA: (peers) =>
         peers.handle("name", (from) => Effect.succeed(`from ${from}`)),
     });
-    const answer = yield* a.request("a", { channel: "name", body: 0 }, {
+    const response = yield* a.request("a", { channel: "name", body: 0 }, {
       timeoutMs: 10_000,
     });
-    assert.equal(answer, "from a");
+    assert.equal(response, "from a");
   }))));
--- a/packages/coordination/tests/readme_test.ts
+++ b/packages/coordination/tests/readme_test.ts
@@ -8,12 +8,12 @@
 import { fileURLToPath } from "node:url";
 
 const README = fileURLToPath(new URL("../../README.md", import.meta.url));
-/** Within the package, so that the example finds its imports. */
+/** Within the package, so that the example resolves its imports. */
 const BUILT = fileURLToPath(new URL("..", import.meta.url));
 const EXAMPLE = /```js\n([\s\S]*?)```/;
 const COMMANDS = /^node member\.mjs (.*)$/gm;
 
-/** The README's first example, in a file of its own. */
+/** Writes the README's first example to a file. */
 function exampleFile(): { readonly folder: string; readonly file: string } {
   const example = EXAMPLE.exec(readFileSync(README, "utf8"))?.[1];
   assert.ok(example, "README.md has no example");
@@ -23,7 +23,9 @@
   return { folder, file };
 }
 
-/** The parameters of the README's commands, with ports that are free. */
+/**
+ * The parameters of the README's commands, with ports replaced by free ones.
+ */
 function parametersOf(ports: ReadonlyMap<string, string>) {
   const text = readFileSync(README, "utf8");
   return [...text.matchAll(COMMANDS)].map(([, parameters = ""]) =>
@@ -31,7 +33,7 @@
   );
 }
 
-/** A process of the example whose lines can be awaited. */
+/** A process of the example, with a way to wait for lines of its output. */
 class Example {
   readonly #child: ChildProcess;
   readonly #lines: string[] = [];
@@ -67,7 +69,7 @@
   }
 }
 
-test("the README's two processes find each other, talk and part", async () => {
+test("the README's two processes discover each other, exchange messages and leave", async () => {
   const { folder, file } = exampleFile();
   const running: Example[] = [];
   try {
