--- a/packages/coordination/src/connection/dial.ts
+++ b/packages/coordination/src/connection/dial.ts
@@ -1,5 +1,5 @@
 /**
- * Opening TCP connections.
+ * Opens and accepts TCP connections.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 import type { LinkClosed } from "./frame.ts";
 import { linkClosed } from "./frame.ts";
 
-/** Connects; interrupting destroys the socket. */
+/** Connects to an endpoint; interrupting the effect destroys the socket. */
 export function dial(endpoint: Endpoint): Effect.Effect<Socket, LinkClosed> {
   return Effect.callback((resume) => {
     const socket = connect({
@@ -30,9 +30,9 @@
 }
 
 /**
- * Listens until the scope closes.
+ * Listens for connections until the scope closes.
  *
- * @returns where it listens: port 0 has become the one that was given.
+ * @returns the endpoint, with the assigned port if port 0 was given.
  */
 export function listen(
   endpoint: Endpoint,
@@ -40,7 +40,7 @@
 ): Effect.Effect<Endpoint, ListenFailed, Scope> {
   const open = Effect.callback<Server, ListenFailed>((resume) => {
     const server = createServer({ noDelay: true }, (socket) => {
-      // An error also closes the socket, which the reader sees; unhandled, it
+      // The reader sees the socket close. Without a handler the error event
       // would end the process.
       socket.on("error", () => socket.destroy());
       onConnection(socket);
--- a/packages/coordination/src/connection/frame.ts
+++ b/packages/coordination/src/connection/frame.ts
@@ -1,5 +1,5 @@
 /**
- * Frames of a link: a 4-byte big-endian length and that many bytes.
+ * Reads the frames of a link: a 4-byte big-endian length and that many bytes.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 
 export { encodeFrame, LENGTH_BYTES };
 
-/** Why a link can no longer be used. */
+/** Why a link was closed. */
 export interface LinkClosed {
   readonly _tag: "LinkClosed";
   readonly reason:
@@ -23,7 +23,7 @@
     | "silent"
     | "idle"
     | "stopped";
-  /** More for the log; never holds a key or a message. */
+  /** Detail for diagnosis; never contains a key or a message. */
   readonly detail?: string;
 }
 
@@ -40,9 +40,10 @@
 /**
  * Reads frames from a socket, one at a time.
  *
- * The socket stays paused between frames, so a slow reader holds the sender
- * back through TCP. A length over the limit closes the link before any space
- * is taken for the frame: otherwise four bytes of a stranger could claim 4 GiB.
+ * The socket stays paused between frames, so that a slow reader slows down the
+ * sender through TCP flow control. A length over the limit closes the link
+ * before a buffer is allocated for the frame: otherwise four bytes from an
+ * unauthenticated client could make the process allocate 4 GiB.
  */
 export class FrameReader {
   readonly #socket: Socket;
@@ -63,7 +64,7 @@
     );
   }
 
-  /** Sets the largest frame accepted from now on, in bytes. */
+  /** Sets the size of the largest frame accepted from now on, in bytes. */
   setMaxFrameBytes(maxFrameBytes: number): void {
     this.#maxFrameBytes = maxFrameBytes;
   }
@@ -114,7 +115,10 @@
     return Effect.succeed(body);
   }
 
-  /** At the end of the stream `read` returns what is left, which is no frame. */
+  /**
+   * Reads exactly this many bytes. At the end of the stream the socket returns
+   * a shorter rest, which is not a frame.
+   */
   #read(bytes: number): Buffer | undefined {
     const chunk: Buffer | null = this.#socket.read(bytes);
     if (chunk === null || chunk.length < bytes) return undefined;
--- a/packages/coordination/src/connection/frame_bytes.ts
+++ b/packages/coordination/src/connection/frame_bytes.ts
@@ -1,14 +1,14 @@
 /**
- * The bytes of one frame: a 4-byte big-endian length and that many bytes.
+ * Encodes a frame: a 4-byte big-endian length and that many bytes.
  *
  * @module
  */
 import { Buffer } from "node:buffer";
 
-/** Bytes of the length before each frame. */
+/** Size of the length prefix of each frame, in bytes. */
 export const LENGTH_BYTES = 4;
 
-/** Puts the length before the parts of one frame. */
+/** Concatenates the parts of a frame and prepends their length. */
 export function encodeFrame(parts: readonly Uint8Array[]): Buffer {
   let length = 0;
   for (const part of parts) length += part.length;
--- a/packages/coordination/src/connection/frame_test.ts
+++ b/packages/coordination/src/connection/frame_test.ts
@@ -8,7 +8,7 @@
 
 const LIMIT = 1024;
 
-test("frames arrive whole and in order however they are cut up", () =>
+test("frames arrive complete and in order, however the stream is split", () =>
   fc.assert(
     fc.asyncProperty(
       fc.array(fc.uint8Array({ maxLength: 200 }), { maxLength: 8 }),
@@ -31,9 +31,9 @@
     { numRuns: 20 },
   ));
 
-test("a length over the limit is refused before its bytes come", () =>
-  // A stranger sends four bytes that claim 4 GiB, and nothing more. Nothing is
-  // allocated or waited for: the link fails on the length alone.
+test("a length over the limit is rejected before the frame arrives", () =>
+  // An unauthenticated client sends only a length prefix, of 4 GiB. The reader
+  // must fail on the length alone, without allocating or waiting.
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const { near, far } = yield* socketPair;
     const reader = new FrameReader(far, LIMIT);
@@ -42,7 +42,7 @@
     assert.equal(failure.reason, "frame-too-large");
   }))));
 
-test("a link that ends within a frame fails", () =>
+test("the reader fails when the connection ends within a frame", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const { near, far } = yield* socketPair;
     const reader = new FrameReader(far, LIMIT);
--- a/packages/coordination/src/connection/handshake.ts
+++ b/packages/coordination/src/connection/handshake.ts
@@ -1,18 +1,18 @@
 /**
  * Mutual authentication at the start of a link.
  *
- * Four frames, the dialling end first:
+ * The ends exchange four frames, the dialling end first:
  *
- * 1. hello: magic, lowest and highest version spoken, 32 random bytes.
+ * 1. hello: magic, lowest and highest supported version, 32 random bytes.
  * 2. hello of the accepting end.
  * 3. proof: HMAC-SHA256 over both hellos and the sender's identity, and that
  *    identity.
  * 4. proof of the accepting end, which also covers the dialling end's identity.
  *
- * The accepting end proves itself only after the dialling end has, so that a
- * stranger gets nothing but random bytes. Hellos have a fixed layout and an
- * identity is decoded only after its HMAC has been checked, so nothing of a
- * stranger's reaches the CBOR decoder.
+ * The accepting end sends its proof only after it has checked that of the
+ * dialling end, so that a client without the key receives nothing but random
+ * bytes. Hellos have a fixed layout, and an identity is decoded only after its
+ * HMAC has been checked, so no unauthenticated input reaches the CBOR decoder.
  *
  * @module
  */
@@ -31,13 +31,13 @@
 import { Opener, Sealer } from "./session.ts";
 import type { Session } from "./session.ts";
 
-/** Largest frame before the other end is authenticated, in bytes. */
+/** Largest frame that is accepted during the handshake, in bytes. */
 export const MAX_HANDSHAKE_FRAME_BYTES = 512;
 
-/** Lowest version of the link protocol that this code speaks. */
+/** Lowest supported version of the link protocol. */
 export const MIN_PROTOCOL_VERSION = 1;
 
-/** Highest version of the link protocol that this code speaks. */
+/** Highest supported version of the link protocol. */
 export const MAX_PROTOCOL_VERSION = 1;
 
 const MAGIC = Buffer.from("umbl");
@@ -49,13 +49,13 @@
 const NONCE_OFFSET = MAX_VERSION_OFFSET + 1;
 const HELLO_BYTES = NONCE_OFFSET + NONCE_BYTES;
 
-/** Who an end says it is. */
+/** Identity that an end of a link states. */
 export interface Identity {
   readonly name: string;
   readonly incarnation: number;
 }
 
-/** What one end brings to the handshake. */
+/** Settings of one end of a handshake. */
 export interface HandshakeOptions {
   readonly socket: Socket;
   readonly reader: FrameReader;
@@ -64,6 +64,7 @@
   readonly self: Identity;
 }
 
+/** The hellos of both ends, and the version agreed on. */
 interface Transcript {
   readonly dialler: Buffer;
   readonly accepter: Buffer;
@@ -76,9 +77,9 @@
 }
 
 function checkHello(hello: Buffer): Effect.Effect<number, LinkClosed> {
-  const known = hello.length === HELLO_BYTES &&
+  const valid = hello.length === HELLO_BYTES &&
     hello.subarray(0, MAGIC.length).equals(MAGIC);
-  if (!known) return Effect.fail(linkClosed("refused", "no hello"));
+  if (!valid) return Effect.fail(linkClosed("refused", "invalid hello"));
   const lowest = hello.readUInt8(MIN_VERSION_OFFSET);
   const highest = hello.readUInt8(MAX_VERSION_OFFSET);
   const version = Math.min(highest, MAX_PROTOCOL_VERSION);
@@ -92,7 +93,9 @@
 
 type Role = "dialler" | "accepter";
 
-/** The role is part of the proof, so that one end's cannot be played back to it. */
+/**
+ * The proof covers the role, so that a proof replayed to its sender is invalid.
+ */
 function computeProof(
   key: Uint8Array,
   role: Role,
@@ -137,10 +140,10 @@
 }
 
 /**
- * Authenticates as the end that dialled.
+ * Runs the handshake as the dialling end.
  *
- * @param expected name of the member that was dialled: another one at the same
- * address is refused, since a host that was replaced may reuse it.
+ * @param expected name of the dialled member. A different member at its address
+ * is refused, since the address of a replaced host may be reused.
  */
 export const dialHandshake = Effect.fnUntraced(function* (
   options: HandshakeOptions,
@@ -162,7 +165,7 @@
   );
   if (peer.name !== expected) {
     return yield* Effect.fail(
-      linkClosed("refused", `dialled "${expected}", met "${peer.name}"`),
+      linkClosed("refused", `expected "${expected}", got "${peer.name}"`),
     );
   }
   return {
@@ -174,7 +177,7 @@
   };
 });
 
-/** Authenticates as the end that was dialled. */
+/** Runs the handshake as the accepting end. */
 export const acceptHandshake = Effect.fnUntraced(function* (
   options: HandshakeOptions,
 ): Effect.fn.Return<Session, LinkClosed> {
--- a/packages/coordination/src/connection/link.ts
+++ b/packages/coordination/src/connection/link.ts
@@ -1,5 +1,6 @@
 /**
- * One authenticated connection to another member.
+ * One authenticated TCP connection to another member: sends and dispatches
+ * messages, matches answers to requests, and handles heartbeats and closing.
  *
  * @module
  */
@@ -22,27 +23,30 @@
 import { LinkWriter } from "./link_writer.ts";
 import type { Session } from "./session.ts";
 
-/** What a link needs of the process around it. */
+/** Services of the process that a link uses. */
 export interface LinkContext {
   readonly clock: Clock;
   readonly settings: LinkSettings;
   readonly traffic: TrafficCounter;
   readonly handlers: ReadonlyMap<string, MessageHandler>;
-  /** Fibres of unanswered messages live here, beyond the link. */
+  /** Scope of the handlers of one-way messages, which outlive the link. */
   readonly scope: Scope.Scope;
-  /** The digest that heartbeats carry. */
+  /** Returns the digest to send in a heartbeat. */
   digest(): unknown;
-  /** Takes in the digest of another member. */
+  /** Called with the digest of another member's heartbeat. */
   receiveDigest(from: string, digest: unknown): void;
 }
 
 type ResumeRequest = (result: Effect.Effect<unknown, PeerUnreachable>) => void;
 
-/** One connection, from its handshake to its end. */
+/**
+ * A connection to another member, from the end of its handshake until it
+ * closes.
+ */
 export class Link {
   readonly peer: string;
   readonly incarnation: number;
-  /** Name of the end that dialled. */
+  /** Name of the member that dialled the connection. */
   readonly dialler: string;
   readonly establishedAt: number;
   readonly #context: LinkContext;
@@ -96,12 +100,20 @@
     return this.#closed === undefined && this.#drainingSince === undefined;
   }
 
-  /** Whether messages other than heartbeats passed lately, or are awaited. */
+  /**
+   * Whether messages other than heartbeats passed recently, or a request is in
+   * progress.
+   */
   get isActive(): boolean {
     return this.#activity.isActive(this.#hasRequestsInProgress);
   }
 
-  /** Sends a message; false when the outgoing queue is full or the link closed. */
+  /**
+   * Sends a message.
+   *
+   * @returns false when the link is draining or closed, the message is larger
+   * than a frame, or the send queue is full.
+   */
   trySend(message: Send | Request): boolean {
     if (!this.isUsable) return false;
     const { maxQueuedBytes } = this.#context.settings;
@@ -115,7 +127,7 @@
     return true;
   }
 
-  /** Sends a request and waits for its answer, however long that takes. */
+  /** Sends a request and waits for its answer, without a time-out. */
   request(
     channel: string,
     body: unknown,
@@ -135,7 +147,7 @@
     });
   }
 
-  /** Reads and dispatches frames until the link ends. */
+  /** Reads and dispatches frames until the link closes. */
   serve(reader: FrameReader): Effect.Effect<LinkClosed> {
     const context = this.#context;
     reader.setMaxFrameBytes(context.settings.maxFrameBytes);
@@ -152,8 +164,8 @@
     });
     return Effect.scoped(run).pipe(
       Effect.flip,
-      // After both goodbyes the end of the stream is the agreed one, also when
-      // it is read before this end's own turn to close.
+      // Once the peer has sent its goodbye, the end of the stream is an orderly
+      // close, even if it is read before this end has closed its own side.
       Effect.map((reason) =>
         this.#goodbyeReceived ? linkClosed("idle") : reason
       ),
@@ -166,22 +178,23 @@
     );
   }
 
-  /** Ends the link at once. Requests that wait on it fail. */
+  /** Closes the link at once and fails its pending requests. */
   close(reason: LinkClosed): void {
     if (this.#closed !== undefined) return;
     this.#closed = reason;
     this.#socket.destroy();
-    const waiting = [...this.#pendingRequests.values()];
+    const pending = [...this.#pendingRequests.values()];
     this.#pendingRequests.clear();
-    for (const settle of waiting) {
-      settle(Effect.fail(peerUnreachable(this.peer, "closed")));
+    for (const resume of pending) {
+      resume(Effect.fail(peerUnreachable(this.peer, "closed")));
     }
   }
 
   /**
-   * Stops new messages on this link, and ends it once the other end has agreed
-   * and nothing is awaited. What the other end sent before it knew still
-   * arrives, so that closing an idle link loses no message.
+   * Stops sending new messages, and closes the link once the peer has sent its
+   * goodbye and no request is in progress. Messages that the peer sent before
+   * it received this end's goodbye are still handled, so that closing an idle
+   * link loses no message.
    */
   drain(): void {
     if (!this.isUsable) return;
@@ -189,21 +202,21 @@
     this.#drainingSince = this.#context.clock.monotonic();
   }
 
-  /** Ignores the silence so far: it was ours, not the other end's. */
+  /** Restarts the silence time-out, after a pause of this process. */
   resetSilenceTimer(): void {
     this.#activity.recordReceived();
   }
 
-  /** Sends a heartbeat if one is due, and ends the link if it is silent or idle. */
+  /** Sends a heartbeat if one is due, and closes a silent or idle link. */
   tick(): void {
     if (this.#closed !== undefined) return;
     if (this.#drainingSince !== undefined) return this.#tickDraining();
     if (this.#activity.heartbeatDue(this.#hasRequestsInProgress)) {
       this.#sendControl({ kind: "heartbeat", digest: this.#context.digest() });
     }
-    const verdict = this.#activity.liveness(this.#hasRequestsInProgress);
-    if (verdict === "silent") this.close(linkClosed("silent"));
-    if (verdict === "idle") this.drain();
+    const liveness = this.#activity.liveness(this.#hasRequestsInProgress);
+    if (liveness === "silent") this.close(linkClosed("silent"));
+    if (liveness === "idle") this.drain();
   }
 
   #tickDraining(): void {
@@ -256,13 +269,13 @@
     result: Effect.Effect<unknown, PeerUnreachable>,
   ): Effect.Effect<void> {
     this.#recordMessage();
-    const settle = this.#pendingRequests.get(id);
+    const resume = this.#pendingRequests.get(id);
     this.#pendingRequests.delete(id);
-    settle?.(result);
+    resume?.(result);
     return Effect.void;
   }
 
-  /** Whether either end waits for an answer. */
+  /** Whether either end is waiting for an answer. */
   get #hasRequestsInProgress(): boolean {
     return this.#pendingRequests.size > 0 || this.#handlers.hasRunningRequests;
   }
@@ -272,9 +285,10 @@
   }
 
   /**
-   * Sends what keeps the link going or answers a request. These are let past
-   * the queue's bound, since a lost answer costs the requester its timeout; an
-   * end that leaves twice the bound unread is given up.
+   * Sends a control message or an answer. These are exempt from the bound of
+   * the send queue, since a lost answer would cost the requester its whole
+   * time-out. If the queue reaches twice the bound, the peer is not reading and
+   * the link is closed.
    */
   #sendControl(message: LinkMessage): void {
     if (this.#closed !== undefined) return;
@@ -286,7 +300,12 @@
       this.#sendControl({ kind: "failure", id, reason: "handler-failed" });
     }
     if (this.#writer.queuedBytes > 2 * this.#context.settings.maxQueuedBytes) {
-      this.close(linkClosed("refused", "other end does not read"));
+      this.close(
+        linkClosed(
+          "refused",
+          "peer is not reading: send queue over twice its limit",
+        ),
+      );
     }
   }
 
--- a/packages/coordination/src/connection/link_handlers.ts
+++ b/packages/coordination/src/connection/link_handlers.ts
@@ -1,5 +1,5 @@
 /**
- * Handlers in progress for one link.
+ * Runs the message handlers of one link.
  *
  * @module
  */
@@ -10,19 +10,19 @@
 import type { MessageHandler } from "../process/peers.ts";
 import type { Answer, Failure, Request, Send } from "./link_message.ts";
 
-/** What handlers need of their link. */
+/** Settings of {@linkcode LinkHandlers}. */
 export interface LinkHandlersOptions {
   readonly peer: string;
   readonly handlers: ReadonlyMap<string, MessageHandler>;
-  /** Handlers in progress at once. */
+  /** Maximum number of handlers in progress at once. */
   readonly limit: number;
-  /** Fibres of unanswered messages live here, beyond the link. */
+  /** Scope of the handlers of one-way messages, which outlive the link. */
   readonly scope: Scope.Scope;
-  /** Sends the answer of a request. */
+  /** Sends the answer or the failure of a request. */
   readonly reply: (message: Answer | Failure) => void;
 }
 
-/** Runs a bounded number of handlers, each in its own fibre. */
+/** Runs a bounded number of handlers, each in its own fiber. */
 export class LinkHandlers {
   readonly #options: LinkHandlersOptions;
   readonly #running = new Map<number, Fiber.Fiber<unknown>>();
@@ -33,12 +33,12 @@
     this.#options = options;
   }
 
-  /** Whether the other end waits for an answer. */
+  /** Whether the peer is waiting for an answer. */
   get hasRunningRequests(): boolean {
     return this.#running.size > 0;
   }
 
-  /** Handles a message that is not answered; it is dropped over the limit. */
+  /** Handles a one-way message; drops it if the limit is reached. */
   handleSend(message: Send): Effect.Effect<void> {
     const { handlers, peer, scope } = this.#options;
     const handler = handlers.get(message.channel);
@@ -55,7 +55,9 @@
     );
   }
 
-  /** Handles a request; its handler is interrupted when the link's scope closes. */
+  /**
+   * Handles a request; its handler is interrupted when the given scope closes.
+   */
   handleRequest(message: Request, scope: Scope.Scope): Effect.Effect<void> {
     const { handlers, peer, reply } = this.#options;
     const { id } = message;
@@ -64,9 +66,9 @@
       reply({ kind: "failure", id, reason: "no-handler" });
       return Effect.void;
     }
-    // Refused rather than held back: if both ends stopped reading until their
-    // handlers were done, and those waited for answers on this very link,
-    // neither end would ever read again.
+    // Refusing avoids a deadlock that backpressure could cause: if both ends
+    // stopped reading until their handlers were done, and those handlers waited
+    // for answers on this same link, neither end would read again.
     if (this.#isAtLimit()) {
       reply({ kind: "failure", id, reason: "busy" });
       return Effect.void;
@@ -84,7 +86,7 @@
     );
   }
 
-  /** Interrupts the handler of a request that nobody waits for any more. */
+  /** Interrupts the handler of a request that the peer has cancelled. */
   cancel(id: number, scope: Scope.Scope): Effect.Effect<void> {
     const fiber = this.#running.get(id);
     if (fiber === undefined) return Effect.void;
--- a/packages/coordination/src/connection/link_liveness.ts
+++ b/packages/coordination/src/connection/link_liveness.ts
@@ -1,20 +1,24 @@
 /**
- * Whether a link is in use, silent or idle.
+ * Detects silent and idle links, and schedules heartbeats.
  *
  * @module
  */
 import type { Clock } from "../process/clock.ts";
 import type { LinkSettings } from "./link_settings.ts";
 
-/** What a look at the clock says about a link. */
-export type Liveness = "well" | "silent" | "idle";
+/**
+ * State of a link: nothing is received on a silent one, and nothing uses an
+ * idle one.
+ */
+export type Liveness = "healthy" | "silent" | "idle";
 
 /**
- * The moments at which a link was last heard, written and used.
+ * Records when a link last received, sent and carried messages.
  *
- * An active link is heartbeaten often, so that silence shows soon; one that
- * nothing waits for seldom, since hundreds of links at a heartbeat a second
- * would take a daemon's whole control traffic.
+ * Active links exchange heartbeats often, so that a failed one is detected
+ * soon. Inactive links exchange them seldom: with hundreds of links, one
+ * heartbeat a second on each would use up a daemon's whole budget of control
+ * traffic.
  */
 export class LinkActivity {
   readonly #settings: LinkSettings;
@@ -34,49 +38,53 @@
     this.#activeSince = now;
   }
 
-  /** A frame came. */
+  /** Records that a frame was received. */
   recordReceived(): void {
     this.#lastReceivedAt = this.#clock.monotonic();
   }
 
-  /** A frame was written. */
+  /** Records that a frame was sent. */
   recordSent(): void {
     this.#lastSentAt = this.#clock.monotonic();
   }
 
-  /** A message other than a heartbeat passed. */
-  recordMessage(awaited: boolean): void {
+  /** Records that a message other than a heartbeat was sent or received. */
+  recordMessage(hasRequests: boolean): void {
     const now = this.#clock.monotonic();
-    if (!this.isActive(awaited)) this.#activeSince = now;
+    if (!this.isActive(hasRequests)) this.#activeSince = now;
     this.#lastMessageAt = now;
   }
 
-  /** Whether messages passed lately or an answer is awaited. */
-  isActive(awaited: boolean): boolean {
-    if (awaited) return true;
+  /** Whether messages passed recently or a request is in progress. */
+  isActive(hasRequests: boolean): boolean {
+    if (hasRequests) return true;
     return this.#clock.monotonic() - this.#lastMessageAt <
       this.#settings.activeMs;
   }
 
   /** Whether a heartbeat should be sent. */
-  heartbeatDue(awaited: boolean): boolean {
+  heartbeatDue(hasRequests: boolean): boolean {
     const { heartbeatMs, idleHeartbeatMs } = this.#settings;
-    const interval = this.isActive(awaited) ? heartbeatMs : idleHeartbeatMs;
-    return this.#clock.monotonic() - this.#lastSentAt >= interval;
+    const intervalMs = this.isActive(hasRequests)
+      ? heartbeatMs
+      : idleHeartbeatMs;
+    return this.#clock.monotonic() - this.#lastSentAt >= intervalMs;
   }
 
-  /** What the silence and the lack of use amount to. */
-  liveness(awaited: boolean): Liveness {
+  /**
+   * Classifies the link by the time since it last received and last was used.
+   */
+  liveness(hasRequests: boolean): Liveness {
     const { silentMs, idleHeartbeatMs, idleMs } = this.#settings;
     const now = this.#clock.monotonic();
-    const active = this.isActive(awaited);
-    // The far end learns that the link is in use again only from our message,
-    // so silence is counted from that message at the earliest.
-    const heard = active
+    const active = this.isActive(hasRequests);
+    // The peer learns that the link is active again only from the first
+    // message, so silence is counted from that message at the earliest.
+    const silentSince = active
       ? Math.max(this.#lastReceivedAt, this.#activeSince)
       : this.#lastReceivedAt;
     const limitMs = active ? silentMs : idleHeartbeatMs + silentMs;
-    if (now - heard > limitMs) return "silent";
-    return !active && now - this.#lastMessageAt > idleMs ? "idle" : "well";
+    if (now - silentSince > limitMs) return "silent";
+    return !active && now - this.#lastMessageAt > idleMs ? "idle" : "healthy";
   }
 }
--- a/packages/coordination/src/connection/link_message.ts
+++ b/packages/coordination/src/connection/link_message.ts
@@ -1,9 +1,9 @@
 /**
- * Messages on a link.
+ * Encodes and decodes the messages on a link.
  *
- * On the wire each is a CBOR array that starts with its kind, since at the
- * planned size the names of fields would take a good part of a daemon's control
- * traffic.
+ * On the wire a message is a CBOR array that starts with the code of its kind.
+ * Field names are left out because at the planned fleet size they would take up
+ * a good part of a daemon's control traffic.
  *
  * @module
  */
@@ -14,14 +14,14 @@
 import type { LinkClosed } from "./frame.ts";
 import { linkClosed } from "./frame.ts";
 
-/** A message that is not answered. */
+/** A one-way message. */
 export interface Send {
   readonly kind: "send";
   readonly channel: string;
   readonly body: unknown;
 }
 
-/** A message whose handler's result goes back as {@linkcode Answer}. */
+/** A message whose handler's result is returned in an {@linkcode Answer}. */
 export interface Request {
   readonly kind: "request";
   readonly id: number;
@@ -29,36 +29,36 @@
   readonly body: unknown;
 }
 
-/** What the handler of a request returned. */
+/** The result of a request's handler. */
 export interface Answer {
   readonly kind: "answer";
   readonly id: number;
   readonly body: unknown;
 }
 
-/** Why a request has no answer. */
+/** Why a request failed. */
 export type FailureReason = "no-handler" | "busy" | "handler-failed";
 
-/** A request that was refused, or whose handler failed. */
+/** Reports that a request was refused or that its handler failed. */
 export interface Failure {
   readonly kind: "failure";
   readonly id: number;
   readonly reason: FailureReason;
 }
 
-/** The requester no longer waits; the handler is interrupted. */
+/** Cancels a request; its handler is interrupted. */
 export interface Cancel {
   readonly kind: "cancel";
   readonly id: number;
 }
 
-/** Says that this end is there, and carries its digest. */
+/** Shows that the sender is alive, and carries its digest. */
 export interface Heartbeat {
   readonly kind: "heartbeat";
   readonly digest: unknown;
 }
 
-/** The sender closes the link in good order. */
+/** Announces that the sender is closing the link and sends no new messages. */
 export interface Goodbye {
   readonly kind: "goodbye";
 }
--- a/packages/coordination/src/connection/link_settings.ts
+++ b/packages/coordination/src/connection/link_settings.ts
@@ -1,5 +1,5 @@
 /**
- * Bounds and intervals of links.
+ * Settings of links: bounds, intervals and time-outs.
  *
  * @module
  */
@@ -7,36 +7,42 @@
 const KIB = 1024;
 const MIB = 1024 * KIB;
 
-/** Bounds and intervals of links. */
+/** Bounds, intervals and time-outs of links. */
 export interface LinkSettings {
   /** Largest frame accepted, in bytes. */
   readonly maxFrameBytes: number;
-  /** Bytes that may wait to be sent on one link before `send` returns false. */
+  /**
+   * Size of a link's send queue, in bytes; `send` returns false when it is
+   * full.
+   */
   readonly maxQueuedBytes: number;
-  /** Messages that may wait for a link that is being dialled. */
+  /** Messages that are queued for one peer while its link is being dialled. */
   readonly maxWaiting: number;
-  /** Handlers in progress for one link; more requests are refused. */
+  /** Handlers in progress for one link; further requests are refused. */
   readonly maxInProgress: number;
-  /** Connections that may be in their handshake at once. */
+  /** Accepted connections that may be in their handshake at once. */
   readonly maxHandshakes: number;
-  /** Time for connecting and the handshake. */
+  /** Time-out for connecting and the handshake. */
   readonly dialTimeoutMs: number;
-  /** Pause after a failed dial; doubles up to `maxBackoffMs`. */
+  /**
+   * Backoff after a failed dial; doubles with each failure up to
+   * `maxBackoffMs`.
+   */
   readonly minBackoffMs: number;
   readonly maxBackoffMs: number;
-  /** A link counts as active for this long after a message. */
+  /** A link is active for this long after a message. */
   readonly activeMs: number;
-  /** Heartbeats on an active link that has nothing else to send. */
+  /** Interval of heartbeats on an active link that sends nothing else. */
   readonly heartbeatMs: number;
-  /** Heartbeats on a link that is not active. */
+  /** Interval of heartbeats on an inactive link. */
   readonly idleHeartbeatMs: number;
-  /** An active link that is silent for this long is given up. */
+  /** Time-out after which an active link that receives nothing is closed. */
   readonly silentMs: number;
-  /** A link without messages for this long is closed. */
+  /** A link that carries no messages for this long is closed. */
   readonly idleMs: number;
 }
 
-/** Settings for hosts a few milliseconds apart. */
+/** Settings for hosts with a few milliseconds of latency between them. */
 export const DEFAULT_LINK_SETTINGS: LinkSettings = {
   maxFrameBytes: 4 * MIB,
   maxQueuedBytes: 4 * MIB,
--- a/packages/coordination/src/connection/link_writer.ts
+++ b/packages/coordination/src/connection/link_writer.ts
@@ -1,5 +1,5 @@
 /**
- * The outgoing half of a link.
+ * Writes the outgoing messages of a link.
  *
  * @module
  */
@@ -9,16 +9,18 @@
 import { TAG_BYTES } from "./session.ts";
 import type { Sealer } from "./session.ts";
 
-/** What a {@linkcode LinkWriter} writes to, and how. */
+/** Settings of a {@linkcode LinkWriter}. */
 export interface LinkWriterOptions {
   readonly socket: Socket;
   readonly sealer: Sealer;
   readonly traffic: TrafficCounter;
-  /** Largest frame that the other end takes, its tag included. */
+  /** Largest frame that the peer accepts, in bytes, including its tag. */
   readonly maxFrameBytes: number;
 }
 
-/** Seals messages and writes them to the socket of a link, counted. */
+/**
+ * Seals messages, writes them to the socket of a link, and counts their bytes.
+ */
 export class LinkWriter {
   readonly #options: LinkWriterOptions;
   #corked = false;
@@ -27,17 +29,22 @@
     this.#options = options;
   }
 
-  /** Bytes that the socket has not passed on yet. */
+  /** Bytes that are queued in the socket. */
   get queuedBytes(): number {
     return this.#options.socket.writableLength;
   }
 
-  /** Whether a message may be sent: the other end closes on a larger frame. */
+  /**
+   * Whether a message fits into a frame; the peer closes the link on a larger
+   * one.
+   */
   fitsFrame(payload: Uint8Array): boolean {
     return payload.length + TAG_BYTES <= this.#options.maxFrameBytes;
   }
 
-  /** Writes a message. Those of one turn of the event loop share packets. */
+  /**
+   * Writes a message; the messages of one turn of the event loop share packets.
+   */
   write(payload: Uint8Array): void {
     const { socket, sealer, traffic } = this.#options;
     if (!this.#corked) {
--- a/packages/coordination/src/connection/linked_peers.ts
+++ b/packages/coordination/src/connection/linked_peers.ts
@@ -1,5 +1,5 @@
 /**
- * Links to all members, dialled when they are needed.
+ * Sends messages to other members over links that are dialled on demand.
  *
  * @module
  */
@@ -26,9 +26,9 @@
 } from "../process/peers.ts";
 import { peerUnreachable } from "../process/peers.ts";
 
-/** What links need. */
+/** Settings of {@linkcode LinkedPeers}. */
 export interface LinkedPeersOptions {
-  /** Where to listen; port 0 takes a free one. */
+  /** Endpoint to listen on; port 0 selects a free port. */
   readonly endpoint: Endpoint;
   /** The key that all members share. */
   readonly key: Uint8Array;
@@ -36,13 +36,13 @@
   readonly clock: Clock;
   readonly digest: Digest;
   readonly traffic: TrafficCounter;
-  /** This process, as it is now. */
+  /** Returns the current identity of this process. */
   self(): Identity;
-  /** Where a member listens; undefined for a name that is not known. */
+  /** Returns the endpoint of a member; undefined for an unknown name. */
   resolve(name: string): Endpoint | undefined;
 }
 
-/** Messages between members over TCP. */
+/** {@linkcode Peers} over authenticated TCP links. */
 export class LinkedPeers implements Peers {
   readonly #options: LinkedPeersOptions;
   readonly #scope: Scope.Scope;
@@ -78,7 +78,7 @@
     };
   }
 
-  /** Listens, and keeps links until the scope closes. */
+  /** Starts listening and maintains links until the scope closes. */
   static readonly make = Effect.fnUntraced(function* (
     options: LinkedPeersOptions,
   ): Effect.fn.Return<
@@ -97,7 +97,7 @@
     return { peers, endpoint };
   });
 
-  /** Sends without waiting for an answer. */
+  /** Sends a one-way message. */
   send(to: string, channel: string, message: unknown): boolean {
     if (to === this.#options.self().name) {
       const handler = this.#handlers.get(channel);
@@ -109,7 +109,7 @@
     return this.#peer(to).send({ kind: "send", channel, body: message });
   }
 
-  /** Sends and waits for the answer of the other end's handler. */
+  /** Sends a request and waits for the answer of the peer's handler. */
   request(
     to: string,
     message: { readonly channel: string; readonly body: unknown },
@@ -130,12 +130,12 @@
   /** Sets the handler of a channel. */
   handle(channel: string, handler: MessageHandler): void {
     if (this.#handlers.has(channel)) {
-      throw new Error(`Cannot handle channel "${channel}": it has a handler`);
+      throw new Error(`Channel "${channel}" already has a handler`);
     }
     this.#handlers.set(channel, handler);
   }
 
-  /** Calls the listener when a link goes up or down. */
+  /** Calls the listener when a member goes up or down. */
   subscribe(
     listener: (peer: string, state: "up" | "down") => void,
   ): () => void {
@@ -144,8 +144,8 @@
   }
 
   #peer(name: string): Peer {
-    const known = this.#peers.get(name);
-    if (known !== undefined) return known;
+    const existing = this.#peers.get(name);
+    if (existing !== undefined) return existing;
     const peer = new Peer(name, this.#context);
     this.#peers.set(name, peer);
     return peer;
@@ -175,11 +175,14 @@
     );
   }
 
-  /** The task of a connection that another member dialled. */
+  /**
+   * Authenticates an accepted connection and serves its link until it closes.
+   */
   #accept(socket: Socket): Effect.Effect<void> {
     const { settings, key } = this.#options;
-    // A stranger that connects and says nothing holds a place for the dial
-    // timeout only, and no more than this many can at once.
+    // Bounds what unauthenticated clients can hold: a connection that sends
+    // nothing is closed after the dial time-out, and only so many are open at
+    // once.
     if (this.#handshakes >= settings.maxHandshakes) {
       return Effect.sync(() => socket.destroy());
     }
@@ -204,17 +207,20 @@
     );
   }
 
-  /** Heartbeats, silence and idleness of all links, in one task. */
+  /**
+   * Sends heartbeats and closes silent and idle links of all peers, in one
+   * task.
+   */
   #sweep(): Effect.Effect<never> {
     const { clock, settings } = this.#options;
     const intervalMs = settings.heartbeatMs / 2;
-    let last = clock.monotonic();
-    const once = Effect.sync(() => {
+    let lastSweepAt = clock.monotonic();
+    const sweepOnce = Effect.sync(() => {
       const now = clock.monotonic();
-      // After a pause of this very process every link looks silent, though
-      // what the others sent meanwhile waits unread in the sockets.
-      const paused = now - last > settings.silentMs / 2;
-      last = now;
+      // After a pause of this process every link looks silent, although the
+      // messages that peers sent meanwhile are unread in the sockets.
+      const paused = now - lastSweepAt > settings.silentMs / 2;
+      lastSweepAt = now;
       for (const [name, peer] of this.#peers) {
         if (paused) peer.resetSilenceTimers();
         peer.tick();
@@ -222,7 +228,7 @@
       }
     });
     return Effect.sleep(intervalMs).pipe(
-      Effect.andThen(once),
+      Effect.andThen(sweepOnce),
       Effect.forever,
     );
   }
--- a/packages/coordination/src/connection/peer.ts
+++ b/packages/coordination/src/connection/peer.ts
@@ -1,5 +1,6 @@
 /**
- * One other member, and the links to it.
+ * Manages the links to one other member: dialling with backoff, choosing among
+ * several links, and reporting whether the member is up or down.
  *
  * @module
  */
@@ -17,7 +18,7 @@
 import type { PeerUnreachable } from "../process/peers.ts";
 import { peerUnreachable } from "../process/peers.ts";
 
-/** What the links to one member need of the process around them. */
+/** Services of the process that a peer and its links use. */
 export interface PeerContext extends LinkContext {
   readonly key: Uint8Array;
   self(): Identity;
@@ -28,8 +29,8 @@
 type LinkWaiter = (result: Effect.Effect<Link, PeerUnreachable>) => void;
 
 /**
- * The links to one member. There is usually one; two while both ends dial each
- * other at once, or while a link that went silent is being replaced.
+ * The links to one other member. There is usually one link; there are two when
+ * both ends dial at the same time or while a silent link is being replaced.
  */
 export class Peer {
   readonly #name: string;
@@ -49,13 +50,19 @@
     this.#backoffMs = context.settings.minBackoffMs;
   }
 
-  /** Whether nothing would be lost by forgetting this peer. */
+  /**
+   * Whether this object holds no link, dial or backoff, and may be discarded.
+   */
   get isDisposable(): boolean {
     if (this.#links.size > 0 || this.#dialling) return false;
     return this.#context.clock.monotonic() >= this.#retryAt;
   }
 
-  /** Sends now, or as soon as the link is there; false when neither can be. */
+  /**
+   * Sends a message at once, or queues it while a link is being dialled.
+   *
+   * @returns false if the message is dropped.
+   */
   send(message: Send): boolean {
     const link = this.#preferredLink();
     if (link !== undefined) return link.trySend(message);
@@ -68,7 +75,7 @@
     return true;
   }
 
-  /** A usable link, dialled if there is none. */
+  /** Returns a usable link, and dials one if there is none. */
   acquireLink(): Effect.Effect<Link, PeerUnreachable> {
     return Effect.callback((resume) => {
       const link = this.#preferredLink();
@@ -84,14 +91,14 @@
     });
   }
 
-  /** The task of one established link, until it ends. */
+  /** Serves an established link until it closes. */
   serve(link: Link, reader: FrameReader): Effect.Effect<void> {
     return Effect.suspend(() => {
       if (this.#isOutdated(link)) {
         link.close(linkClosed("refused", "older incarnation"));
         return Effect.void;
       }
-      this.#add(link);
+      this.#addLink(link);
       return link.serve(reader).pipe(
         Effect.onExit(() => Effect.sync(() => this.#links.delete(link))),
         Effect.map((reason) => this.#linkEnded(link, reason)),
@@ -99,26 +106,27 @@
     });
   }
 
-  /** Heartbeats, silence and idleness of the links. */
+  /** Sends due heartbeats and closes silent or idle links. */
   tick(): void {
     for (const link of [...this.#links]) link.tick();
   }
 
-  /** Ignores the silence of all links so far. */
+  /** Restarts the silence time-outs of all links. */
   resetSilenceTimers(): void {
     for (const link of this.#links) link.resetSilenceTimer();
   }
 
-  /** Ends all links and dials no more. */
+  /** Closes all links and prevents further dials. */
   stop(): void {
     this.#stopped = true;
     for (const link of [...this.#links]) link.close(linkClosed("stopped"));
   }
 
   /**
-   * Both ends must prefer the same of two links, or neither goes idle. Of two
-   * dialled at once it is the one whose dialler has the lesser name; of others
-   * the newer, since the older was given up by the end that dialled again.
+   * Returns the link to use. Both ends must prefer the same one of two links,
+   * or neither becomes idle. Of two links dialled at the same time they prefer
+   * the one whose dialler has the lesser name; otherwise the newer one, since
+   * the end that dialled again has abandoned the older one.
    */
   #preferredLink(): Link | undefined {
     let best: Link | undefined;
@@ -131,13 +139,17 @@
 
   #prefers(link: Link, other: Link): boolean {
     const newerMs = link.establishedAt - other.establishedAt;
-    const atOnce = Math.abs(newerMs) <= this.#context.settings.dialTimeoutMs;
-    return atOnce && link.dialler !== other.dialler
+    const simultaneous =
+      Math.abs(newerMs) <= this.#context.settings.dialTimeoutMs;
+    return simultaneous && link.dialler !== other.dialler
       ? link.dialler < other.dialler
       : newerMs >= 0;
   }
 
-  /** A frame that an earlier start of the member sent must not be acted on. */
+  /**
+   * Whether a link belongs to an earlier incarnation, whose frames must be
+   * ignored.
+   */
   #isOutdated(link: Link): boolean {
     for (const other of this.#links) {
       if (other.incarnation > link.incarnation) return true;
@@ -145,7 +157,7 @@
     return false;
   }
 
-  #add(link: Link): void {
+  #addLink(link: Link): void {
     for (const other of [...this.#links]) {
       if (other.incarnation < link.incarnation) {
         other.close(linkClosed("refused", "older incarnation"));
@@ -163,9 +175,9 @@
   }
 
   /**
-   * A link that failed in use is dialled again before the member is called
-   * down: what lies between the ends may have lost track of a connection while
-   * both ends and new connections are well.
+   * Redials a link that failed while active before reporting the member as
+   * down: a device on the path may have dropped the state of one connection
+   * while both ends are alive and new connections work.
    */
   #linkEnded(link: Link, reason: LinkClosed): void {
     if (this.#stopped || reason.reason === "idle") return;
@@ -186,7 +198,7 @@
     Effect.runFork(this.#dial().pipe(Effect.forkIn(this.#context.scope)));
   }
 
-  /** The task of a connection that this end dials. */
+  /** Dials a connection and serves its link until it closes. */
   #dial(): Effect.Effect<void> {
     return this.#connect().pipe(
       Effect.matchEffect({
@@ -243,9 +255,9 @@
     this.#setState(false);
   }
 
-  #setState(up: boolean): void {
-    if (this.#isUp === up) return;
-    this.#isUp = up;
-    this.#context.stateChanged(this.#name, up ? "up" : "down");
+  #setState(isUp: boolean): void {
+    if (this.#isUp === isUp) return;
+    this.#isUp = isUp;
+    this.#context.stateChanged(this.#name, isUp ? "up" : "down");
   }
 }
--- a/packages/coordination/src/connection/session.ts
+++ b/packages/coordination/src/connection/session.ts
@@ -1,5 +1,5 @@
 /**
- * Authentication of the frames of one link.
+ * Authenticates the frames of one link.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import type { LinkClosed } from "./frame.ts";
 import { linkClosed } from "./frame.ts";
 
-/** Bytes of the truncated HMAC-SHA256 before each payload. */
+/** Size of the truncated HMAC-SHA256 tag before each payload, in bytes. */
 export const TAG_BYTES = 16;
 
 const SEQUENCE_BYTES = 8;
@@ -31,11 +31,11 @@
 }
 
 /**
- * Seals the payloads that one end sends.
+ * Adds an authentication tag to each outgoing payload.
  *
- * The sequence number is part of what is authenticated and is not sent: both
- * ends count. A frame that something on the path repeats, drops, reorders or
- * injects therefore fails its check, and the link closes.
+ * The tag covers a sequence number that is not sent, since both ends count the
+ * frames. If a frame is repeated, dropped, reordered or injected on the path,
+ * the check therefore fails and the link closes.
  */
 export class Sealer {
   readonly #key: Uint8Array;
@@ -45,7 +45,7 @@
     this.#key = key;
   }
 
-  /** Makes the frame of one payload. */
+  /** Encodes the frame of a payload and its tag. */
   seal(payload: Uint8Array): Buffer {
     const tag = computeTag(this.#key, this.#sequence, payload);
     this.#sequence += 1n;
@@ -53,7 +53,7 @@
   }
 }
 
-/** Checks the frames that the other end sealed. */
+/** Checks the tags of incoming frames. */
 export class Opener {
   readonly #key: Uint8Array;
   #sequence = 0n;
@@ -62,7 +62,7 @@
     this.#key = key;
   }
 
-  /** Returns the payload of an authentic frame. */
+  /** Returns the payload of a frame, or `forged` if its tag is wrong. */
   open(frame: Uint8Array): Result<Uint8Array, LinkClosed> {
     if (frame.length < TAG_BYTES) return err(linkClosed("forged"));
     const payload = frame.subarray(TAG_BYTES);
@@ -75,13 +75,13 @@
   }
 }
 
-/** What both ends agreed on when the link was made. */
+/** The result of a handshake. */
 export interface Session {
-  /** Name of the other end. */
+  /** Name of the peer. */
   readonly peer: string;
-  /** Start of the other end. */
+  /** Incarnation of the peer, which identifies one start of its process. */
   readonly incarnation: number;
-  /** Version of the link protocol that both speak. */
+  /** Version of the link protocol that both ends support. */
   readonly version: number;
   readonly sealer: Sealer;
   readonly opener: Opener;
--- a/packages/coordination/src/connection/session_test.ts
+++ b/packages/coordination/src/connection/session_test.ts
@@ -6,45 +6,45 @@
 
 const KEY = Buffer.alloc(32, 1);
 
-function sealed(sealer: Sealer, text: string): Buffer {
+function seal(sealer: Sealer, text: string): Buffer {
   return sealer.seal(Buffer.from(text)).subarray(LENGTH_BYTES);
 }
 
-function opened(opener: Opener, frame: Uint8Array): string {
+function open(opener: Opener, frame: Uint8Array): string {
   return opener.open(frame).match(
     (payload) => Buffer.from(payload).toString(),
     (closed) => closed.reason,
   );
 }
 
-test("frames open in the order in which they were sealed", () => {
+test("frames are accepted in the order in which they were sealed", () => {
   const sealer = new Sealer(KEY);
   const opener = new Opener(KEY);
-  assert.equal(opened(opener, sealed(sealer, "one")), "one");
-  assert.equal(opened(opener, sealed(sealer, "two")), "two");
+  assert.equal(open(opener, seal(sealer, "one")), "one");
+  assert.equal(open(opener, seal(sealer, "two")), "two");
 });
 
-test("a frame that is played back is refused", () => {
+test("a replayed frame is rejected", () => {
   const opener = new Opener(KEY);
-  const frame = sealed(new Sealer(KEY), "grant");
-  assert.equal(opened(opener, frame), "grant");
-  assert.equal(opened(opener, frame), "forged");
+  const frame = seal(new Sealer(KEY), "grant");
+  assert.equal(open(opener, frame), "grant");
+  assert.equal(open(opener, frame), "forged");
 });
 
-test("a frame after one that was dropped is refused", () => {
+test("the frame after a dropped one is rejected", () => {
   const sealer = new Sealer(KEY);
-  sealed(sealer, "dropped");
-  assert.equal(opened(new Opener(KEY), sealed(sealer, "next")), "forged");
+  seal(sealer, "dropped");
+  assert.equal(open(new Opener(KEY), seal(sealer, "next")), "forged");
 });
 
-test("a frame that was changed is refused", () => {
-  const frame = sealed(new Sealer(KEY), "grant");
+test("a modified frame is rejected", () => {
+  const frame = seal(new Sealer(KEY), "grant");
   frame[frame.length - 1] = 0;
-  assert.equal(opened(new Opener(KEY), frame), "forged");
+  assert.equal(open(new Opener(KEY), frame), "forged");
 });
 
-test("a frame of another key, or too short for a tag, is refused", () => {
-  const other = sealed(new Sealer(Buffer.alloc(32, 2)), "grant");
-  assert.equal(opened(new Opener(KEY), other), "forged");
-  assert.equal(opened(new Opener(KEY), Buffer.alloc(3)), "forged");
+test("a frame sealed with another key, or too short for a tag, is rejected", () => {
+  const other = seal(new Sealer(Buffer.alloc(32, 2)), "grant");
+  assert.equal(open(new Opener(KEY), other), "forged");
+  assert.equal(open(new Opener(KEY), Buffer.alloc(3)), "forged");
 });
--- a/packages/coordination/src/version/json_delta.ts
+++ b/packages/coordination/src/version/json_delta.ts
@@ -1,5 +1,5 @@
 /**
- * Differences between two JSON values.
+ * Computes and applies the difference between two JSON values.
  *
  * @module
  */
@@ -13,33 +13,33 @@
   | readonly Json[]
   | { readonly [key: string]: Json };
 
-/** How to make one value from another. */
+/** The difference between two JSON values. */
 export type JsonDelta =
-  /** Nothing changes. */
+  /** The values are equal. */
   | { readonly op: "same" }
-  /** Another value altogether. */
+  /** The value is replaced. */
   | { readonly op: "set"; readonly value: Json }
-  /** Items between the common head and tail of two lists are replaced. */
+  /** The items between the common head and tail of two lists are replaced. */
   | {
     readonly op: "splice";
     readonly head: number;
     readonly tail: number;
     readonly items: readonly Json[];
   }
-  /** Fields of an object change or go. */
+  /** Some fields of an object are changed, added or removed. */
   | {
     readonly op: "fields";
     readonly changed: { readonly [key: string]: JsonDelta };
     readonly removed: readonly string[];
   };
 
-/** A delta does not fit the value it was applied to. */
+/** Thrown when a delta does not match the value that it is applied to. */
 export class DeltaMismatch extends Error {
   override readonly name = "DeltaMismatch";
 }
 
 /**
- * Finds how to make `to` from `from`.
+ * Computes the delta that changes `from` into `to`.
  *
  * @example
  * ```ts
@@ -54,7 +54,11 @@
   return { op: "set", value: to };
 }
 
-/** Makes the new value; throws {@linkcode DeltaMismatch} if it does not fit. */
+/**
+ * Applies a delta to a value.
+ *
+ * @throws {DeltaMismatch} if the delta does not match the value.
+ */
 export function applyDelta(from: Json, delta: JsonDelta): Json {
   switch (delta.op) {
     case "same":
@@ -126,7 +130,7 @@
   return next;
 }
 
-/** An own field even when it is named `__proto__`. */
+/** Sets an own property, even if its key is `__proto__`. */
 function defineField<T>(
   object: Record<string, T>,
   key: string,
--- a/packages/coordination/src/version/json_delta_test.ts
+++ b/packages/coordination/src/version/json_delta_test.ts
@@ -6,23 +6,23 @@
 
 const json = fc.jsonValue({ maxDepth: 4 }) as fc.Arbitrary<Json>;
 
-/** Through the wire, where -0 becomes 0. */
-function sent(value: Json): Json {
+/** Encodes and decodes a value as on the wire, where -0 becomes 0. */
+function roundTrip(value: Json): Json {
   return JSON.parse(JSON.stringify(value)) as Json;
 }
 
-test("a delta makes the later value from the earlier one", () => {
+test("a delta changes the earlier value into the later one", () => {
   fc.assert(
     fc.property(json, json, (a, b) => {
-      const [from, to] = [sent(a), sent(b)];
-      const delta = sent(makeDelta(from, to) as unknown as Json);
+      const [from, to] = [roundTrip(a), roundTrip(b)];
+      const delta = roundTrip(makeDelta(from, to) as unknown as Json);
       assert.deepEqual(applyDelta(from, delta as never), to);
     }),
     { seed: 1, numRuns: 2_000 },
   );
 });
 
-test("a changed row makes a delta of that row only", () => {
+test("the delta of a changed row holds only that row", () => {
   const rows = Array.from(
     { length: 500 },
     (_, index) => ({ index, weight: 1 }),
@@ -34,7 +34,7 @@
   assert.ok(JSON.stringify(delta).length < 200, JSON.stringify(delta));
 });
 
-test("a delta for another value is refused", () => {
+test("a delta that does not match the value is rejected", () => {
   const delta = makeDelta([1, 2, 3], [1, 9, 3]);
   assert.throws(() => applyDelta([1], delta), DeltaMismatch);
 });
--- a/packages/coordination/src/version/published_value.ts
+++ b/packages/coordination/src/version/published_value.ts
@@ -1,5 +1,5 @@
 /**
- * One value, in force at every daemon.
+ * Distributes a versioned value from the store to all daemons.
  *
  * @module
  */
@@ -22,7 +22,7 @@
 const COMPARE_INTERVAL_MS = 1_000;
 const SYNC_RETRY_MS = 1_000;
 
-/** A value with the version that the store gave it. */
+/** A value and the version that the store assigned to it. */
 export interface VersionedValue<T> {
   readonly version: number;
   readonly value: T;
@@ -33,27 +33,32 @@
   readonly store: Store;
   readonly peers: Peers;
   readonly membership: Membership;
-  /** Kind of the object in the store; nothing else may have this kind. */
+  /** Kind of the object in the store; no other object may have this kind. */
   readonly kind: string;
   readonly name: string;
-  /** Checks a value from the store or a peer; throws when it is not valid. */
+  /** Validates a value from the store or a peer; throws if it is invalid. */
   readonly decode: (value: unknown) => T;
-  /** Told of a version that `decode` refuses; the former one stays in force. */
+  /**
+   * Called with a version that `decode` rejects; the current one stays in
+   * effect.
+   */
   readonly onRejected?: (version: number, error: unknown) => void;
   readonly clock?: Clock;
-  /** Notices pauses of the process; its own by default. */
+  /** Detects pauses of the process; a new detector by default. */
   readonly pauseDetector?: PauseDetector;
 }
 
 /**
- * Keeps the newest version of one object of the store in force.
+ * A local copy of the newest version of one object in the store.
  *
- * Two members of each failure domain watch the store and tell their domain; each
- * member also compares with another one each second, so that what a message lost
- * or a cut kept away comes by another way. A version is applied only when it is
- * higher than the one in force, whoever sends it, so nothing reverts.
+ * Two members of each failure domain watch the store and broadcast changes
+ * within their domain. Each member also compares versions with a random member
+ * every second, which recovers versions missed through lost messages or a
+ * network partition. A version is applied only if it is higher than the current
+ * one, whoever sends it, so a stale copy never reverts the value.
  *
- * Life: construct, {@linkcode PublishedValue.start}, await {@linkcode PublishedValue.ready}.
+ * Construct it, run {@linkcode PublishedValue.start}, then await
+ * {@linkcode PublishedValue.ready}.
  *
  * @example
  * ```ts
@@ -105,14 +110,14 @@
     });
   }
 
-  /** The value in force here; undefined until the first is known. */
+  /** Returns the current value; undefined until the first one is received. */
   current(): VersionedValue<T> | undefined {
     return this.#current;
   }
 
   /**
-   * Ends when the value in force has been compared with the store's and the
-   * peers': after the start, and again after a pause of the process.
+   * Completes with the current value once it has been compared with the store
+   * and the peers: after the start, and again after a pause of the process.
    */
   get ready(): Effect.Effect<VersionedValue<T>> {
     return Effect.suspend(() => {
@@ -121,13 +126,13 @@
     });
   }
 
-  /** Whether {@linkcode PublishedValue.ready} would end at once. */
+  /** Whether {@linkcode PublishedValue.ready} would complete at once. */
   get isReady(): boolean {
     this.#pauseDetector.check();
     return Deferred.isDoneUnsafe(this.#ready);
   }
 
-  /** The version in force, to ride on heartbeats. */
+  /** The current version, as a digest that heartbeats carry. */
   readonly digest = {
     read: (): unknown => this.#history.version,
     receive: (from: string, digest: unknown): void =>
@@ -135,7 +140,7 @@
   };
 
   /**
-   * Calls the listener after each change, with the value in force.
+   * Calls the listener with the current value after each change.
    *
    * @returns a function that ends the subscription.
    */
@@ -145,8 +150,8 @@
   }
 
   /**
-   * Puts a value in force that this process has written to the store, and tells
-   * the others at once, so that an outage of the store does not hold it back.
+   * Applies a value that this process has written to the store, and broadcasts
+   * it at once, so that an outage of the store does not delay it.
    */
   publish(candidate: { readonly version: number; readonly value: unknown }) {
     const { version, value } = candidate;
@@ -154,23 +159,23 @@
   }
 
   /**
-   * The version in force at each other member; undefined for those that can't be
-   * reached.
+   * Queries the current version of each other member; undefined for unreachable
+   * ones.
    */
   peerVersions(): Effect.Effect<ReadonlyMap<string, number | undefined>> {
     return this.#exchange.peerVersions();
   }
 
-  /** Follows the object until the scope closes. */
+  /** Keeps the value up to date until the scope closes. */
   start(): Effect.Effect<void, never, Scope.Scope> {
     return Effect.gen({ self: this }, function* () {
       const scope = yield* Effect.scope;
       this.#exchange.serve();
-      const end = this.#pauseDetector.subscribe(() => {
+      const unsubscribe = this.#pauseDetector.subscribe(() => {
         this.#markUnready();
         Effect.runFork(Effect.forkIn(this.#sync(), scope));
       });
-      yield* Effect.addFinalizer(() => Effect.sync(end));
+      yield* Effect.addFinalizer(() => Effect.sync(unsubscribe));
       if (this.#options.pauseDetector === undefined) {
         yield* this.#pauseDetector.start();
       }
@@ -184,7 +189,9 @@
     });
   }
 
-  /** Compares with the store and all peers, until one of them has answered. */
+  /**
+   * Compares with the store and all peers, and retries until one has answered.
+   */
   #sync(): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       while (true) {
@@ -195,14 +202,14 @@
           }),
           this.#exchange.catchUp(),
         ], { concurrency: "unbounded" });
-        const known = this.#current !== undefined;
-        // A daemon that knew a value before its pause goes on with it when it
-        // reaches nobody: refusing all callers would not make it any newer.
-        if (stored || reached > 0 || known) break;
+        const hasValue = this.#current !== undefined;
+        // A daemon that had a value before a pause keeps using it if it reaches
+        // neither store nor peers: refusing all callers would make it no newer.
+        if (stored || reached > 0 || hasValue) break;
         yield* Effect.sleep(SYNC_RETRY_MS);
       }
       this.#isSynced = true;
-      this.#announceReady();
+      this.#completeReady();
     });
   }
 
@@ -212,7 +219,7 @@
     this.#ready = Deferred.makeUnsafe();
   }
 
-  #announceReady(): void {
+  #completeReady(): void {
     if (!this.#isSynced || this.#current === undefined) return;
     Deferred.doneUnsafe(this.#ready, Effect.succeed(this.#current));
   }
@@ -236,7 +243,7 @@
     this.#history.add(version, value);
     this.#exchange.broadcast(source, { before });
     for (const listener of [...this.#listeners]) listener(this.#current);
-    this.#announceReady();
+    this.#completeReady();
     return true;
   }
 }
--- a/packages/coordination/src/version/store_follower.ts
+++ b/packages/coordination/src/version/store_follower.ts
@@ -1,5 +1,5 @@
 /**
- * Follows one object of the store.
+ * Reads and watches one object in the store.
  *
  * @module
  */
@@ -7,35 +7,44 @@
 import type { Store, StoredObject, Unavailable } from "../process/store.ts";
 
 /**
- * A watch whose connection has gone silent looks like one that has nothing to
- * tell, until its time is over: an edit made meanwhile is in force only then,
- * and later still when the list after it meets a silent connection too. Two
- * members of each failure domain watch: one call a second each is far below the
- * store's rate.
+ * A watch on a connection that has gone silent looks like a watch without
+ * events until its wait is over. An edit made meanwhile takes effect only after
+ * that, and later still if the list that follows also uses a silent connection.
+ * Since two members of each failure domain watch, one call per second by each
+ * is far below the rate that the store can serve.
  */
 const WATCH_WAIT_MS = 1_000;
 const MIN_BACKOFF_MS = 250;
 const MAX_BACKOFF_MS = 2_000;
-/** How often a member that is not to watch looks whether it is now. */
+/**
+ * Interval at which a member that is not a watcher checks whether it is one
+ * now.
+ */
 const ROLE_CHECK_INTERVAL_MS = 1_000;
-/** A member that hears no other for this long reads the store itself. */
+/**
+ * A member without contact to any other for this long reads the store itself.
+ */
 const ISOLATED_AFTER_MS = 5_000;
 
-/** What a {@linkcode StoreFollower} needs. */
+/** Settings of a {@linkcode StoreFollower}. */
 export interface StoreFollowerOptions {
   readonly store: Store;
   readonly kind: string;
   readonly name: string;
-  /** Whether this process is to watch for others. */
+  /** Whether this process watches the store on behalf of its failure domain. */
   readonly isWatcher: () => boolean;
-  /** Milliseconds since another member was heard. */
+  /** Milliseconds since the last message from another member. */
   readonly msSinceContact: () => number;
+  /** Called with each version read from the store. */
   readonly onObject: (
     found: { readonly version: number; readonly value: unknown },
   ) => void;
 }
 
-/** Watches the object while this process is to, and reads it when isolated. */
+/**
+ * Watches the object while this process is a watcher, and reads it when
+ * isolated.
+ */
 export class StoreFollower {
   readonly #options: StoreFollowerOptions;
   #backoffMs = MIN_BACKOFF_MS;
@@ -46,19 +55,19 @@
 
   /** Reads the object once. */
   read(): Effect.Effect<StoredObject | undefined, Unavailable> {
-    const { store, kind, name, onObject: take } = this.#options;
+    const { store, kind, name, onObject } = this.#options;
     return Effect.tap(
       store.read(kind, name),
-      (found) => Effect.sync(() => found !== undefined && take(found)),
+      (found) => Effect.sync(() => found !== undefined && onObject(found)),
     );
   }
 
-  /** Follows until it is interrupted. */
+  /** Follows the object until interrupted. */
   run(): Effect.Effect<never> {
-    const { isWatcher: watches, msSinceContact: silenceMs } = this.#options;
+    const { isWatcher, msSinceContact } = this.#options;
     return Effect.suspend(() => {
-      if (watches()) return this.#watch();
-      if (silenceMs() < ISOLATED_AFTER_MS) {
+      if (isWatcher()) return this.#watch();
+      if (msSinceContact() < ISOLATED_AFTER_MS) {
         return Effect.sleep(ROLE_CHECK_INTERVAL_MS);
       }
       return Effect.andThen(this.read(), Effect.sleep(ISOLATED_AFTER_MS));
@@ -68,22 +77,27 @@
     );
   }
 
-  /** Lists anew after each failure, which finds what was missed meanwhile. */
+  /**
+   * Watches after a list, which finds the changes missed since the last
+   * failure.
+   */
   #watch(): Effect.Effect<void, Unavailable> {
-    const { store, kind, name, onObject: take, isWatcher: watches } =
-      this.#options;
+    const { store, kind, name, onObject, isWatcher } = this.#options;
     return Effect.gen({ self: this }, function* () {
       const listed = yield* store.list(kind);
-      for (const item of listed.items) if (item.name === name) take(item);
+      for (const item of listed.items) if (item.name === name) onObject(item);
       let from = listed.revision;
-      while (watches()) {
-        const seen = yield* store.watch(kind, { from, waitMs: WATCH_WAIT_MS });
+      while (isWatcher()) {
+        const changes = yield* store.watch(kind, {
+          from,
+          waitMs: WATCH_WAIT_MS,
+        });
         this.#backoffMs = MIN_BACKOFF_MS;
-        for (const event of seen.events) {
+        for (const event of changes.events) {
           if (event.name !== name || event.type !== "put") continue;
-          take({ version: event.version, value: event.value });
+          onObject({ version: event.version, value: event.value });
         }
-        from = Math.max(from, seen.revision);
+        from = Math.max(from, changes.revision);
       }
     });
   }
--- a/packages/coordination/src/version/version_exchange.ts
+++ b/packages/coordination/src/version/version_exchange.ts
@@ -1,5 +1,5 @@
 /**
- * Passes versions of a value between members.
+ * Exchanges versions of a value with other members.
  *
  * @module
  */
@@ -16,22 +16,24 @@
 const QUERY_TIMEOUT_MS = 1_000;
 const QUERY_CONCURRENCY = 32;
 
-/** Where a version was learnt. */
+/** Where a version was received from. */
 export type VersionSource = "store" | "own" | "domain" | "foreign";
 
-/** What a {@linkcode VersionExchange} needs. */
+/** Settings of a {@linkcode VersionExchange}. */
 export interface VersionExchangeOptions {
   readonly peers: Peers;
   readonly membership: Membership;
   readonly clock: Clock;
   readonly channel: string;
   readonly history: VersionHistory;
-  /** Takes a value if it is newer; false when it is not taken. */
+  /** Applies a value if it is newer; returns whether it was applied. */
   readonly applyIfNewer: (
     candidate: { readonly version: number; readonly value: Json },
     source: VersionSource,
   ) => boolean;
-  /** Highest version that needs no asking: in force, or found to be invalid. */
+  /**
+   * Returns the highest version known: the current one, or one found invalid.
+   */
   readonly knownVersion: () => number;
 }
 
@@ -39,7 +41,7 @@
   | { readonly ask: "version" }
   | { readonly ask: "update"; readonly have: number };
 
-/** The peers' side of a published value. */
+/** Broadcasts new versions to peers, and fetches newer versions from them. */
 export class VersionExchange {
   readonly #options: VersionExchangeOptions;
   #lastContactAt: number;
@@ -50,12 +52,14 @@
     this.#lastContactAt = options.clock.monotonic();
   }
 
-  /** Milliseconds since another member was last heard on this value. */
+  /**
+   * Milliseconds since the last message about this value from another member.
+   */
   get msSinceContact(): number {
     return this.#options.clock.monotonic() - this.#lastContactAt;
   }
 
-  /** Answers other members. */
+  /** Registers the handler for messages of other members. */
   serve(): void {
     const { peers, channel } = this.#options;
     peers.handle(
@@ -64,7 +68,9 @@
     );
   }
 
-  /** Tells a version on to those that this process is to tell. */
+  /**
+   * Sends the newest version to the members that this process forwards it to.
+   */
   broadcast(source: VersionSource, options: { readonly before: number }): void {
     const { peers, channel, history } = this.#options;
     const update = history.updateFor(options.before);
@@ -73,7 +79,7 @@
     }
   }
 
-  /** Compares with one member picked at random, and takes what is newer. */
+  /** Fetches the value from a random member if its version is newer. */
   pullFromRandomPeer(): Effect.Effect<void> {
     return Effect.suspend(() => {
       const names = this.#otherMembers();
@@ -82,28 +88,30 @@
     });
   }
 
-  /** Takes what a member has, if it is newer. */
+  /** Fetches and applies the version of a member if it is newer. */
   pull(name: string): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       const have = this.#options.knownVersion();
       const update = yield* this.#query(name, { ask: "update", have });
       if (update === undefined || this.#applyUpdate(name, update)) return;
-      // The delta's base is not here, so the whole value is needed.
+      // The base of the delta is missing here, so fetch the whole value.
       const whole = yield* this.#query(name, { ask: "update", have: 0 });
       if (whole !== undefined) this.#applyUpdate(name, whole);
     });
   }
 
-  /** The version that each other member has; undefined for those not reached. */
+  /**
+   * Queries the version of each other member; undefined for unreachable ones.
+   */
   peerVersions(): Effect.Effect<ReadonlyMap<string, number | undefined>> {
-    const ask = (name: string) =>
+    const queryVersion = (name: string) =>
       Effect.map(
         this.#query(name, { ask: "version" }),
         (update) => [name, update?.version] as const,
       );
     return Effect.suspend(() =>
       Effect.map(
-        Effect.forEach(this.#otherMembers(), ask, {
+        Effect.forEach(this.#otherMembers(), queryVersion, {
           concurrency: QUERY_CONCURRENCY,
         }),
         (versions) => new Map(versions),
@@ -111,7 +119,7 @@
     );
   }
 
-  /** Takes the highest version that any member has. */
+  /** Fetches and applies the highest version that any member has. */
   catchUp(): Effect.Effect<{ readonly reached: number }> {
     return Effect.gen({ self: this }, function* () {
       const versions = yield* this.peerVersions();
@@ -127,14 +135,19 @@
     });
   }
 
-  /** Takes in that a member has a version, as heartbeats tell. */
+  /**
+   * Records the version that a member reports, and fetches it if it is newer.
+   */
   receiveVersion(from: string, version: unknown): void {
     if (!isVersion(version)) return;
     this.#recordContact();
     if (version > this.#options.knownVersion()) this.#fetch(from);
   }
 
-  /** One fetch at a time: a new version is announced by many at once. */
+  /**
+   * Runs one fetch at a time, since many members announce a new version at
+   * once.
+   */
   #fetch(from: string): void {
     if (this.#isFetching) return;
     this.#isFetching = true;
@@ -169,13 +182,13 @@
     return { kind: "version", version: this.#options.history.version };
   }
 
-  /** False when the update is newer but can't be made from what is here. */
+  /** Returns false if the update is newer but its base is missing here. */
   #applyUpdate(from: string, update: VersionUpdate): boolean {
-    const { knownVersion: have, history, applyIfNewer: take } = this.#options;
-    if (update.version <= have()) return true;
+    const { knownVersion, history, applyIfNewer } = this.#options;
+    if (update.version <= knownVersion()) return true;
     const value = history.valueOf(update);
     if (value === undefined) return false;
-    take({ version: update.version, value }, this.#sourceOf(from));
+    applyIfNewer({ version: update.version, value }, this.#sourceOf(from));
     return true;
   }
 
@@ -194,8 +207,11 @@
   }
 
   /**
-   * Each member is told by its own domain, and each domain by its watchers: the
-   * messages of an edit grow with the members, and one sender's with its domain.
+   * Returns the members to forward a version to: none if it came from this
+   * failure domain, the domain if it came from another one, and also the
+   * watchers of the other domains if it came from the store or this process.
+   * The messages per edit therefore grow with the number of members, and those
+   * per sender with the size of its domain.
    */
   #recipients(source: VersionSource): readonly string[] {
     const { membership, channel } = this.#options;
--- a/packages/coordination/src/version/version_history.ts
+++ b/packages/coordination/src/version/version_history.ts
@@ -1,5 +1,5 @@
 /**
- * The last versions of a value, from which updates are made.
+ * Keeps the last versions of a value, to create and apply deltas between them.
  *
  * @module
  */
@@ -7,17 +7,17 @@
 import type { Json } from "./json_delta.ts";
 import type { VersionUpdate } from "./version_message.ts";
 
-/** Members further behind get the whole value. */
+/** Number of versions kept; members further behind get the whole value. */
 const MAX_VERSIONS = 4;
 
 interface HistoryEntry {
   readonly version: number;
   readonly value: Json;
-  /** Length as JSON, to compare with that of a delta. */
+  /** Length of the value as JSON, to compare with that of a delta. */
   readonly size: number;
 }
 
-/** Keeps a few versions, newest last. */
+/** The last few versions of a value, newest last. */
 export class VersionHistory {
   readonly #entries: HistoryEntry[] = [];
   readonly #updateCache = new Map<number, VersionUpdate>();
@@ -27,27 +27,30 @@
     return this.#entries.at(-1)?.version ?? 0;
   }
 
-  /** Keeps a version newer than the others. */
+  /** Adds a version that is newer than the others. */
   add(version: number, value: Json): void {
     this.#entries.push({ version, value, size: JSON.stringify(value).length });
     if (this.#entries.length > MAX_VERSIONS) this.#entries.shift();
     this.#updateCache.clear();
   }
 
-  /** What a member with version `have` needs; made once for all members. */
+  /** Returns the update for members at version `have`; deltas are cached. */
   updateFor(have: number): VersionUpdate {
     const newest = this.#entries.at(-1);
     if (newest === undefined) return { kind: "version", version: 0 };
     if (have >= newest.version) {
       return { kind: "version", version: newest.version };
     }
-    const made = this.#updateCache.get(have) ??
+    const update = this.#updateCache.get(have) ??
       this.#createUpdate(have, newest);
-    if (made.kind === "delta") this.#updateCache.set(have, made);
-    return made;
+    if (update.kind === "delta") this.#updateCache.set(have, update);
+    return update;
   }
 
-  /** The value that an update stands for; undefined when its base is missing. */
+  /**
+   * Returns the value after an update; undefined if it carries none or its base
+   * is missing.
+   */
   valueOf(update: VersionUpdate): Json | undefined {
     if (update.kind === "whole") return update.value;
     if (update.kind === "version") return undefined;
@@ -58,7 +61,7 @@
 
   #createUpdate(have: number, newest: HistoryEntry): VersionUpdate {
     const { version, value, size } = newest;
-    const base = this.#entries.find((kept) => kept.version === have);
+    const base = this.#entries.find((entry) => entry.version === have);
     if (base === undefined) return { kind: "whole", version, value };
     const delta = makeDelta(base.value, value);
     if (JSON.stringify(delta).length >= size) {
--- a/packages/coordination/src/version/version_message.ts
+++ b/packages/coordination/src/version/version_message.ts
@@ -1,20 +1,23 @@
 /**
- * Messages by which members pass on the versions of a value.
+ * Messages that carry versions of a value between members.
  *
  * @module
  */
 import type { Json, JsonDelta } from "./json_delta.ts";
 
-/** What a member has, or what it gives. */
+/**
+ * A version that a member has, with the data to update to it if the recipient
+ * needs it.
+ */
 export type VersionUpdate =
-  /** Has this version, and gives nothing newer. */
+  /** The sender has this version; the message carries no value. */
   | { readonly kind: "version"; readonly version: number }
   | {
     readonly kind: "whole";
     readonly version: number;
     readonly value: Json;
   }
-  /** Makes the version from the earlier version `from`. */
+  /** Changes the earlier version `from` into this version. */
   | {
     readonly kind: "delta";
     readonly version: number;
@@ -22,7 +25,7 @@
     readonly delta: JsonDelta;
   };
 
-/** Reads an update; undefined when it is not valid. */
+/** Decodes an update; returns undefined if it is invalid. */
 export function decodeUpdate(message: unknown): VersionUpdate | undefined {
   const update = message as Partial<Record<string, unknown>> | null | undefined;
   const version = update?.["version"];
@@ -43,7 +46,7 @@
   }
 }
 
-/** Whether this is a version; 0 stands for none. */
+/** Whether this is a valid version; 0 means that there is no value yet. */
 export function isVersion(value: unknown): value is number {
   return Number.isSafeInteger(value) && (value as number) >= 0;
 }
--- a/packages/coordination/src/version/watchers.ts
+++ b/packages/coordination/src/version/watchers.ts
@@ -1,15 +1,18 @@
 /**
- * Chooses the members that watch the store for the others.
+ * Chooses the members that watch the store on behalf of the others.
  *
  * @module
  */
 import type { Member, MemberStatus, View } from "../process/membership.ts";
 import { rendezvous } from "../process/rendezvous.ts";
 
-/** One may fail, and be believed alive for a while, without delay to others. */
+/**
+ * One watcher may fail, and seem alive until that is detected, without any
+ * delay.
+ */
 const WATCHERS_PER_DOMAIN = 2;
 
-/** Members by their part in passing a value on. */
+/** Members by their role in distributing a value. */
 export interface Watchers {
   /** Whether this process watches the store. */
   readonly isWatcher: boolean;
@@ -20,9 +23,10 @@
 }
 
 /**
- * Chooses two watchers in each failure domain by rendezvous hash, so that the
- * store's calls grow with the domains. Processes with different views may choose
- * differently, which costs a few calls more.
+ * Chooses two watchers in each failure domain by rendezvous hashing, so that
+ * the load on the store grows with the number of domains, not of members.
+ * Processes with different views may choose differently, which costs a few
+ * extra calls.
  */
 export function chooseWatchers(
   view: View,
@@ -30,22 +34,22 @@
   channel: string,
 ): Watchers {
   const others = view.members.filter(({ member }) => member.name !== self.name);
-  const own = others.filter(({ member }) =>
+  const domainPeers = others.filter(({ member }) =>
     member.failureDomain === self.failureDomain
   );
-  const me: MemberStatus = { member: self, state: "alive" };
-  const watching = electWatchers([...own, me], channel);
-  const foreign = [...groupByDomain(others)]
+  const ownStatus: MemberStatus = { member: self, state: "alive" };
+  const ownWatchers = selectWatchers([...domainPeers, ownStatus], channel);
+  const foreignWatchers = [...groupByDomain(others)]
     .filter(([domain]) => domain !== self.failureDomain)
-    .flatMap(([, members]) => electWatchers(members, channel));
+    .flatMap(([, members]) => selectWatchers(members, channel));
   return {
-    isWatcher: watching.includes(self.name),
-    domainPeers: own.map(({ member }) => member.name),
-    foreignWatchers: foreign,
+    isWatcher: ownWatchers.includes(self.name),
+    domainPeers: domainPeers.map(({ member }) => member.name),
+    foreignWatchers,
   };
 }
 
-function electWatchers(
+function selectWatchers(
   members: readonly MemberStatus[],
   channel: string,
 ): string[] {
@@ -60,8 +64,8 @@
   const domains = new Map<string, MemberStatus[]>();
   for (const status of members) {
     const { failureDomain } = status.member;
-    const known = domains.get(failureDomain) ?? [];
-    domains.set(failureDomain, [...known, status]);
+    const domain = domains.get(failureDomain) ?? [];
+    domains.set(failureDomain, [...domain, status]);
   }
   return domains;
 }
--- a/packages/coordination/tests/handshake_test.ts
+++ b/packages/coordination/tests/handshake_test.ts
@@ -85,7 +85,7 @@
   // be given to c.
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const { dialler } = yield* runHandshake({ expected: "c" });
-    assert.equal(reasonOf(dialler), 'refused: dialled "c", met "b"');
+    assert.equal(reasonOf(dialler), 'refused: expected "c", got "b"');
   }))));
 
 test("a proof that is played back to its sender is refused", () =>
@@ -125,7 +125,7 @@
     const exit = yield* Effect.exit(
       acceptHandshake(handshakeOptions(far, "b")),
     );
-    assert.equal(reasonOf(exit), "refused: no hello");
+    assert.equal(reasonOf(exit), "refused: invalid hello");
   }))));
 
 test("an end without a common version is refused", () =>
