--- a/packages/coordination/src/process/claim_decision.ts
+++ b/packages/coordination/src/process/claim_decision.ts
@@ -1,14 +1,14 @@
 /**
- * Decisions of the claim protocol. Each is a plain function of what one version
- * of a partition holds; that nobody else changed it since is proved by the
- * conditional update that follows.
+ * Decision rules of the claim protocol. The functions are pure and take the
+ * contents of one version of a partition. The conditional update that follows
+ * ensures that no other process has changed the partition in the meantime.
  *
  * @module
  */
 import type { KeptAnswer } from "./claims.ts";
 import type { ClaimRecord, ClaimState } from "./claim_record.ts";
 
-/** Asks for a claim; asked again with the same id it is the same claim. */
+/** A request for a claim. A retry with the same id refers to the same claim. */
 export interface ClaimRequest {
   readonly _tag: "Claim";
   readonly key: string;
@@ -17,7 +17,7 @@
   readonly by: string;
 }
 
-/** Tells what became of a claim. */
+/** Records the outcome of a claim. */
 export interface SettleRequest {
   readonly _tag: "Settle";
   readonly key: string;
@@ -31,10 +31,13 @@
 /** A request to a partition. */
 export type PartitionRequest = ClaimRequest | SettleRequest;
 
-/** Answer to a request. `Append` must be written before it counts. */
+/**
+ * Decision on a request. An `Append` takes effect only once its record is
+ * written.
+ */
 export type ClaimDecision =
   | { readonly _tag: "Append"; readonly record: ClaimRecord }
-  /** The claim stands in the store. */
+  /** The claim is recorded in the store. */
   | { readonly _tag: "Claimed" }
   | {
     readonly _tag: "Taken";
@@ -43,19 +46,19 @@
   }
   | { readonly _tag: "Answered"; readonly answer: KeptAnswer }
   | { readonly _tag: "Mismatch" }
-  /** The claimant gave this very claim up earlier; it must not be used. */
+  /** The claimant has already withdrawn this claim, so it must not be used. */
   | { readonly _tag: "Withdrawn" }
-  /** The partition has no room before older claims age out. */
+  /** The partition has no capacity until older claims expire. */
   | { readonly _tag: "Full" }
-  /** A settlement that is recorded, or that nothing waits for. */
+  /** The settlement is recorded already, or no running claim matches it. */
   | { readonly _tag: "Settled" };
 
 /**
- * Judges a request against the latest record of its key.
+ * Decides a request against the latest record of its key.
  *
  * @example
  * ```ts
- * judge(undefined, request); // { _tag: "Append", record }
+ * decideRequest(undefined, request); // { _tag: "Append", record }
  * ```
  */
 export function decideRequest(
@@ -71,8 +74,9 @@
   request: ClaimRequest,
 ): ClaimDecision {
   if (found === undefined) return appendRunning(request);
-  // One's own id proves that an earlier write of this claim took effect though
-  // its reply was lost, or that the request came twice.
+  // A record with the request's own id means that an earlier write of this
+  // claim took effect although its response was lost, or that the request was
+  // delivered twice.
   if (found.id === request.id) {
     return { _tag: found.state === "withdrawn" ? "Withdrawn" : "Claimed" };
   }
@@ -93,8 +97,9 @@
     if (found.state !== "running") return { _tag: "Settled" };
     return { _tag: "Append", record };
   }
-  // A withdrawal can overtake its own claim, which may still wait at a slow
-  // owner. Recorded first, it keeps the claim from being made for nobody.
+  // A withdrawal can overtake its own claim, which may still be queued at a
+  // slow member. Recording the withdrawal first prevents the claim from being
+  // made after its claimant has given up.
   const free = found === undefined || found.state === "withdrawn";
   if (free && request.state === "withdrawn") return { _tag: "Append", record };
   return { _tag: "Settled" };
@@ -109,25 +114,26 @@
 }
 
 /**
- * The segments that may be dropped: the longest run of the oldest ones that
- * this process has known for the whole retention time.
+ * Returns the segments that can be dropped: the longest run of the oldest
+ * segments that this process has known for the whole retention time.
  *
  * A segment's claims were made before it was sealed, and it was sealed before
- * anyone could learn of it. So the time since it was learnt, by one's own clock
- * that never goes back, is at most the age of its youngest claim, whatever
- * other clocks show. A pause or a restart only makes it shorter.
+ * any process could learn of it. The time since this process learnt of it, on
+ * its own monotonic clock, is therefore at most the age of the segment's
+ * youngest claim, regardless of other clocks. A pause or a restart only
+ * shortens that time.
  */
 export function expiredSegments(
   segments: readonly number[],
-  known: {
-    readonly learnt: ReadonlyMap<number, number>;
+  options: {
+    readonly knownSince: ReadonlyMap<number, number>;
     readonly now: number;
     readonly retentionMs: number;
   },
 ): readonly number[] {
   const firstKept = segments.findIndex((segment) => {
-    const learnt = known.learnt.get(segment);
-    return learnt === undefined || known.now - learnt < known.retentionMs;
+    const since = options.knownSince.get(segment);
+    return since === undefined || options.now - since < options.retentionMs;
   });
   return firstKept === -1 ? segments : segments.slice(0, firstKept);
 }
--- a/packages/coordination/src/process/claim_decision_test.ts
+++ b/packages/coordination/src/process/claim_decision_test.ts
@@ -20,40 +20,41 @@
 
 const ANSWER = { status: 200, headers: [], body: new Uint8Array([1]) };
 
-test("a free key is claimed by a write", () => {
+test("a claim on a free key is decided by a write", () => {
   assert.equal(decideRequest(undefined, claim())._tag, "Append");
 });
 
-test("a key whose claim was withdrawn is free for another claim and body", () => {
+test("a key whose claim was withdrawn can be claimed with another body", () => {
   const found = record({ state: "withdrawn" });
   assert.equal(decideRequest(found, claim({ digest: "other" }))._tag, "Append");
 });
 
-test("one's own record proves the claim", () => {
+test("a record with the request's own id confirms the claim", () => {
   assert.deepEqual(decideRequest(record(), claim({ id: "first" })), {
     _tag: "Claimed",
   });
 });
 
-test("a claim that overtook its own withdrawal is not made", () => {
-  // The claimant gave up and withdrew while its claim waited at a slow owner. If
-  // the owner made it now, the key would stay taken for a run that never comes.
+test("a claim that arrives after its own withdrawal is not made", () => {
+  // The claimant times out and withdraws while its claim is queued at a slow
+  // member. Making the claim afterwards would leave the key taken although no
+  // request will be sent for it.
   const found = record({ state: "withdrawn" });
-  const verdict = decideRequest(found, claim({ id: "first" }));
-  assert.equal(verdict._tag, "Withdrawn");
+  const decision = decideRequest(found, claim({ id: "first" }));
+  assert.equal(decision._tag, "Withdrawn");
 });
 
-test("another body under the same key is told apart in each state", () => {
+test("a different body under the same key is a mismatch in each state", () => {
   for (const state of ["running", "answered", "may-have-run"] as const) {
-    const verdict = decideRequest(
+    const decision = decideRequest(
       record({ state }),
       claim({ digest: "other" }),
     );
-    assert.equal(verdict._tag, "Mismatch");
+    assert.equal(decision._tag, "Mismatch");
   }
 });
 
-test("a kept answer is given to a second try", () => {
+test("a kept answer is returned to a later attempt", () => {
   const found = record({ state: "answered", answer: ANSWER });
   assert.deepEqual(decideRequest(found, claim()), {
     _tag: "Answered",
@@ -71,15 +72,15 @@
   assert.equal(decideRequest(found, withdrawal("first"))._tag, "Settled");
 });
 
-test("segments are dropped from the oldest, once known for the retention", () => {
-  const learnt = new Map([[1, 0], [2, 50], [3, 10]]);
-  const known = { learnt, retentionMs: 100 };
-  assert.deepEqual(expiredSegments([1, 2, 3], { ...known, now: 99 }), []);
-  assert.deepEqual(expiredSegments([1, 2, 3], { ...known, now: 120 }), [1]);
-  assert.deepEqual(expiredSegments([1, 2, 3], { ...known, now: 150 }), [
+test("segments are dropped oldest first, once known for the retention time", () => {
+  const knownSince = new Map([[1, 0], [2, 50], [3, 10]]);
+  const options = { knownSince, retentionMs: 100 };
+  assert.deepEqual(expiredSegments([1, 2, 3], { ...options, now: 99 }), []);
+  assert.deepEqual(expiredSegments([1, 2, 3], { ...options, now: 120 }), [1]);
+  assert.deepEqual(expiredSegments([1, 2, 3], { ...options, now: 150 }), [
     1,
     2,
     3,
   ]);
-  assert.deepEqual(expiredSegments([9, 1], { ...known, now: 500 }), []);
+  assert.deepEqual(expiredSegments([9, 1], { ...options, now: 500 }), []);
 });
--- a/packages/coordination/src/process/claim_ledger.ts
+++ b/packages/coordination/src/process/claim_ledger.ts
@@ -1,5 +1,5 @@
 /**
- * What one version of a partition holds.
+ * Contents of one version of a partition, and the plan of its next version.
  *
  * @module
  */
@@ -8,46 +8,64 @@
 import { storedBytes } from "./claim_record.ts";
 import type { ClaimHead, ClaimRecord } from "./claim_record.ts";
 
-/** Part of its segments beyond which a partition keeps no more answers. */
+/**
+ * Fraction of the maximum number of segments above which a partition keeps no
+ * more answers.
+ */
 const ANSWER_SEGMENT_FRACTION = 0.5;
-/** Bytes of a small segment's records; a partition with few segments has these. */
+/** Size of a segment's records while a partition has few segments. */
 const SMALL_SEGMENT_BYTES = 8_192;
-/** Segments at which a new one has twice the size of a small one. */
+/** Number of segments at which a new segment has twice that size. */
 const DOUBLING_SEGMENTS = 512;
-/** Writes that a head takes before it is sealed, at the least. */
+/** Minimum number of writes to a head before it is sealed. */
 const WRITES_PER_SEAL = 8;
 const TYPICAL_RECORD_BYTES = 100;
 
-/** Bounds of a partition's objects. */
+/** Limits of a partition's objects. */
 export interface ClaimLimits {
-  /** Most bytes of a head's records; more are sealed by the next write. */
+  /**
+   * Maximum size of a head's records in bytes; the next write seals a larger
+   * head.
+   */
   readonly sealBytes: number;
-  /** Bytes of kept answers in a head; an answer beyond them is not kept. */
+  /**
+   * Maximum size of the answers kept in a head, in bytes; an answer that does
+   * not fit is not kept.
+   */
   readonly answerBytes: number;
-  /** Segments of a partition; claims are refused when there are as many. */
+  /**
+   * Maximum number of segments of a partition; new claims are refused once it
+   * is reached.
+   */
   readonly maxSegments: number;
-  /** How long a claim stands at least, in milliseconds. */
+  /** Minimum time for which a claim is retained, in milliseconds. */
   readonly retentionMs: number;
 }
 
-/** A segment as this process knows it. */
+/** A segment that this process has loaded or sealed. */
 export interface KnownSegment {
   readonly records: readonly ClaimRecord[];
-  /** Version of its object. */
+  /** Version of the segment's object. */
   readonly version: number;
-  /** When this process learnt of it, by its own clock that never goes back. */
+  /**
+   * Monotonic time at which this process learnt of the segment, in
+   * milliseconds.
+   */
   readonly knownSince: number;
 }
 
-/** What a batch of requests comes to. */
+/** Decisions on a batch of requests, and the writes that they require. */
 export interface BatchPlan {
   /** In the order of the requests. */
   readonly decisions: readonly ClaimDecision[];
   /** The next head; absent when nothing needs to be written. */
   readonly head?: ClaimHead;
-  /** Records to be sealed, under the present head's version, before the write. */
+  /**
+   * Records to seal before the head is written, under the current head's
+   * version.
+   */
   readonly sealed?: readonly ClaimRecord[];
-  /** Segments that the next head no longer names. */
+  /** Segments that the next head no longer references. */
   readonly dropped: readonly number[];
 }
 
@@ -56,7 +74,7 @@
   readonly segment: number;
 }
 
-/** A partition at one version of its head. */
+/** In-memory state of a partition at one version of its head. */
 export class ClaimLedger {
   #version = 0;
   #segments: readonly number[] = [];
@@ -64,30 +82,32 @@
   readonly #loadedSegments = new Map<number, KnownSegment>();
   readonly #sealedRecords = new Map<string, SealedRecord>();
 
-  /** Version of the head; 0 while there is none in the store. */
+  /** Version of the head; 0 while the store has none. */
   get version(): number {
     return this.#version;
   }
 
-  /** Segments named by a head that this process has not loaded. */
+  /** Returns the segments of a head that this process has not loaded. */
   missingSegments(head: ClaimHead): readonly number[] {
     return head.segments.filter((segment) =>
       !this.#loadedSegments.has(segment)
     );
   }
 
-  /** The segment as loaded. */
+  /** Returns a loaded segment. */
   segment(name: number): KnownSegment | undefined {
     return this.#loadedSegments.get(name);
   }
 
-  /** Keeps a loaded segment until a head no longer names it. */
+  /**
+   * Adds a loaded segment, which is kept until a head no longer references it.
+   */
   addSegment(name: number, segment: KnownSegment): void {
     if (this.#loadedSegments.has(name)) return;
     this.#loadedSegments.set(name, segment);
   }
 
-  /** Takes over a head, all of whose segments are known. */
+  /** Replaces the head by one whose segments are all loaded. */
   applyHead(head: ClaimHead, version: number): void {
     this.#version = version;
     this.#headRecords = new Map(
@@ -96,7 +116,8 @@
     const before = new Set(this.#segments);
     const named = new Set(head.segments);
     this.#segments = head.segments;
-    // Also one that was sealed here for a head that another process overtook.
+    // This includes a segment that was sealed here for a head that another
+    // process's write preceded.
     for (const name of [...this.#loadedSegments.keys()]) {
       if (!named.has(name)) this.#removeSegment(name);
     }
@@ -105,12 +126,15 @@
     }
   }
 
-  /** The latest record of a key. */
+  /** Returns the latest record of a key. */
   find(key: string): ClaimRecord | undefined {
     return this.#headRecords.get(key) ?? this.#sealedRecords.get(key)?.record;
   }
 
-  /** Judges a batch, and composes the head that would record it. */
+  /**
+   * Decides a batch of requests, and builds the head that records the
+   * decisions.
+   */
   planBatch(
     requests: readonly PartitionRequest[],
     options: { readonly now: number; readonly limits: ClaimLimits },
@@ -131,47 +155,50 @@
     let answerBudget = crowded
       ? 0
       : limits.answerBytes - answersIn(next.values());
-    const verdicts = requests.map((request) => {
+    const decisions = requests.map((request) => {
       const found = next.get(request.key) ?? this.find(request.key);
-      const verdict = decideRequest(found, request);
-      if (verdict._tag !== "Append") return verdict;
-      const record = withinAnswerBudget(verdict.record, answerBudget);
+      const decision = decideRequest(found, request);
+      if (decision._tag !== "Append") return decision;
+      const record = withinAnswerBudget(decision.record, answerBudget);
       answerBudget -= answersIn([record]);
       next.set(record.key, record);
-      return verdict;
+      return decision;
     });
-    if (verdicts.every((verdict) => verdict._tag !== "Append")) {
-      return { decisions: verdicts, dropped: [] };
+    if (decisions.every((decision) => decision._tag !== "Append")) {
+      return { decisions, dropped: [] };
     }
     const segments = sealsHead ? [...kept, this.#version] : kept;
     return {
-      decisions: verdicts,
+      decisions,
       head: { segments, records: [...next.values()] },
       ...(sealsHead ? { sealed: records } : {}),
       dropped,
     };
   }
 
-  /** No live claim is ever dropped to make room: the new one is refused. */
+  /**
+   * Decides a batch for a full partition. No live claim is ever evicted to make
+   * room; new claims are refused.
+   */
   #planFullBatch(requests: readonly PartitionRequest[]): BatchPlan {
-    const verdicts = requests.map((request): ClaimDecision => {
-      const verdict = decideRequest(this.find(request.key), request);
-      return verdict._tag === "Append" ? { _tag: "Full" } : verdict;
+    const decisions = requests.map((request): ClaimDecision => {
+      const decision = decideRequest(this.find(request.key), request);
+      return decision._tag === "Append" ? { _tag: "Full" } : decision;
     });
-    return { decisions: verdicts, dropped: [] };
+    return { decisions, dropped: [] };
   }
 
   #expiredSegments(
     options: { readonly now: number; readonly limits: ClaimLimits },
   ): readonly number[] {
-    const learnt = new Map<number, number>();
+    const knownSince = new Map<number, number>();
     for (const name of this.#segments) {
       const segment = this.#loadedSegments.get(name);
-      if (segment !== undefined) learnt.set(name, segment.knownSince);
+      if (segment !== undefined) knownSince.set(name, segment.knownSince);
     }
     const { now } = options;
     const { retentionMs } = options.limits;
-    return expiredSegments(this.#segments, { learnt, now, retentionMs });
+    return expiredSegments(this.#segments, { knownSince, now, retentionMs });
   }
 
   #indexSegment(name: number): void {
@@ -190,9 +217,10 @@
 }
 
 /**
- * Bytes at which a head is sealed. Each write carries the whole head and the
- * names of all segments, so heads are small while segments are few. A seal is a
- * write, too, so a head takes several batches.
+ * Returns the size in bytes at which a head is sealed. Each write contains the
+ * whole head and the names of all segments, so heads stay small while there are
+ * few segments. Sealing is a write as well, so a head receives several batches
+ * first.
  */
 function sealThreshold(
   limits: ClaimLimits,
@@ -204,7 +232,10 @@
   return Math.min(limits.sealBytes, Math.max(bySegments, byBatch));
 }
 
-/** A claim matters more than its answer, so an answer without room goes. */
+/**
+ * Removes an answer that exceeds the budget; recording the claim takes
+ * precedence over keeping its answer.
+ */
 function withinAnswerBudget(
   record: ClaimRecord,
   answerBudget: number,
--- a/packages/coordination/src/process/claim_partition.ts
+++ b/packages/coordination/src/process/claim_partition.ts
@@ -1,5 +1,6 @@
 /**
- * One partition of the claims, as this process reads and writes it.
+ * Decides requests on one partition of the claims by conditional updates of its
+ * head.
  *
  * @module
  */
@@ -16,16 +17,21 @@
 import type { Store } from "./store.ts";
 import { WriteRateLimiter } from "./write_rate_limiter.ts";
 
-/** How long a settlement waits for claims to share their write. */
+/** Delay of settlements, so that they can share a write with claims. */
 const SETTLE_DELAY_MS = 100;
-/** Bounds the head: half a megabyte at the longest names. */
+/**
+ * Limits the size of a head to half a megabyte with names of maximum length.
+ */
 const MAX_BATCH = 1_000;
 
-/** A request could not be decided in time. */
+/** A request that was not decided before its time-out. */
 export interface Undecided {
   readonly _tag: "Undecided";
   readonly reason: string;
-  /** It may be recorded, now or later; false when it certainly never will. */
+  /**
+   * Whether the request may be recorded, now or later; false if it never will
+   * be.
+   */
   readonly mayStand: boolean;
   readonly retryAfterMs?: number;
 }
@@ -36,27 +42,27 @@
   readonly clock: Clock;
   readonly crashPoints: CrashPoints;
   readonly limits: ClaimLimits;
-  /** Claims that come together within this time share a write. */
+  /** Time for which requests are collected into one write, in milliseconds. */
   readonly batchMs: number;
-  /** Bound on the writes of this partition by this process. */
+  /** Maximum rate of this process's writes to the partition. */
   readonly writesPerSecond: number;
 }
 
 interface PendingRequest {
   readonly request: PartitionRequest;
   readonly done: Deferred.Deferred<ClaimDecision>;
-  /** A write that carries it may have taken effect. */
+  /** Whether a write that contains the request may have taken effect. */
   mayBeRecorded: boolean;
 }
 
 /**
- * Joins requests into conditional updates of the partition's head.
+ * Batches requests into conditional updates of the partition's head.
  *
- * Any number of processes may do so at once: a claim counts only when the update
- * that carries it succeeded, and the update succeeds only if the head is still
- * the one against which the claim was judged. A process that was paused, that
- * lost a reply, or that wrongly believes to be the only one, meets a conflict and
- * judges again.
+ * Any number of processes may do so concurrently. A claim counts only once the
+ * update that contains it has succeeded, and the update succeeds only if the
+ * head still has the version against which the claim was decided. A process
+ * that was paused, that lost a response, or that wrongly considers itself the
+ * only writer gets a conflict and decides again.
  */
 export class ClaimPartition {
   readonly #options: ClaimPartitionOptions;
@@ -68,26 +74,29 @@
   #headIsCurrent = false;
   #lastWriteConflicted = false;
   #lastFailure: ClaimStoreFailure | undefined;
-  #usedAt: number;
+  #lastUsedAt: number;
 
   constructor(index: number, options: ClaimPartitionOptions) {
     this.#options = options;
     this.#objects = new ClaimObjects(index, options);
     this.#rateLimiter = new WriteRateLimiter(options.clock, options);
-    this.#usedAt = options.clock.monotonic();
+    this.#lastUsedAt = options.clock.monotonic();
   }
 
-  /** When a request last came, by the clock that never goes back. */
+  /** Monotonic time of the latest request, in milliseconds. */
   get lastUsedAt(): number {
-    return this.#usedAt;
+    return this.#lastUsedAt;
   }
 
-  /** Requests that are not decided yet. */
+  /** Number of requests that are not decided yet. */
   get pendingCount(): number {
     return this.#pending.size;
   }
 
-  /** Decides a request; a verdict that depends on a write comes after it. */
+  /**
+   * Decides a request. A decision that depends on a write is returned after
+   * that write.
+   */
   submit(
     request: PartitionRequest,
     options: { readonly timeoutMs: number },
@@ -95,7 +104,7 @@
     return Effect.suspend(() => {
       const done = Deferred.makeUnsafe<ClaimDecision>();
       const item: PendingRequest = { request, done, mayBeRecorded: false };
-      this.#usedAt = this.#options.clock.monotonic();
+      this.#lastUsedAt = this.#options.clock.monotonic();
       this.#pending.add(item);
       this.#scheduleWake(request);
       return Deferred.await(done).pipe(
@@ -108,7 +117,7 @@
     });
   }
 
-  /** Serves the requests, one write at a time, until it is interrupted. */
+  /** Processes requests, one write at a time, until it is interrupted. */
   run(): Effect.Effect<never> {
     return Effect.gen({ self: this }, function* () {
       yield* this.#wake.await;
@@ -126,28 +135,29 @@
     setTimeout(() => this.#wake.openUnsafe(), SETTLE_DELAY_MS).unref();
   }
 
-  /** Decides what waits, with one write at most. */
+  /** Decides the pending requests, with at most one update of the head. */
   #processPending(): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
-      // Two processes that write at the same pace would meet a conflict each
-      // time if they read first and waited for their turn then. So after a
-      // conflict the turn comes first, and the write follows the read at once.
+      // Two processes that write at the same rate would conflict every time if
+      // each of them read the head first and then waited for the rate limiter.
+      // After a conflict, the wait therefore precedes the read, and the write
+      // follows the read immediately.
       const waited = this.#lastWriteConflicted;
       if (waited) yield* this.#rateLimiter.acquire();
       if (!this.#headIsCurrent) {
         yield* this.#objects.load(this.#ledger);
         this.#headIsCurrent = true;
       }
-      const early = this.#planBatch();
-      this.#resolve(early.batch, early.composition);
-      if (early.composition.head === undefined) return;
+      const preview = this.#planBatch();
+      this.#resolve(preview.batch, preview.plan);
+      if (preview.plan.head === undefined) return;
       if (!waited) yield* this.#rateLimiter.acquire();
-      const { batch, composition } = this.#planBatch();
-      if (composition.head === undefined) {
-        return this.#resolve(batch, composition);
+      const { batch, plan } = this.#planBatch();
+      if (plan.head === undefined) {
+        return this.#resolve(batch, plan);
       }
-      yield* this.#write(batch, composition);
-      this.#resolve(batch, composition, { written: true });
+      yield* this.#write(batch, plan);
+      this.#resolve(batch, plan, { written: true });
     }).pipe(
       Effect.catch((failure) => this.#handleFailure(failure)),
     );
@@ -155,7 +165,7 @@
 
   #planBatch(): {
     readonly batch: readonly PendingRequest[];
-    readonly composition: BatchPlan;
+    readonly plan: BatchPlan;
   } {
     const batch = [...this.#pending].slice(0, MAX_BATCH);
     const requests = batch.map((item) => item.request);
@@ -163,24 +173,25 @@
     const { limits } = this.#options;
     return {
       batch,
-      composition: this.#ledger.planBatch(requests, { now, limits }),
+      plan: this.#ledger.planBatch(requests, { now, limits }),
     };
   }
 
   #write(
     batch: readonly PendingRequest[],
-    composition: BatchPlan,
+    plan: BatchPlan,
   ): Effect.Effect<void, ClaimStoreFailure> {
-    const before = batch.map(({ mayBeRecorded: tried }) => tried);
+    const before = batch.map(({ mayBeRecorded }) => mayBeRecorded);
     return Effect.gen({ self: this }, function* () {
-      // Unknown until the write has succeeded: an interruption in between must
-      // lead to a fresh read, as after a lost reply.
+      // The head in the store is unknown until the write has succeeded. After
+      // an interruption in between it must be read again, as after a lost
+      // response.
       this.#headIsCurrent = false;
-      if (composition.sealed !== undefined) {
+      if (plan.sealed !== undefined) {
         yield* this.#rateLimiter.acquire();
       }
       for (const item of batch) item.mayBeRecorded = true;
-      yield* this.#objects.save(this.#ledger, composition);
+      yield* this.#objects.save(this.#ledger, plan);
       this.#headIsCurrent = true;
       this.#lastWriteConflicted = false;
       this.#lastFailure = undefined;
@@ -196,23 +207,26 @@
 
   #resolve(
     batch: readonly PendingRequest[],
-    composition: BatchPlan,
+    plan: BatchPlan,
     options: { readonly written: boolean } = { written: false },
   ): void {
     for (const [index, item] of batch.entries()) {
-      const verdict = composition.decisions[index];
-      if (verdict === undefined) continue;
-      const appended = verdict._tag === "Append";
+      const decision = plan.decisions[index];
+      if (decision === undefined) continue;
+      const appended = decision._tag === "Append";
       if (appended && !options.written) continue;
       this.#pending.delete(item);
       Deferred.doneUnsafe(
         item.done,
-        Effect.succeed(appended ? recordedDecision(item.request) : verdict),
+        Effect.succeed(appended ? recordedDecision(item.request) : decision),
       );
     }
   }
 
-  /** After a conflict, a failure or a lost reply the head is read again. */
+  /**
+   * After a conflict, a failure or a lost response, makes the next run read the
+   * head again and slows writes down.
+   */
   #handleFailure(failure: ClaimStoreFailure): Effect.Effect<void> {
     return Effect.suspend(() => {
       this.#headIsCurrent = false;
@@ -252,13 +266,14 @@
     case "UnreadableClaims":
       return failure.message;
     default:
-      return "No verdict in time";
+      return "No decision within the time-out";
   }
 }
 
 /**
- * Whether an item may be recorded after a write with it failed. A conflict says
- * that this write was not made; it may be with an earlier one that was.
+ * Whether a request may be recorded after a write that contained it failed. A
+ * conflict means that this write was not made, but an earlier one may have
+ * been.
  */
 function mayBeRecorded(failure: ClaimStoreFailure, before: boolean): boolean {
   return before || failure._tag === "Unavailable" && failure.mayHaveWritten;
--- a/packages/coordination/src/process/claim_settler.ts
+++ b/packages/coordination/src/process/claim_settler.ts
@@ -1,5 +1,5 @@
 /**
- * Records what became of claims, in the background.
+ * Records the outcome of claims in the background.
  *
  * @module
  */
@@ -16,19 +16,25 @@
 const MIN_RETRY_DELAY_MS = 500;
 const MAX_RETRY_DELAY_MS = 8_000;
 const DRAIN_POLL_MS = 20;
-/** Settlements that wait for the store; more are given up, their claims stand. */
+/**
+ * Maximum number of unrecorded settlements. Further ones are dropped, and their
+ * claims remain.
+ */
 const MAX_PENDING = 10_000;
 
-/** What a {@linkcode ClaimSettler} needs. */
+/** Options of a {@linkcode ClaimSettler}. */
 export interface ClaimSettlerOptions {
   readonly clock: Clock;
   readonly crashPoints: CrashPoints;
   readonly settings: ClaimSettings;
-  /** Ends when claims can be made. */
+  /** Completes once claims can be made. */
   readonly client: Effect.Effect<ClaimClient>;
 }
 
-/** Settles claims, trying for a while when the store can't be reached. */
+/**
+ * Settles claims, and retries for a limited time while the store is
+ * unreachable.
+ */
 export class ClaimSettler {
   readonly #options: ClaimSettlerOptions;
   #scope: Scope.Scope | undefined;
@@ -38,7 +44,7 @@
     this.#options = options;
   }
 
-  /** Settlements that are not recorded yet. */
+  /** Number of settlements that are not recorded yet. */
   get pending(): number {
     return this.#pending;
   }
@@ -48,7 +54,9 @@
     this.#scope = scope;
   }
 
-  /** Queues a settlement; a claim that can't be settled stands. */
+  /**
+   * Queues a settlement. A claim that cannot be settled remains in the store.
+   */
   settle(
     request: ClaimRequest,
     settlement: ClaimSettlement,
@@ -61,24 +69,27 @@
       this.#pending += 1;
       const { maxAnswerBytes } = this.#options.settings;
       const settle = toSettleRequest(request, settlement, { maxAnswerBytes });
-      const counted = Effect.ensuring(
+      const recording = Effect.ensuring(
         this.#record(settle),
         Effect.sync(() => {
           this.#pending -= 1;
         }),
       );
-      return Effect.asVoid(Effect.forkIn(counted, scope));
+      return Effect.asVoid(Effect.forkIn(recording, scope));
     });
   }
 
-  /** Ends when all settlements are recorded or given up. */
+  /** Completes when all settlements are recorded or given up. */
   drain(): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       while (this.#pending > 0) yield* Effect.sleep(DRAIN_POLL_MS);
     });
   }
 
-  /** Tries until it is recorded or nobody can be waiting for it. */
+  /**
+   * Retries until the settlement is recorded, or until no caller can still be
+   * waiting for it.
+   */
   #record(request: SettleRequest): Effect.Effect<void> {
     const { clock, crashPoints, settings } = this.#options;
     const { timeoutMs, settlePatienceMs } = settings;
@@ -88,12 +99,12 @@
       const client = yield* this.#options.client;
       let delayMs = MIN_RETRY_DELAY_MS;
       while (clock.monotonic() < deadline) {
-        const decided = client.decide(request, { timeoutMs });
-        const done = yield* Effect.match(decided, {
+        const decision = client.decide(request, { timeoutMs });
+        const recorded = yield* Effect.match(decision, {
           onFailure: () => false,
           onSuccess: () => true,
         });
-        if (done) break;
+        if (recorded) break;
         yield* Effect.sleep(delayMs);
         delayMs = Math.min(MAX_RETRY_DELAY_MS, delayMs * 2);
       }
--- a/packages/coordination/src/process/claims_in_store.ts
+++ b/packages/coordination/src/process/claims_in_store.ts
@@ -1,5 +1,5 @@
 /**
- * Claims kept in the platform's store.
+ * Implementation of {@linkcode Claims} on the platform's object store.
  *
  * @module
  */
@@ -36,7 +36,10 @@
 const RETRY_AFTER_MS = 1_000;
 const FULL_RETRY_AFTER_MS = 30_000;
 const LAYOUT_RETRY_MS = 500;
-/** Part of the bound after which a decision gives up, so that it can say why. */
+/**
+ * Fraction of the time-out after which a decision gives up, so that it can
+ * still report the reason.
+ */
 const DECISION_TIMEOUT_FRACTION = 0.9;
 
 /** Settings of {@linkcode ClaimsInStore}. */
@@ -50,9 +53,9 @@
 }
 
 /**
- * {@linkcode Claims} that are safe by conditional update alone; see
- * docs/design/claims.md. Life: construct, {@linkcode ClaimsInStore.start} in the
- * daemon's scope, claim and settle, {@linkcode ClaimsInStore.drain} when leaving.
+ * {@linkcode Claims} whose safety rests on conditional updates alone; see
+ * docs/design/claims.md. Call {@linkcode ClaimsInStore.start} in the daemon's
+ * scope before claiming, and {@linkcode ClaimsInStore.drain} on shutdown.
  *
  * @example
  * ```ts
@@ -85,12 +88,14 @@
     });
   }
 
-  /** Settlements that are not recorded yet. */
+  /** Number of settlements that are not recorded yet. */
   get pendingSettlements(): number {
     return this.#settler.pending;
   }
 
-  /** Makes and serves claims until the scope closes. */
+  /**
+   * Makes claims, and serves those of other members, until the scope closes.
+   */
   start(): Effect.Effect<void, never, Scope.Scope> {
     return Effect.gen({ self: this }, function* () {
       const scope = yield* Effect.scope;
@@ -99,7 +104,9 @@
     });
   }
 
-  /** Ends when all settlements are recorded; the caller bounds the time. */
+  /**
+   * Completes when all settlements are recorded; the caller limits the time.
+   */
   drain(): Effect.Effect<void> {
     return this.#settler.drain();
   }
@@ -119,8 +126,8 @@
       const startedAt = timestampOf(this.#clock);
       return Effect.matchEffect(this.#requestDecision(request), {
         onFailure: (undecided) => this.#abandon(request, undecided),
-        onSuccess: (verdict) =>
-          this.#toOutcome(verdict, { key, request, startedAt }),
+        onSuccess: (decision) =>
+          this.#toOutcome(decision, { key, request, startedAt }),
       }).pipe(Effect.onInterrupt(() => this.#withdraw(request)));
     });
   }
@@ -132,39 +139,39 @@
     return Effect.gen({ self: this }, function* () {
       yield* this.#crashPoints.reached("claim.before_ask");
       const client = yield* Deferred.await(this.#client);
-      const verdict = yield* client.decide(request, {
+      const decision = yield* client.decide(request, {
         timeoutMs: timeoutMs * DECISION_TIMEOUT_FRACTION,
       });
       yield* this.#crashPoints.reached("claim.after_ask");
-      return verdict;
+      return decision;
     }).pipe(Effect.timeoutOrElse({
       duration: timeoutMs,
       orElse: () =>
         Effect.fail<Undecided>({
           _tag: "Undecided",
-          reason: "No verdict in time",
+          reason: "No decision within the time-out",
           mayStand: Deferred.isDoneUnsafe(this.#client),
         }),
     }));
   }
 
   #toOutcome(
-    verdict: ClaimDecision,
-    asked: {
+    decision: ClaimDecision,
+    attempt: {
       readonly key: string;
       readonly request: ClaimRequest;
       readonly startedAt: Timestamp;
     },
   ): Effect.Effect<ClaimOutcome, ClaimUnavailable> {
-    const { request } = asked;
-    switch (verdict._tag) {
+    const { request } = attempt;
+    switch (decision._tag) {
       case "Claimed":
-        return this.#claimedOutcome(asked);
+        return this.#claimedOutcome(attempt);
       case "Answered":
       case "Mismatch":
-        return Effect.succeed(verdict);
+        return Effect.succeed(decision);
       case "Taken":
-        return Effect.succeed(this.#takenOutcome(verdict));
+        return Effect.succeed(this.#takenOutcome(decision));
       case "Full":
         return Effect.fail({
           _tag: "ClaimUnavailable",
@@ -175,30 +182,31 @@
       default:
         return this.#abandon(request, {
           _tag: "Undecided",
-          reason: `Unexpected verdict "${verdict._tag}"`,
+          reason: `Unexpected decision "${decision._tag}"`,
           mayStand: true,
         });
     }
   }
 
   /**
-   * A process that was paused while it asked may find its claim made long ago,
-   * even aged out since; its caller has gone and may have tried elsewhere.
+   * Returns the claim unless the decision arrived too late. After a pause
+   * during the request, the claim may have been made long ago and even have
+   * expired since; its caller has disconnected and may have retried elsewhere.
    */
   #claimedOutcome(
-    asked: {
+    attempt: {
       readonly key: string;
       readonly request: ClaimRequest;
       readonly startedAt: Timestamp;
     },
   ): Effect.Effect<ClaimOutcome, ClaimUnavailable> {
-    const { key, request, startedAt } = asked;
+    const { key, request, startedAt } = attempt;
     const { timeoutMs, startWithinMs } = this.#settings;
     const elapsed = () => elapsedSince(startedAt, this.#clock);
     if (elapsed() > timeoutMs) {
       return this.#abandon(request, {
         _tag: "Undecided",
-        reason: "The verdict came too late",
+        reason: "The decision arrived after the time-out",
         mayStand: true,
       });
     }
@@ -212,19 +220,22 @@
   }
 
   #takenOutcome(
-    verdict: ClaimDecision & { readonly _tag: "Taken" },
+    decision: ClaimDecision & { readonly _tag: "Taken" },
   ): ClaimOutcome {
-    const { by } = verdict;
+    const { by } = decision;
     const { members } = this.#options.membership.view();
     const isMember = members.some(({ member }) => member.name === by);
-    if (verdict.state === "answered") {
+    if (decision.state === "answered") {
       return { _tag: "Taken", by, state: "answered" };
     }
-    const running = verdict.state === "running" && isMember;
+    const running = decision.state === "running" && isMember;
     return { _tag: "Taken", by, state: running ? "running" : "may-have-run" };
   }
 
-  /** The claim will not be used, so it is taken back where it may stand. */
+  /**
+   * Fails with `ClaimUnavailable`, and withdraws the claim if it may be
+   * recorded.
+   */
   #abandon(
     request: ClaimRequest,
     undecided: Undecided,
@@ -237,8 +248,8 @@
       detail: undecided.reason,
       retryAfterMs: undecided.retryAfterMs ?? RETRY_AFTER_MS,
     };
-    // During an outage of the store most claims were never written; taking them
-    // back would crowd out the settlements of those that were.
+    // During a store outage most claims were never written. Withdrawing them
+    // would crowd out the settlements of those that were.
     const withdrawal = undecided.mayStand
       ? this.#withdraw(request)
       : Effect.void;
@@ -249,7 +260,9 @@
     return this.#settler.settle(request, { _tag: "NotRun" });
   }
 
-  /** Agrees on the layout; until then claims time out as unavailable. */
+  /**
+   * Reads or creates the layout. Until then, claims time out as unavailable.
+   */
   #initialize(scope: Scope.Scope): Effect.Effect<void> {
     const { store, peers, membership } = this.#options;
     const { partitions, windowMs } = this.#settings;
@@ -258,7 +271,7 @@
         ensureLayout(store, { partitions, windowMs }),
         { schedule: Schedule.spaced(LAYOUT_RETRY_MS) },
       );
-      const server = this.#server(layout, scope);
+      const server = this.#createServer(layout, scope);
       yield* server.serve(peers);
       const client = new ClaimClient({
         server,
@@ -271,7 +284,7 @@
     }).pipe(Effect.ignore);
   }
 
-  #server(layout: ClaimLayout, scope: Scope.Scope): ClaimServer {
+  #createServer(layout: ClaimLayout, scope: Scope.Scope): ClaimServer {
     const { writesPerSecond, batchMs, limits } = this.#settings;
     return new ClaimServer(layout, {
       scope,
@@ -284,7 +297,10 @@
     });
   }
 
-  /** The window, and whatever time may pass before a claim is used or judged. */
+  /**
+   * Returns the window plus the time that may pass before a claim is used or
+   * decided.
+   */
   #retentionMs(layout: ClaimLayout): number {
     const MAX_CLOCK_DRIFT = 0.01;
     const { timeoutMs, startWithinMs } = this.#settings;
--- a/packages/coordination/src/process/lease.ts
+++ b/packages/coordination/src/process/lease.ts
@@ -1,5 +1,6 @@
 /**
- * Leases in the platform's store: one holder at a time, with a fencing number.
+ * Leases in the platform's object store: one holder at a time, with a fencing
+ * token.
  *
  * @module
  */
@@ -15,7 +16,7 @@
 import type { Store } from "./store.ts";
 
 const DEFAULT_DURATION_MS = 10_000;
-/** Renewals and looks in each duration. */
+/** Renewals, or attempts to acquire, per lease duration. */
 const STEPS_PER_DURATION = 5;
 const HOLDER_ID_BYTES = 9;
 
@@ -24,9 +25,12 @@
   readonly store: Store;
   /** Name of the lease, such as that of a service. */
   readonly name: string;
-  /** Name of this process, for the operators' eyes. */
+  /** Name of this process, shown to operators. */
   readonly holder: string;
-  /** How long a silent holder keeps the lease, in milliseconds; 10,000 by default. */
+  /**
+   * Time for which a holder keeps the lease without renewing it, in
+   * milliseconds; 10,000 by default.
+   */
   readonly durationMs?: number;
   /** Whether this process should hold the lease; always by default. */
   readonly wanted?: () => boolean;
@@ -36,24 +40,26 @@
 
 /** The right to act, for one term of the holder. */
 export interface Tenure {
-  /** Higher than that of every earlier term. */
+  /** Fencing token, higher than that of every earlier term. */
   readonly fencing: number;
   /**
-   * Milliseconds for which acts may still be under way, by this process's clock
-   * that never goes back and with the margin taken off; 0 or less when the term
-   * is over. Asked before each act, it holds also right after a pause.
+   * Returns the milliseconds for which actions may still be in progress, on
+   * this process's monotonic clock and less the safety margin; 0 or less once
+   * the term is over. Checked before each action, it is also correct right
+   * after a pause.
    */
   remainingMs(): number;
 }
 
 /**
- * Lets one process at a time act; see docs/design/leases.md.
+ * A lease that lets one process at a time act; see docs/design/leases.md.
  *
- * The holder counts its time from before it sent the write, and stops a margin
- * before the end. Another process takes the lease when it has seen the same
- * version for the whole duration by its own clock, which began later. So no two
- * act at once, whatever the shown times are, while clocks run at rates that
- * differ by less than the margin, a fifth.
+ * The holder measures its time from before it sent the write, and stops a
+ * safety margin before the end. Another process acquires the lease once it has
+ * observed the same version for the whole duration on its own clock, which
+ * started later. Two processes therefore never act at once, whatever their wall
+ * clocks show, as long as their clock rates differ by less than the margin, a
+ * fifth.
  *
  * @example
  * ```ts
@@ -83,8 +89,9 @@
   }
 
   /**
-   * Waits for the lease and runs the effect while it is held; interrupts it when
-   * the lease is lost, and gives the lease up when it ends.
+   * Waits for the lease and runs the effect while the lease is held. Interrupts
+   * the effect when the lease is lost, and releases the lease when the effect
+   * ends.
    */
   hold(during: (tenure: Tenure) => Effect.Effect<void>): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
@@ -109,14 +116,14 @@
     });
   }
 
-  /** Renews until the term is over, which ends the work. */
+  /** Renews the lease until its term is over, which ends the work. */
   #renewUntilLost(term: LeaseTerm): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       while (this.#remainingMs(term) > 0) {
         const stepMs = Math.min(this.#stepMs(), this.#remainingMs(term));
         yield* Effect.sleep(Math.max(1, stepMs));
-        // After a pause another process may hold it; a renewal would only meet
-        // a conflict, and the time is over in any case.
+        // After a pause another process may hold the lease. A renewal would
+        // only conflict, and the term is over in any case.
         if (this.#remainingMs(term) <= 0) return;
         const lost = yield* this.#object.renew(term).pipe(
           Effect.timeoutOrElse({
--- a/packages/coordination/src/process/lease_object.ts
+++ b/packages/coordination/src/process/lease_object.ts
@@ -1,5 +1,5 @@
 /**
- * The object in the store that stands for a lease.
+ * Reads and writes the object in the store that represents a lease.
  *
  * @module
  */
@@ -11,21 +11,21 @@
 import type { LeaseHolding } from "./lease_rules.ts";
 import type { Conflict, Store, StoredObject, Unavailable } from "./store.ts";
 
-/** Kind of the leases in the store. */
+/** Object kind of leases in the store. */
 export const LEASE_KIND = "leases";
 
-/** A time of holding; changes with each renewal. */
+/** State of one term of holding the lease; each renewal updates it. */
 export interface LeaseTerm {
   readonly fencing: number;
-  /** When the last write that is known to stand was sent. */
+  /** When the last write that is known to have succeeded was sent. */
   renewedAt: Timestamp;
-  /** Version on which the next write builds. */
+  /** Version that the next write replaces. */
   version: number;
-  /** The lease was given up or taken by another process. */
+  /** Whether the lease was released, or acquired by another process. */
   ended: boolean;
 }
 
-/** What a {@linkcode LeaseObject} needs. */
+/** Options of a {@linkcode LeaseObject}. */
 export interface LeaseObjectOptions {
   readonly store: Store;
   readonly clock: Clock;
@@ -38,15 +38,15 @@
 
 type WriteResult =
   | { readonly _tag: "Written"; readonly version: number }
-  /** An earlier write of the term stands, sent at an unknown time. */
+  /** An earlier write of the term is in the store, sent at an unknown time. */
   | { readonly _tag: "Earlier"; readonly version: number }
   | { readonly _tag: "Lost" }
-  | { readonly _tag: "Unsure" };
+  | { readonly _tag: "Unknown" };
 
 /**
- * The object of one lease in the store. It is free for this process when it is
- * absent, given up or its own, or when its version has stood for the lease's
- * length by this process's own clock.
+ * The object of one lease in the store. This process can acquire the lease if
+ * the object is absent, released or its own, or if its version has not changed
+ * for the lease's duration on this process's own clock.
  */
 export class LeaseObject {
   readonly #options: LeaseObjectOptions;
@@ -58,7 +58,7 @@
     this.#observer = new LeaseObserver(options.holderId);
   }
 
-  /** Looks at the lease once, and takes it if it is free. */
+  /** Reads the lease once, and acquires it if it is free. */
   tryAcquire(): Effect.Effect<LeaseTerm | undefined> {
     const { store, name, clock } = this.#options;
     return Effect.gen({ self: this }, function* () {
@@ -74,32 +74,39 @@
     }).pipe(Effect.catch(() => Effect.succeed(undefined)));
   }
 
-  /** Renews once; true when the lease is lost. Unsure ends are tried again. */
+  /**
+   * Renews the lease once; returns true if it is lost. A write with an unknown
+   * result is retried by the next renewal.
+   */
   renew(term: LeaseTerm): Effect.Effect<boolean> {
     const { clock } = this.#options;
     return Effect.gen({ self: this }, function* () {
       const sentAt = timestampOf(clock);
       const value = this.#value(term.fencing);
       const written = yield* this.#write(value, term.version);
-      if (written._tag === "Unsure") return false;
+      if (written._tag === "Unknown") return false;
       if (written._tag === "Lost") {
         term.ended = true;
         return true;
       }
       term.version = written.version;
-      // Others count from the write that stands. Counting from a later attempt
-      // would let this holder act while another one takes over.
+      // Other processes measure the duration from the write that is in the
+      // store. Measuring from a later attempt would let this holder act while
+      // another process takes over.
       if (written._tag === "Written") term.renewedAt = sentAt;
       return false;
     });
   }
 
-  /** Gives the lease up, so that another process need not wait for its end. */
+  /**
+   * Releases the lease, so that other processes need not wait for it to expire.
+   */
   release(term: LeaseTerm): Effect.Effect<void> {
     const { store, name } = this.#options;
     return Effect.suspend(() => {
       if (term.ended) return Effect.void;
-      // Nothing may be done under it from here on, whether the write arrives.
+      // From here on no action may be taken under the lease, whether or not the
+      // write arrives.
       term.ended = true;
       const value: LeaseHolding = {
         ...this.#value(term.fencing),
@@ -111,7 +118,10 @@
     });
   }
 
-  /** After a lost reply the object tells whether the write took effect. */
+  /**
+   * Writes the lease. After a lost response, reads the object back to find out
+   * whether the write took effect.
+   */
   #write(value: LeaseHolding, ifVersion: number): Effect.Effect<WriteResult> {
     const { store, name, crashPoints } = this.#options;
     const object = { kind: LEASE_KIND, name, value };
@@ -134,36 +144,37 @@
     value: LeaseHolding,
     failure: Conflict | Unavailable,
   ): Effect.Effect<WriteResult> {
-    const unsure: WriteResult = { _tag: "Unsure" };
-    // A conflict, too, may be with one's own write whose reply was lost before.
+    const unknownResult: WriteResult = { _tag: "Unknown" };
+    // A conflict can also be with an earlier write of this process whose
+    // response was lost.
     if (failure._tag === "Unavailable" && !failure.mayHaveWritten) {
-      return Effect.succeed(unsure);
+      return Effect.succeed(unknownResult);
     }
     const { store, name } = this.#options;
     return Effect.match(store.read(LEASE_KIND, name), {
-      onFailure: () => unsure,
+      onFailure: () => unknownResult,
       onSuccess: (found): WriteResult => {
         const stored = found?.value as LeaseHolding | undefined;
-        const own = stored?.holderId === value.holderId &&
+        const isOwn = stored?.holderId === value.holderId &&
           stored.fencing === value.fencing;
-        if (!own) {
-          // Not lost for good when only the request was: the lease as it was
-          // before may still be there.
-          return failure._tag === "Conflict" ? { _tag: "Lost" } : unsure;
+        if (!isOwn) {
+          // If only the request was lost, the previous state of the lease may
+          // still be in the store, so the lease is not lost.
+          return failure._tag === "Conflict" ? { _tag: "Lost" } : unknownResult;
         }
         const version = found?.version ?? 0;
-        const same = stored.attempt === value.attempt;
-        return { _tag: same ? "Written" : "Earlier", version };
+        const isSameWrite = stored.attempt === value.attempt;
+        return { _tag: isSameWrite ? "Written" : "Earlier", version };
       },
     });
   }
 
   #isFree(found: StoredObject | undefined): boolean {
-    const seen = found && {
+    const observed = found && {
       version: found.version,
       holding: found.value as LeaseHolding,
     };
-    return this.#observer.isFree(seen, this.#options.clock.monotonic());
+    return this.#observer.isFree(observed, this.#options.clock.monotonic());
   }
 
   #value(fencing: number): LeaseHolding {
--- a/packages/coordination/src/process/lease_rules.ts
+++ b/packages/coordination/src/process/lease_rules.ts
@@ -1,37 +1,39 @@
 /**
- * Who holds a lease, and for how long: the rules, without a store.
+ * Rules for who holds a lease and for how long, independent of the store.
  *
  * @module
  */
 import { elapsedSince } from "./clock.ts";
 import type { Clock, Timestamp } from "./clock.ts";
 
-/** What the object of a lease says of its holder. */
+/** Contents of a lease's object: its holder and term. */
 export interface LeaseHolding {
-  /** Name of the holder's process; empty when nobody holds it. */
+  /** Name of the holder's process; empty when the lease is free. */
   readonly holder: string;
-  /** Unique for each process that ever started; empty when nobody holds it. */
+  /** Unique to each process start; empty when the lease is free. */
   readonly holderId: string;
-  /** Number of the holder's term. */
+  /** Fencing token: the number of the holder's term. */
   readonly fencing: number;
-  /** Counts the holder's writes, so that each can be told from the one before. */
+  /**
+   * Number of the holder's write, which distinguishes it from the previous one.
+   */
   readonly attempt: number;
   readonly durationMs: number;
 }
 
-/** The object of a lease as it was read. */
+/** The object of a lease as read from the store. */
 export interface ObservedLease {
   readonly version: number;
   readonly holding: LeaseHolding;
 }
 
-/** Part of the duration that the holder leaves unused. */
+/** Fraction of the duration that the holder leaves unused. */
 const SAFETY_MARGIN = 0.2;
 
 /**
- * Number of a term whose first write replaces a version. Versions only grow and
- * each is replaced once, so it is above that of any earlier term and nobody
- * else's.
+ * Returns the fencing token of a term whose first write replaces the given
+ * version. Versions only grow and each is replaced once, so the token is unique
+ * and higher than that of any earlier term.
  *
  * @example
  * ```ts
@@ -43,14 +45,15 @@
 }
 
 /**
- * Milliseconds for which the holder may still act, with the margin taken off; 0
- * or less when its time is over.
+ * Returns the milliseconds for which the holder may still act, less the safety
+ * margin; 0 or less once its time is over.
  *
- * @param renewedAt when the last write that is known to stand was sent.
+ * @param renewedAt when the last write that is known to have succeeded was
+ * sent.
  *
  * @example
  * ```ts
- * leaseRemainingMs(10_000, momentOf(clock), clock); // 8000
+ * leaseRemainingMs(10_000, timestampOf(clock), clock); // 8000
  * ```
  */
 export function leaseRemainingMs(
@@ -62,14 +65,14 @@
 }
 
 /**
- * What a process has seen of a lease that others may hold: the version last
- * seen, and for how long it has stood.
+ * Tracks a lease that other processes may hold: the last version observed, and
+ * since when it has been unchanged.
  *
  * @example
  * ```ts
- * const sight = new LeaseSight("one-life");
- * sight.see(found.version, clock.monotonic());
- * if (sight.isFree(found, clock.monotonic())) take();
+ * const observer = new LeaseObserver("process-1");
+ * observer.observe(found.version, clock.monotonic());
+ * if (observer.isFree(found, clock.monotonic())) acquire();
  * ```
  */
 export class LeaseObserver {
@@ -77,22 +80,24 @@
   #lastVersion = 0;
   #unchangedSince = -Infinity;
 
-  /** @param holderId of the process that looks. */
+  /** @param holderId of the observing process. */
   constructor(holderId: string) {
     this.#holderId = holderId;
   }
 
-  /** Version that was seen last; 0 without one. */
+  /** Last version observed; 0 before the first one. */
   get version(): number {
     return this.#lastVersion;
   }
 
-  /** Steady ms since which it has stood, as far as seen. */
+  /** Monotonic ms since which the version is known to have been unchanged. */
   get unchangedSince(): number {
     return this.#unchangedSince;
   }
 
-  /** Notes that a version was there at a moment; an older one says nothing. */
+  /**
+   * Records that a version was in the store at a time; an older one is ignored.
+   */
   observe(version: number, at: number): void {
     if (version <= this.#lastVersion) return;
     this.#lastVersion = version;
@@ -100,8 +105,9 @@
   }
 
   /**
-   * Whether the lease may be taken: nobody holds it, this process did, or its
-   * version has not changed for its whole duration while this process looked.
+   * Whether the lease can be acquired: it is free, this process is its holder,
+   * or its version has not changed for its whole duration while this process
+   * observed it.
    */
   isFree(found: ObservedLease | undefined, now: number): boolean {
     if (found === undefined) return true;
