--- a/packages/coordination/src/connection/frame_test.ts
+++ b/packages/coordination/src/connection/frame_test.ts
@@ -32,8 +32,9 @@
   ));
 
 test("a length over the limit is rejected before the frame arrives", () =>
-  // An unauthenticated client sends only a length prefix, of 4 GiB. The reader
-  // must fail on the length alone, without allocating or waiting.
+  // An unauthenticated client sends only four bytes, which announce a frame of
+  // 4 GiB. The reader must fail on the length alone, without allocating or
+  // waiting.
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const { near, far } = yield* socketPair;
     const reader = new FrameReader(far, LIMIT);
--- a/packages/coordination/src/connection/peer.ts
+++ b/packages/coordination/src/connection/peer.ts
@@ -37,7 +37,7 @@
   readonly #context: PeerContext;
   readonly #links = new Set<Link>();
   readonly #linkWaiters = new Set<LinkWaiter>();
-  #queuedMessages: Send[] = [];
+  #queued: Send[] = [];
   #dialling = false;
   #isUp = false;
   #stopped = false;
@@ -67,10 +67,8 @@
     const link = this.#preferredLink();
     if (link !== undefined) return link.trySend(message);
     if (!this.#canDial()) return false;
-    if (this.#queuedMessages.length >= this.#context.settings.maxWaiting) {
-      return false;
-    }
-    this.#queuedMessages.push(message);
+    if (this.#queued.length >= this.#context.settings.maxWaiting) return false;
+    this.#queued.push(message);
     this.#startDialling();
     return true;
   }
@@ -167,8 +165,8 @@
     this.#backoffMs = this.#context.settings.minBackoffMs;
     this.#retryAt = Number.NEGATIVE_INFINITY;
     this.#setState(true);
-    const messages = this.#queuedMessages;
-    this.#queuedMessages = [];
+    const messages = this.#queued;
+    this.#queued = [];
     for (const message of messages) link.trySend(message);
     for (const resume of [...this.#linkWaiters]) resume(Effect.succeed(link));
     this.#linkWaiters.clear();
@@ -248,7 +246,7 @@
     if (this.#preferredLink() !== undefined) return;
     this.#retryAt = clock.monotonic() + this.#backoffMs;
     this.#backoffMs = Math.min(this.#backoffMs * 2, settings.maxBackoffMs);
-    this.#queuedMessages = [];
+    this.#queued = [];
     const failure = Effect.fail(peerUnreachable(this.#name, "no-link"));
     for (const resume of [...this.#linkWaiters]) resume(failure);
     this.#linkWaiters.clear();
--- a/packages/coordination/src/version/store_follower.ts
+++ b/packages/coordination/src/version/store_follower.ts
@@ -20,7 +20,7 @@
  * Interval at which a member that is not a watcher checks whether it is one
  * now.
  */
-const ROLE_CHECK_INTERVAL_MS = 1_000;
+const RECHECK_MS = 1_000;
 /**
  * A member without contact to any other for this long reads the store itself.
  */
@@ -67,9 +67,7 @@
     const { isWatcher, msSinceContact } = this.#options;
     return Effect.suspend(() => {
       if (isWatcher()) return this.#watch();
-      if (msSinceContact() < ISOLATED_AFTER_MS) {
-        return Effect.sleep(ROLE_CHECK_INTERVAL_MS);
-      }
+      if (msSinceContact() < ISOLATED_AFTER_MS) return Effect.sleep(RECHECK_MS);
       return Effect.andThen(this.read(), Effect.sleep(ISOLATED_AFTER_MS));
     }).pipe(
       Effect.catch((failure) => this.#backOff(failure)),
--- a/packages/coordination/src/version/version_exchange.ts
+++ b/packages/coordination/src/version/version_exchange.ts
@@ -162,9 +162,7 @@
       this.#recordContact();
       const query = message as Partial<Record<string, unknown>> | null;
       if (query?.["ask"] === "version") return this.#versionOnly();
-      if (query?.["ask"] === "update") {
-        return this.#answerQuery(from, query["have"]);
-      }
+      if (query?.["ask"] === "update") return this.#reply(from, query["have"]);
       const update = decodeUpdate(message);
       if (update === undefined) return null;
       if (!this.#applyUpdate(from, update)) this.#fetch(from);
@@ -172,7 +170,7 @@
     });
   }
 
-  #answerQuery(from: string, have: unknown): VersionUpdate {
+  #reply(from: string, have: unknown): VersionUpdate {
     if (!isVersion(have)) return this.#versionOnly();
     this.receiveVersion(from, have);
     return this.#options.history.updateFor(have);
--- a/packages/coordination/tests/claims_age_test.ts
+++ b/packages/coordination/tests/claims_age_test.ts
@@ -9,7 +9,10 @@
 
 const TIMEOUT_MS = 20_000;
 const WINDOW_MS = 60_000;
-/** Window with its margin for drift, two bounds of a claim, and the start bound. */
+/**
+ * The window with its margin for drift, two claim time-outs, and the start
+ * bound.
+ */
 const RETENTION_MS = WINDOW_MS * 1.01 + 2 * TIMEOUT_MS + 1_000;
 
 function settings(fields: Partial<ClaimSettings["limits"]> = {}) {
@@ -41,7 +44,7 @@
   return Effect.runPromise(fleet.store.list("claims-0"));
 }
 
-test("claims in sealed segments are met by a process that starts later", async (t) => {
+test("a process that starts later finds claims in sealed segments", async (t) => {
   const { fleet } = await fleetWithKeys(t, 60);
   assert.ok((await segments(fleet)).items.length > 4);
   const later = await fleet.daemon("a", { settings: settings() });
@@ -50,7 +53,7 @@
   }
 });
 
-test("claims age out, and their objects go", async (t) => {
+test("claims expire, and their objects are deleted", async (t) => {
   const { fleet, clock, a } = await fleetWithKeys(t, 60);
   clock.advance(RETENTION_MS);
   assert.equal((await tryClaim(a, "new"))._tag, "Claimed");
@@ -58,16 +61,17 @@
   assert.ok((await segments(fleet)).items.length <= 1);
 });
 
-test("no claim ages out within the window", async (t) => {
+test("no claim expires within the window", async (t) => {
   const { clock, a } = await fleetWithKeys(t, 60);
   clock.advance(WINDOW_MS + TIMEOUT_MS);
   assert.equal((await tryClaim(a, "new"))._tag, "Claimed");
   assert.equal((await tryClaim(a, "key 0"))._tag, "Taken");
 });
 
-test("a process with a clock far ahead does not age out others' claims", async (t) => {
-  // A daemon's clock shows another year. If ages came from the shown time, it
-  // would drop a live claim, and a late retry would run the request again.
+test("a process with a clock far ahead does not expire others' claims", async (t) => {
+  // A daemon's wall clock is a year ahead. If ages were computed from
+  // wall-clock time, it would drop a live claim, and a late retry would run the
+  // request again.
   const { fleet } = await fleetWithKeys(t, 60);
   const year = 365 * 24 * 3_600_000;
   const skewed = await fleet.daemon("a", {
@@ -78,7 +82,7 @@
   assert.equal((await tryClaim(skewed, "key 0"))._tag, "Taken");
 });
 
-test("a partition without room refuses new keys and keeps the live ones", async (t) => {
+test("a full partition refuses new keys and keeps live claims", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
   const clock = new FakeClock();
   const a = await fleet.daemon("a", {
@@ -96,7 +100,7 @@
   assert.equal((await tryClaim(a, "key 39"))._tag, "Claimed");
 });
 
-test("a partition that fills keeps claims and no more answers", async (t) => {
+test("a partition that fills up keeps claims but no more answers", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a", { settings: settings({ maxSegments: 8 }) });
   const answer = { status: 200, headers: [], body: new Uint8Array(10) };
@@ -114,10 +118,10 @@
   assert.equal(answered.at(-1), "Taken");
 });
 
-test("a crash between sealing and the head's write loses no claim", async (t) => {
-  // The process seals the head's records in an object and stops before the head
-  // names it. The head still holds the records; the object left behind must
-  // neither count nor keep the next process from sealing.
+test("a crash between sealing and writing the head loses no claim", async (t) => {
+  // The process seals the head's records in a segment and crashes before the
+  // head refers to it. The head still holds the records; the orphaned segment
+  // must neither count nor prevent the next process from sealing.
   const fleet = new ClaimFleet(t, ["a"]);
   const stopped = Deferred.makeUnsafe<"stopped">();
   const first = await fleet.daemon("a", {
@@ -146,7 +150,7 @@
   }
 });
 
-test("objects stay far under the store's bound at any rate of claims", async (t) => {
+test("objects stay far below the store's size limit at any rate of claims", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a", { settings: { timeoutMs: 60_000 } });
   const keys = Array.from({ length: 5_000 }, (_, index) => `key ${index}`);
--- a/packages/coordination/tests/claims_crash_test.ts
+++ b/packages/coordination/tests/claims_crash_test.ts
@@ -15,7 +15,7 @@
   "claim.after_settle",
 ];
 
-/** One try as the entry makes it: claim, send, settle. */
+/** Makes one attempt as a daemon does: claim, send, settle. */
 function attemptRequest(claims: ClaimsInStore, run: () => void) {
   return Effect.gen(function* () {
     const outcome = yield* claims.claim("key", { digest: "body" });
@@ -28,9 +28,9 @@
 }
 
 for (const point of CRASH_POINTS) {
-  test(`a daemon that stops at ${point} leaves at most one run`, async (t) => {
-    // A daemon stops for good between two steps. The caller tries again through
-    // another daemon, which must either run the request or know that it can't.
+  test(`a request runs at most once when a daemon crashes at ${point}`, async (t) => {
+    // A daemon crashes between two steps. The caller retries through another
+    // daemon, which must run the request only if the first cannot have run it.
     const fleet = new ClaimFleet(t, ["a", "b"]);
     const stopped = Deferred.makeUnsafe<void>();
     let runs = 0;
@@ -45,7 +45,8 @@
         },
       },
     });
-    // Cut off, it serves its claims itself, so that each point is passed there.
+    // Without a network the daemon decides its claims itself, so that it passes
+    // each crash point.
     fleet.network.intercept = () => "refuse";
     const first = Effect.runFork(attemptRequest(a, run));
     await Effect.runPromise(Deferred.await(stopped));
--- a/packages/coordination/tests/claims_exploration_test.ts
+++ b/packages/coordination/tests/claims_exploration_test.ts
@@ -23,7 +23,9 @@
 const TIMEOUT_MS = 1;
 
 interface Rules {
-  /** Whether the store checks versions; off, to see that the search finds it. */
+  /**
+   * Whether the store checks versions; off, to see that the search finds it.
+   */
   readonly conditional: boolean;
   readonly retentionMs: number;
   readonly sealBytes: number;
--- a/packages/coordination/tests/claims_fixture.ts
+++ b/packages/coordination/tests/claims_fixture.ts
@@ -13,7 +13,7 @@
   MemoryStore,
 } from "../src/testing/mod.ts";
 
-/** Daemons that share a store and a network. */
+/** A fleet of daemons that share a store and a network. */
 export class ClaimFleet {
   readonly store = new MemoryStore();
   readonly network = new MemoryNetwork();
@@ -25,7 +25,10 @@
     this.#names = names;
   }
 
-  /** Starts one daemon; one partition, so that the server of a key is known. */
+  /**
+   * Starts a daemon; there is one partition, so that the server of a key is
+   * known.
+   */
   async daemon(
     name: string,
     options: Partial<ClaimsInStoreOptions> = {},
@@ -43,7 +46,7 @@
     return claims;
   }
 
-  /** A view of all daemons of the fleet. */
+  /** Returns a membership in which all daemons of the fleet are alive. */
   membership(name: string): FakeMembership {
     const others = this.#names.filter((other) => other !== name);
     return new FakeMembership(
@@ -52,13 +55,13 @@
     );
   }
 
-  /** The daemons in the order in which they are asked. */
+  /** Returns the daemons in the order in which they serve the partition. */
   serverOrder(): readonly string[] {
     return servers(this.membership(this.#names[0] ?? "").view(), 0);
   }
 }
 
-/** The outcome or the failure, as one value. */
+/** Claims a key; resolves with the outcome or the failure. */
 export function tryClaim(
   claims: ClaimsInStore,
   key: string,
@@ -70,7 +73,7 @@
   }));
 }
 
-/** The claim, where one is expected. */
+/** Returns the claim of an outcome; throws if there is none. */
 export function expectClaim(outcome: ClaimOutcome | ClaimUnavailable) {
   if (outcome._tag === "Claimed") return outcome.claim;
   throw new Error(`Not claimed: ${JSON.stringify(outcome)}`);
--- a/packages/coordination/tests/claims_test.ts
+++ b/packages/coordination/tests/claims_test.ts
@@ -102,8 +102,9 @@
 
 test("a claim whose write took effect and lost its reply is made once", async (t) => {
   // The store records the claim and its reply is lost. Taken for a failure, the
-  // caller is refused though the key is taken; taken for a stranger's claim, the
-  // first try is told that it may have run. Reading back finds the own claim id.
+  // caller is refused though the key is taken; taken for a stranger's claim,
+  // the first try is told that it may have run. Reading back finds the own
+  // claim id.
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a");
   fleet.store.plan = faultyHead(["lose-reply", "lose-reply"]);
@@ -203,8 +204,9 @@
 });
 
 test("a claim given up while the store went down is taken back later", async (t) => {
-  // The write takes effect, its reply is lost, and the store goes down before it
-  // can be read back. The caller is told "not run", and its next try must run.
+  // The write takes effect, its reply is lost, and the store goes down before
+  // it can be read back. The caller is told "not run", and its next try must
+  // run.
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a", { settings: { timeoutMs: 200 } });
   let down = false;
@@ -220,8 +222,9 @@
 });
 
 test("a verdict that comes after a pause is not used", async (t) => {
-  // The claimant is paused between its claim's write and the verdict, for longer
-  // than its bound. Its caller has left and may have tried again elsewhere.
+  // The claimant is paused between its claim's write and the verdict, for
+  // longer than its bound. Its caller has left and may have tried again
+  // elsewhere.
   const fleet = new ClaimFleet(t, ["a"]);
   const clock = new FakeClock();
   const a = await fleet.daemon("a", {
--- a/packages/coordination/tests/handshake_test.ts
+++ b/packages/coordination/tests/handshake_test.ts
@@ -30,15 +30,15 @@
   readonly accepter: Exit.Exit<Session, LinkClosed>;
 }
 
-/** Both ends of a handshake; an end that fails closes its socket. */
-const runHandshake = Effect.fnUntraced(function* (given: {
+/** Runs both ends of a handshake; an end that fails destroys its socket. */
+const runHandshake = Effect.fnUntraced(function* (options: {
   readonly expected?: string;
   readonly diallerKey?: Uint8Array;
 }) {
   const { near, far } = yield* socketPair;
   const dialled = dialHandshake(
-    handshakeOptions(near, "a", given.diallerKey),
-    given.expected ?? "b",
+    handshakeOptions(near, "a", options.diallerKey),
+    options.expected ?? "b",
   ).pipe(Effect.onError(() => Effect.sync(() => near.destroy())));
   const accepted = acceptHandshake(handshakeOptions(far, "b")).pipe(
     Effect.onError(() => Effect.sync(() => far.destroy())),
@@ -58,7 +58,7 @@
     : undefined;
 }
 
-test("both ends learn who the other is, and share keys", () =>
+test("a handshake authenticates both ends and derives shared keys", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const { dialler, accepter } = yield* runHandshake({});
     assert.ok(Exit.isSuccess(dialler) && Exit.isSuccess(accepter));
@@ -71,7 +71,7 @@
     assert.deepEqual(opened.unwrapOr(Buffer.alloc(0)), message);
   }))));
 
-test("an end with another key is refused", () =>
+test("an end with a different key is refused", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const { dialler, accepter } = yield* runHandshake({
       diallerKey: Buffer.from("another key"),
@@ -80,17 +80,17 @@
     assert.ok(Exit.isFailure(dialler));
   }))));
 
-test("another member at the dialled address is refused", () =>
-  // b's host was replaced and c has its address. What is meant for b must not
-  // be given to c.
+test("a different member at the dialled address is refused", () =>
+  // A member's host was replaced and another member reuses its address.
+  // Messages for the first must not reach the second.
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const { dialler } = yield* runHandshake({ expected: "c" });
     assert.equal(reasonOf(dialler), 'refused: expected "c", got "b"');
   }))));
 
-test("a proof that is played back to its sender is refused", () =>
-  // Whoever answers without the key can only repeat what it got. The roles in
-  // the proofs make a repeated one wrong.
+test("a proof that is replayed to its sender is refused", () =>
+  // An attacker without the key can only echo what it received. The proof
+  // covers the role of the sender, so an echoed proof is invalid.
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const socket = yield* dial(yield* echoServer);
     const exit = yield* Effect.exit(
@@ -100,9 +100,9 @@
     assert.equal(reasonOf(exit), "forged: wrong key");
   }))));
 
-test("a stranger's identity is refused before it is decoded", () =>
-  // The bytes after the proof are no CBOR. Were they decoded first, the reason
-  // would be "malformed".
+test("an unauthenticated identity is refused before it is decoded", () =>
+  // The bytes after the proof are not valid CBOR. If they were decoded before
+  // the proof was checked, the reason would be "malformed".
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const { near, far } = yield* socketPair;
     const hello = Buffer.concat([
@@ -118,7 +118,7 @@
     assert.equal(reasonOf(exit), "forged: wrong key");
   }))));
 
-test("a frame that is no hello is refused", () =>
+test("a frame that is not a hello is refused", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const { near, far } = yield* socketPair;
     near.write(encodeFrame([Buffer.from("GET / HTTP/1.1")]));
@@ -128,7 +128,7 @@
     assert.equal(reasonOf(exit), "refused: invalid hello");
   }))));
 
-test("an end without a common version is refused", () =>
+test("an end without a common protocol version is refused", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const { near, far } = yield* socketPair;
     const hello = Buffer.concat([
--- a/packages/coordination/tests/lease_test.ts
+++ b/packages/coordination/tests/lease_test.ts
@@ -48,11 +48,11 @@
   return Effect.runPromise(object.tryAcquire());
 }
 
-/** Holds until the test ends; resolves once held. */
+/** Holds the lease until the test ends; resolves once it is held. */
 function holdUntilTestEnd(t: TestContext, held: Lease): Promise<Tenure> {
   const tenure = Deferred.makeUnsafe<Tenure>();
-  const fiber = Effect.runFork(held.hold((given) => {
-    Deferred.doneUnsafe(tenure, Effect.succeed(given));
+  const fiber = Effect.runFork(held.hold((acquired) => {
+    Deferred.doneUnsafe(tenure, Effect.succeed(acquired));
     return Effect.never;
   }));
   t.after(() => Effect.runPromise(Fiber.interrupt(fiber)));
@@ -64,7 +64,7 @@
     operation === "write" ? faults.shift() ?? "none" : "none";
 }
 
-test("each term has a higher fencing number than all before", async (t) => {
+test("each term has a higher fencing token than all earlier ones", async (t) => {
   const store = new MemoryStore();
   const numbers: number[] = [];
   for (let term = 0; term < 4; term += 1) {
@@ -81,7 +81,7 @@
   assert.equal(new Set(rising).size, 5);
 });
 
-test("a lease given up is taken at once", async () => {
+test("a released lease can be acquired at once", async () => {
   const store = new MemoryStore();
   const clock = new FakeClock();
   const a = leaseObject(store, { holderId: "a", clock });
@@ -93,11 +93,11 @@
   assert.ok(await tryAcquire(b));
 });
 
-test("a silent holder's lease is taken only after it was watched for its duration", async () => {
+test("a lease that is not renewed is acquired only after observing it for its duration", async () => {
   const store = new MemoryStore();
   const clock = new FakeClock();
   const a = leaseObject(store, { holderId: "a", clock });
-  // Its clock shows another year: only the time that it watched counts.
+  // Its wall clock is far off: only the time for which it observed counts.
   const other = new FakeClock({ at: 1e12, skew: 1e12 });
   const b = leaseObject(store, { holderId: "b", clock: other });
   const term = await tryAcquire(a);
@@ -109,7 +109,7 @@
   assert.ok(term && next && next.fencing > term.fencing);
 });
 
-test("a renewal starts the watching anew", async () => {
+test("a renewal restarts the observation", async () => {
   const store = new MemoryStore();
   const clock = new FakeClock();
   const a = leaseObject(store, { holderId: "a", clock });
@@ -123,7 +123,7 @@
   assert.equal(await tryAcquire(b), undefined);
 });
 
-test("two processes that find the lease free take it once", async () => {
+test("only one of several processes that find the lease free acquires it", async () => {
   const store = new MemoryStore();
   const clock = new FakeClock();
   const objects = ["a", "b", "c"].map((holderId) =>
@@ -133,7 +133,7 @@
   assert.equal(terms.filter((term) => term !== undefined).length, 1);
 });
 
-test("an acquisition whose reply was lost is found by the holder's id", async () => {
+test("an acquisition whose reply was lost is recognized by the holder's id", async () => {
   const store = new MemoryStore();
   const clock = new FakeClock();
   const a = leaseObject(store, {
@@ -144,30 +144,30 @@
   assert.ok(await tryAcquire(a));
 });
 
-test("a renewal found late counts from the write that stands", async () => {
-  // A renewal takes effect and its reply is lost, and the store can't be read
-  // back. The next attempt meets a conflict with it. Counted from the later
-  // attempt, the holder would act on while another process, which counts from
-  // the write, takes over.
+test("a renewal that is confirmed late counts from its write", async () => {
+  // A renewal takes effect, its reply is lost, and the store can't be read
+  // back. The next attempt conflicts with it. If the renewal counted from that
+  // later attempt, the holder would still act while another process, which
+  // counts from the write, takes over.
   const store = new MemoryStore();
   const clock = new FakeClock();
   const faults: StoreFault[] = ["none", "lose-reply"];
-  let blind = false;
+  let readsFail = false;
   const a = leaseObject(store, {
     holderId: "a",
     clock,
     plan: (call) => {
-      if (call.operation === "read" && blind) return "refuse";
+      if (call.operation === "read" && readsFail) return "refuse";
       return failWrites(faults)(call);
     },
   });
   const term = await tryAcquire(a);
   assert.ok(term);
   clock.advance(100);
-  blind = true;
+  readsFail = true;
   assert.equal(await Effect.runPromise(a.renew(term)), false);
   assert.equal(term.renewedAt.monotonic, 0);
-  blind = false;
+  readsFail = false;
   clock.advance(500);
   assert.equal(await Effect.runPromise(a.renew(term)), false);
   assert.equal(term.renewedAt.monotonic, 0);
@@ -175,10 +175,10 @@
   assert.equal(term.renewedAt.monotonic, 600);
 });
 
-test("a holder that was paused past its end may not act when it wakes", async (t) => {
-  // The holder is stopped, its lease ends and another process takes it. Woken,
-  // it still believes to hold it, and no timer of its own has run yet. It must
-  // be told so at the first question.
+test("a holder paused until after its lease expired may not act when it resumes", async (t) => {
+  // While the holder is paused, its lease expires and another process acquires
+  // it. When the holder resumes, none of its timers has run yet, so the first
+  // check of the remaining time must show that the lease has expired.
   const store = new MemoryStore();
   const clock = new FakeClock();
   const tenure = await holdUntilTestEnd(t, lease(store, { clock }));
@@ -187,19 +187,19 @@
   assert.ok(tenure.remainingMs() <= 0);
 });
 
-test("a holder on a machine that was suspended may not act when it wakes", async (t) => {
-  // The whole machine stands still, and with it the clock that never goes back.
-  // Only the shown time, set right by the host, tells that the lease has ended.
+test("a holder on a suspended host may not act when it resumes", async (t) => {
+  // The monotonic clock stops while the whole host is suspended. Only the wall
+  // clock, which the host corrects, shows that the lease has expired.
   const store = new MemoryStore();
-  let shown = 0;
-  const clock = { monotonic: () => 0, now: () => shown };
+  let wallTime = 0;
+  const clock = { monotonic: () => 0, now: () => wallTime };
   const tenure = await holdUntilTestEnd(t, lease(store, { clock }));
   assert.ok(tenure.remainingMs() > 0);
-  shown = DURATION_MS;
+  wallTime = DURATION_MS;
   assert.ok(tenure.remainingMs() <= 0);
 });
 
-test("a holder stops before another may start, at any moment of its renewals", async () => {
+test("a holder stops before another may start, whenever it last renewed", async () => {
   const store = new MemoryStore();
   const clock = new FakeClock();
   const a = leaseObject(store, { holderId: "a", clock });
@@ -221,7 +221,7 @@
   assert.equal(term.ended, true);
 });
 
-test("the work ends when the store can't be reached until the lease's end", async () => {
+test("the work is interrupted when the store is unreachable until the lease expires", async () => {
   const store = new MemoryStore();
   const held = lease(store, { durationMs: 100 });
   let down = false;
@@ -237,7 +237,7 @@
   assert.equal(interrupted, true);
 });
 
-test("a process that is not wanted does not take the lease", async () => {
+test("a process that is not wanted does not acquire the lease", async () => {
   const store = new MemoryStore();
   let wanted = false;
   const asked = Deferred.makeUnsafe<void>();
--- a/packages/coordination/tests/link_faults_test.ts
+++ b/packages/coordination/tests/link_faults_test.ts
@@ -18,78 +18,82 @@
 import { startLinkEnd, TEST_KEY } from "./link_fixture.ts";
 import { TcpRelay } from "./socket_fixture.ts";
 
-const PATIENT = { timeoutMs: 60_000 };
+const LONG_TIMEOUT = { timeoutMs: 60_000 };
 const ECHO = { channel: "echo", body: "hello" };
 
-/** Short silences, but dials that a busy machine has time for. */
-const QUICK: Partial<LinkSettings> = {
+/** A short silence time-out, but a dial time-out that suits a busy machine. */
+const FAST_SETTINGS: Partial<LinkSettings> = {
   heartbeatMs: 20,
   silentMs: 200,
   activeMs: 400,
   dialTimeoutMs: 30_000,
 };
 
-/** "a" reaches "b" through a relay; "b" answers on channel "echo". */
-const relayed = Effect.fnUntraced(function* (settings: Partial<LinkSettings>) {
-  const b = yield* startLinkEnd({ name: "b", settings });
-  const relay = yield* TcpRelay.open(() => b.endpoint);
-  const a = yield* startLinkEnd({
-    name: "a",
-    settings,
-    resolve: (name) => name === "b" ? relay.endpoint : undefined,
-  });
-  b.peers.handle("echo", (_from, message) => Effect.succeed(message));
-  return { a: a.peers, b: b.peers, relay };
-});
+/** Connects "a" to "b" through a relay; "b" answers on channel "echo". */
+const connectThroughRelay = Effect.fnUntraced(
+  function* (settings: Partial<LinkSettings>) {
+    const b = yield* startLinkEnd({ name: "b", settings });
+    const relay = yield* TcpRelay.open(() => b.endpoint);
+    const a = yield* startLinkEnd({
+      name: "a",
+      settings,
+      resolve: (name) => name === "b" ? relay.endpoint : undefined,
+    });
+    b.peers.handle("echo", (_from, message) => Effect.succeed(message));
+    return { a: a.peers, b: b.peers, relay };
+  },
+);
 
-function states(peers: LinkedPeers): readonly string[] {
+function recordStates(peers: LinkedPeers): readonly string[] {
   const seen: string[] = [];
   peers.subscribe((peer, state) => seen.push(`${peer} ${state}`));
   return seen;
 }
 
-test("a link that went silent is replaced without calling its far end down", () =>
-  // Something between the ends loses track of their connection: it stays open
-  // and carries nothing. The request on it fails, no listener is told that b is
-  // down, and the next request passes over a new connection.
+test("a silent link is replaced without reporting the peer as down", () =>
+  // A device on the path drops the state of the connection, which stays open
+  // but carries nothing. The request on it must fail, no listener may see b as
+  // down, and the next request must use a new connection.
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const { a, relay } = yield* relayed(QUICK);
-    const seen = states(a);
-    assert.equal(yield* a.request("b", ECHO, PATIENT), "hello");
+    const { a, relay } = yield* connectThroughRelay(FAST_SETTINGS);
+    const seen = recordStates(a);
+    assert.equal(yield* a.request("b", ECHO, LONG_TIMEOUT), "hello");
     relay.stall();
-    const lost = yield* Effect.flip(a.request("b", ECHO, PATIENT));
+    const lost = yield* Effect.flip(a.request("b", ECHO, LONG_TIMEOUT));
     assert.equal(lost.reason, "closed");
-    assert.equal(yield* a.request("b", ECHO, PATIENT), "hello");
+    assert.equal(yield* a.request("b", ECHO, LONG_TIMEOUT), "hello");
     assert.deepEqual(seen, ["b up"]);
   }))));
 
-test("a member whose link cannot be replaced is called down", () =>
+test("a member whose link cannot be replaced is reported as down", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const known = new Map<string, Endpoint>();
+    const endpoints = new Map<string, Endpoint>();
     const a = yield* startLinkEnd({
       name: "a",
-      settings: QUICK,
-      resolve: (name) => known.get(name),
+      settings: FAST_SETTINGS,
+      resolve: (name) => endpoints.get(name),
     });
     const down = yield* Deferred.make<string>();
     a.peers.subscribe((peer, state) => {
       if (state === "down") Deferred.doneUnsafe(down, Effect.succeed(peer));
     });
     yield* Effect.scoped(Effect.gen(function* () {
-      const b = yield* startLinkEnd({ name: "b", settings: QUICK });
-      known.set("b", b.endpoint);
+      const b = yield* startLinkEnd({ name: "b", settings: FAST_SETTINGS });
+      endpoints.set("b", b.endpoint);
       b.peers.handle("echo", (_from, message) => Effect.succeed(message));
-      yield* a.peers.request("b", ECHO, PATIENT);
+      yield* a.peers.request("b", ECHO, LONG_TIMEOUT);
     }));
     assert.equal(yield* Deferred.await(down), "b");
-    const failure = yield* Effect.flip(a.peers.request("b", ECHO, PATIENT));
+    const failure = yield* Effect.flip(
+      a.peers.request("b", ECHO, LONG_TIMEOUT),
+    );
     assert.equal(failure.reason, "no-link");
     assert.equal(a.peers.send("b", "echo", "hello"), false);
   }))));
 
-test("a handler whose requester is lost is interrupted", () =>
+test("a handler is interrupted when the requester's link closes", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const { a, b, relay } = yield* relayed(QUICK);
+    const { a, b, relay } = yield* connectThroughRelay(FAST_SETTINGS);
     const started = yield* Deferred.make<void>();
     const interrupted = yield* Deferred.make<void>();
     b.handle("wait", () =>
@@ -97,33 +101,38 @@
         Effect.andThen(Effect.never),
         Effect.onInterrupt(() => Deferred.succeed(interrupted, undefined)),
       ));
-    const asking = yield* a.request("b", { channel: "wait", body: 0 }, PATIENT)
+    const pending = yield* a.request(
+      "b",
+      { channel: "wait", body: 0 },
+      LONG_TIMEOUT,
+    )
       .pipe(Effect.flip, Effect.forkChild);
     yield* Deferred.await(started);
     relay.reset();
-    assert.equal((yield* Fiber.join(asking)).reason, "closed");
+    assert.equal((yield* Fiber.join(pending)).reason, "closed");
     yield* Deferred.await(interrupted);
   }))));
 
-test("an idle link closes in good order, and the next message dials again", () =>
-  // Nothing passes for a while and the ends take leave. Neither is told that
-  // the other is down, and the link comes back when it is needed.
+test("an idle link closes gracefully, and the next message dials again", () =>
+  // After an idle period the ends exchange goodbyes. No listener may see the
+  // peer as down, and the next request must dial a new link.
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const settings = { heartbeatMs: 10, activeMs: 20, idleMs: 40 };
-    const { a, relay } = yield* relayed(settings);
-    const seen = states(a);
-    yield* a.request("b", ECHO, PATIENT);
+    const { a, relay } = yield* connectThroughRelay(settings);
+    const seen = recordStates(a);
+    yield* a.request("b", ECHO, LONG_TIMEOUT);
     yield* relay.allClosed;
-    assert.equal(yield* a.request("b", ECHO, PATIENT), "hello");
+    assert.equal(yield* a.request("b", ECHO, LONG_TIMEOUT), "hello");
     assert.deepEqual(seen, ["b up"]);
   }))));
 
-test("an end that takes leave and closes at once is not called down", () =>
-  // b says goodbye and ends the connection before a's next look at its links.
-  // a reads the end right after the goodbye, and must take it for agreed.
+test("a peer that sends goodbye and closes at once is not reported as down", () =>
+  // b sends goodbye and ends the connection before a's next sweep. a reads the
+  // end of the stream right after the goodbye and must treat it as an orderly
+  // close.
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const a = yield* startLinkEnd({ name: "a" });
-    const seen = states(a.peers);
+    const seen = recordStates(a.peers);
     const socket = yield* dial(a.endpoint);
     const reader = new FrameReader(socket, MAX_HANDSHAKE_FRAME_BYTES);
     const self = { name: "b", incarnation: 1 };
@@ -135,17 +144,17 @@
     assert.deepEqual(seen, ["b up"]);
   }))));
 
-test("heartbeats carry the digest both ways", () =>
+test("heartbeats carry digests in both directions", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const heardByA = yield* Deferred.make<unknown>();
-    const heardByB = yield* Deferred.make<unknown>();
+    const receivedByA = yield* Deferred.make<unknown>();
+    const receivedByB = yield* Deferred.make<unknown>();
     const b = yield* startLinkEnd({
       name: "b",
       settings: { heartbeatMs: 10 },
       digest: {
         read: () => ({ table: 2 }),
         receive: (_from, digest) =>
-          Deferred.doneUnsafe(heardByB, Effect.succeed(digest)),
+          Deferred.doneUnsafe(receivedByB, Effect.succeed(digest)),
       },
     });
     const a = yield* startLinkEnd({
@@ -155,17 +164,17 @@
       digest: {
         read: () => ({ table: 1 }),
         receive: (_from, digest) =>
-          Deferred.doneUnsafe(heardByA, Effect.succeed(digest)),
+          Deferred.doneUnsafe(receivedByA, Effect.succeed(digest)),
       },
     });
     a.peers.send("b", "note", null);
-    assert.deepEqual(yield* Deferred.await(heardByA), { table: 2 });
-    assert.deepEqual(yield* Deferred.await(heardByB), { table: 1 });
+    assert.deepEqual(yield* Deferred.await(receivedByA), { table: 2 });
+    assert.deepEqual(yield* Deferred.await(receivedByB), { table: 1 });
   }))));
 
-test("a later start of a member replaces the links of the earlier one", () =>
-  // b's process is paused and b is started anew elsewhere. When the earlier one
-  // wakes it still has a link, on which it must no more be heard.
+test("a new incarnation of a member replaces the links of the earlier one", () =>
+  // b's process is paused and b is restarted elsewhere. When the earlier
+  // process resumes, its link is still open, but its messages must be ignored.
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const a = yield* startLinkEnd({ name: "a" });
     a.peers.handle("start", (from) => Effect.succeed(`hello ${from}`));
@@ -174,23 +183,29 @@
     const later = yield* startLinkEnd({ name: "b", incarnation: 2, resolve });
     const message = { channel: "start", body: null };
     assert.equal(
-      yield* earlier.peers.request("a", message, PATIENT),
+      yield* earlier.peers.request("a", message, LONG_TIMEOUT),
+      "hello b",
+    );
+    assert.equal(
+      yield* later.peers.request("a", message, LONG_TIMEOUT),
       "hello b",
     );
-    assert.equal(yield* later.peers.request("a", message, PATIENT), "hello b");
     const refused = yield* Effect.flip(
-      earlier.peers.request("a", message, PATIENT),
+      earlier.peers.request("a", message, LONG_TIMEOUT),
     );
     assert.match(refused.reason, /closed|no-link/);
-    assert.equal(yield* later.peers.request("a", message, PATIENT), "hello b");
+    assert.equal(
+      yield* later.peers.request("a", message, LONG_TIMEOUT),
+      "hello b",
+    );
   }))));
 
-test("a full queue refuses more messages", () =>
-  // b does not read: what a sends stays in a's queue, which is bounded.
+test("a full send queue rejects further messages", () =>
+  // b stops reading, so a's messages accumulate in its bounded send queue.
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const settings = { maxQueuedBytes: 100_000, silentMs: 600_000 };
-    const { a, relay } = yield* relayed(settings);
-    yield* a.request("b", ECHO, PATIENT);
+    const { a, relay } = yield* connectThroughRelay(settings);
+    yield* a.request("b", ECHO, LONG_TIMEOUT);
     relay.stall();
     const body = Buffer.alloc(50_000);
     let accepted = 0;
@@ -201,22 +216,22 @@
     }
   }))));
 
-test("a message over the size of a frame is refused, and the link stays", () =>
+test("a message larger than a frame is rejected, and the link stays open", () =>
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
-    const { a, b } = yield* relayed({ maxFrameBytes: 1000 });
+    const { a, b } = yield* connectThroughRelay({ maxFrameBytes: 1000 });
     b.handle("large", () => Effect.succeed(Buffer.alloc(2000)));
-    yield* a.request("b", ECHO, PATIENT);
+    yield* a.request("b", ECHO, LONG_TIMEOUT);
     assert.equal(a.send("b", "echo", Buffer.alloc(2000)), false);
     const large = { channel: "large", body: null };
-    const failure = yield* Effect.flip(a.request("b", large, PATIENT));
+    const failure = yield* Effect.flip(a.request("b", large, LONG_TIMEOUT));
     assert.equal(failure.reason, "handler-failed");
-    assert.equal(yield* a.request("b", ECHO, PATIENT), "hello");
+    assert.equal(yield* a.request("b", ECHO, LONG_TIMEOUT), "hello");
   }))));
 
-test("strangers that say nothing are bounded in number and time", () =>
-  // More strangers connect than may be in their handshake at once. The surplus
-  // is closed at once, the others after the dial timeout, and members still
-  // get through then.
+test("silent unauthenticated connections are bounded in number and time", () =>
+  // More clients connect than may be in the handshake at once, and none sends
+  // anything. The surplus is closed at once and the others after the dial
+  // time-out; after that, members can connect.
   Effect.runPromise(Effect.scoped(Effect.gen(function* () {
     const settings = { maxHandshakes: 2, dialTimeoutMs: 500 };
     const b = yield* startLinkEnd({ name: "b", settings });
@@ -233,5 +248,5 @@
     b.peers.handle("echo", (_from, message) =>
       Effect.succeed(message));
     const a = yield* startLinkEnd({ name: "a", resolve: () => b.endpoint });
-    assert.equal(yield* a.peers.request("b", ECHO, PATIENT), "hello");
+    assert.equal(yield* a.peers.request("b", ECHO, LONG_TIMEOUT), "hello");
   }))));
--- a/packages/coordination/tests/link_fixture.ts
+++ b/packages/coordination/tests/link_fixture.ts
@@ -1,5 +1,5 @@
 /**
- * Two ends of links, for tests.
+ * Test fixture: ends of links on the loopback interface.
  *
  * @module
  */
@@ -30,7 +30,10 @@
   readonly resolve?: (name: string) => Endpoint | undefined;
 }
 
-/** One end that listens on a free port of the loopback interface. */
+/**
+ * Starts an end that listens on the loopback interface, by default on a free
+ * port.
+ */
 export function startLinkEnd(options: LinkEndOptions): Effect.Effect<
   { readonly peers: LinkedPeers; readonly endpoint: Endpoint },
   ListenFailed,
@@ -56,16 +59,16 @@
   readonly onB?: (peers: Peers) => void;
 }
 
-/** Ends "a" and "b" that know each other's address. */
+/** Starts ends "a" and "b" that can dial each other. */
 export const startLinkPair = Effect.fnUntraced(
   function* (options: LinkPairOptions) {
-    const known = new Map<string, Endpoint>();
-    const resolve = (name: string) => known.get(name);
+    const endpoints = new Map<string, Endpoint>();
+    const resolve = (name: string) => endpoints.get(name);
     const settings = options.settings ?? {};
     const a = yield* startLinkEnd({ name: "a", settings, resolve });
     const b = yield* startLinkEnd({ name: "b", settings, resolve });
-    if (options.bCanDialA !== false) known.set("a", a.endpoint);
-    known.set("b", b.endpoint);
+    if (options.bCanDialA !== false) endpoints.set("a", a.endpoint);
+    endpoints.set("b", b.endpoint);
     options.onA?.(a.peers);
     options.onB?.(b.peers);
     return { a: a.peers, b: b.peers };
--- a/packages/coordination/tests/published_value_test.ts
+++ b/packages/coordination/tests/published_value_test.ts
@@ -25,7 +25,7 @@
 );
 
 function decodeText(value: unknown): string {
-  if (typeof value !== "string") throw new Error("Not a text");
+  if (typeof value !== "string") throw new Error("Not a string");
   return value;
 }
 
@@ -76,14 +76,14 @@
   version: number,
 ): Promise<string> {
   return new Promise((done) => {
-    const look = () => {
+    const check = () => {
       const current = published.current();
       if (current !== undefined && current.version >= version) {
         done(current.value);
       }
     };
-    published.subscribe(look);
-    look();
+    published.subscribe(check);
+    check();
   });
 }
 
@@ -91,7 +91,7 @@
   return Effect.runPromise(published.ready);
 }
 
-test("an edit comes into force everywhere, and two of a domain watch for it", async (t) => {
+test("an edit reaches all members, and two in each domain watch the store", async (t) => {
   const fleet = new Fleet(t);
   await fleet.write("first");
   const watching = new Set<string>();
@@ -114,22 +114,22 @@
   assert.equal(watching.size, 4);
 });
 
-test("a daemon cut off from the store gets edits from its peers", async (t) => {
+test("a daemon without access to the store receives edits from its peers", async (t) => {
   const fleet = new Fleet(t);
   await fleet.write("first");
-  const cut = await fleet.daemon("a1", { plan: () => "refuse" });
+  const isolated = await fleet.daemon("a1", { plan: () => "refuse" });
   const rest = await Promise.all(
     ["a2", "a3", "b1"].map((name) => fleet.daemon(name)),
   );
   await Promise.all(rest.map(whenReady));
-  assert.equal((await whenReady(cut)).value, "first");
+  assert.equal((await whenReady(isolated)).value, "first");
   const version = await fleet.write("second");
-  assert.equal(await waitForVersion(cut, version), "second");
+  assert.equal(await waitForVersion(isolated, version), "second");
 });
 
-test("an edit accepted just before an outage of the store comes into force", async (t) => {
-  // The store takes the edit and goes down before any watch tells of it. The
-  // daemon through which it was made tells the others; nobody can read the store.
+test("an edit accepted just before an outage of the store reaches all members", async (t) => {
+  // The store accepts the edit and goes down before any watch returns it. No
+  // daemon can read the store, so the one that made the edit must broadcast it.
   const fleet = new Fleet(t);
   await fleet.write("first");
   let down = false;
@@ -148,20 +148,20 @@
   assert.deepEqual(new Set(values), new Set(["second"]));
 });
 
-test("an edit whose announcements are all lost is found by comparing", async (t) => {
+test("an edit whose broadcasts are all lost is found by comparing versions", async (t) => {
   const fleet = new Fleet(t);
   await fleet.write("first");
-  // They know of each other only, so that each comparison meets the other.
+  // Each knows only the other, so that it compares with no third member.
   const [self = memberNamed(""), peer = memberNamed("")] = MEMBERS;
-  const cut = await fleet.daemon("a1", {
+  const isolated = await fleet.daemon("a1", {
     plan: () => "refuse",
     membership: new FakeMembership(self, [peer]),
   });
   const other = await fleet.daemon("a2");
-  await Promise.all([whenReady(cut), whenReady(other)]);
+  await Promise.all([whenReady(isolated), whenReady(other)]);
   fleet.network.intercept = ({ kind }) => kind === "send" ? "lose" : "deliver";
   const version = await fleet.write("second");
-  assert.equal(await waitForVersion(cut, version), "second");
+  assert.equal(await waitForVersion(isolated, version), "second");
 });
 
 test("a version on a heartbeat is fetched from its sender", async (t) => {
@@ -174,9 +174,9 @@
   assert.equal(await waitForVersion(to, 7), "seventh");
 });
 
-test("an older copy from a peer does not revert what is in force", async (t) => {
-  // A peer that was paused, or cut off, wakes and announces the version that it
-  // held. Applied, it would undo an accepted edit here.
+test("a stale copy from a peer does not revert the current value", async (t) => {
+  // A peer resumes after a pause or a partition and broadcasts its old version.
+  // Applying it would undo an accepted edit.
   const fleet = new Fleet(t);
   const daemon = await fleet.daemon("a1", { plan: () => "refuse" });
   daemon.publish({ version: 9, value: "ninth" });
@@ -191,7 +191,7 @@
   assert.deepEqual(daemon.current(), { version: 9, value: "ninth" });
 });
 
-test("a daemon that starts while the store is down takes its peers' highest", async (t) => {
+test("a daemon that starts while the store is down applies its peers' highest version", async (t) => {
   const fleet = new Fleet(t);
   const versions = [["a2", 4], ["b1", 6], ["b2", 5]] as const;
   fleet.network.intercept = () => "lose";
@@ -204,26 +204,27 @@
   assert.deepEqual(await whenReady(late), { version: 6, value: "version 6" });
 });
 
-test("a daemon that starts with neither store nor peers waits", async (t) => {
+test("a daemon that starts without store and peers waits for one of them", async (t) => {
   const fleet = new Fleet(t);
   await fleet.write("first");
-  const tried = Deferred.makeUnsafe<void>();
+  const readAttempted = Deferred.makeUnsafe<void>();
   let down = true;
   const daemon = await fleet.daemon("a1", {
     plan: ({ operation }) => {
-      if (operation === "read") Deferred.doneUnsafe(tried, Effect.void);
+      if (operation === "read") Deferred.doneUnsafe(readAttempted, Effect.void);
       return down ? "refuse" : "none";
     },
   });
-  await Effect.runPromise(Deferred.await(tried));
+  await Effect.runPromise(Deferred.await(readAttempted));
   assert.equal(daemon.isReady, false);
   down = false;
   assert.equal((await whenReady(daemon)).value, "first");
 });
 
-test("a daemon that was paused compares before it is ready again", async (t) => {
-  // The process is stopped while an edit comes into force elsewhere. Woken, it
-  // believes the old value; it must not serve by it before it has compared.
+test("a paused daemon compares versions before it is ready again", async (t) => {
+  // The process is paused while an edit is applied elsewhere. When it resumes,
+  // it holds a stale value, which it must not serve before it has compared
+  // versions.
   const fleet = new Fleet(t);
   const clock = new FakeClock();
   const pauseWatch = new PauseDetector({ clock });
@@ -249,12 +250,13 @@
   assert.deepEqual(await whenReady(daemon), { version, value: "second" });
 });
 
-test("a daemon that hears no peer reads the store itself", async (t) => {
+test("a daemon without contact to any peer reads the store itself", async (t) => {
   const fleet = new Fleet(t);
   fleet.network.intercept = () => "refuse";
   await fleet.write("first");
   const clock = new FakeClock();
-  // One of the three does not watch. Nothing pauses, so nothing else reads.
+  // One of the three is not a watcher. No pause is detected, so only isolation
+  // makes it read.
   const pauseWatch = new PauseDetector({ clock: new FakeClock() });
   const isolated = await Promise.all(
     ["a1", "a2", "a3"].map((name) =>
@@ -274,7 +276,7 @@
   assert.equal(first, "second");
 });
 
-test("a value that is not valid is refused and the former one stays", async (t) => {
+test("an invalid value is rejected and the current one stays in effect", async (t) => {
   const fleet = new Fleet(t);
   const rejected: number[] = [];
   const daemon = await fleet.daemon("a1", {
@@ -289,7 +291,7 @@
   assert.equal(daemon.current()?.version, 5);
 });
 
-test("a survey names the members that are behind or out of reach", async (t) => {
+test("peerVersions lists the members that are behind or unreachable", async (t) => {
   const fleet = new Fleet(t);
   const daemon = await fleet.daemon("a1", { plan: () => "refuse" });
   await fleet.daemon("a2", { plan: () => "refuse" });
--- a/packages/coordination/tests/shares_property_test.ts
+++ b/packages/coordination/tests/shares_property_test.ts
@@ -1,6 +1,6 @@
-// Invariant: at every moment the allowances of all holders of a limit add up to
-// at most the limit, whatever is lost, late or crossed, however many processes
-// believe to own it, and whenever they restart.
+// Invariant: at any time the allowances of all holders of a limit add up to at
+// most the limit, whichever messages are lost, delayed or reordered, however
+// many processes believe that they own it, and whenever they restart.
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
@@ -27,13 +27,13 @@
     readonly amount: number;
   }
   | { readonly type: "report"; readonly holder: number; readonly owner: number }
-  /** Delivers a message under way; it may be delivered again. */
+  /** Delivers a message in flight; with `again`, it stays in flight. */
   | {
     readonly type: "deliver";
     readonly index: number;
     readonly again: boolean;
   }
-  /** A report and its answer, without loss or delay. */
+  /** Delivers a report and its answer, without loss or delay. */
   | {
     readonly type: "exchange";
     readonly holder: number;
@@ -103,7 +103,9 @@
   readonly answer: GrantResponse;
 }
 
-/** Holders, owners and messages, driven step by step. */
+/**
+ * Holders, owners and the messages in flight between them, driven step by step.
+ */
 class Fleet {
   readonly clock = new FakeClock();
   readonly #holdings = Array.from(
@@ -217,7 +219,7 @@
   );
 });
 
-test("the holder with the demand gets what the others leave", () => {
+test("a holder with demand gets what the others do not use", () => {
   const fleet = new Fleet();
   fleet.perform({ type: "demand", holder: 0, amount: 200 });
   for (let round = 0; round < 4; round += 1) {
@@ -231,7 +233,7 @@
   assert.ok((allowances[0] ?? 0) > 90, allowances.join(" "));
 });
 
-test("two holders with demand share what the others leave evenly", () => {
+test("two holders with demand evenly share what the others do not use", () => {
   const fleet = new Fleet();
   fleet.perform({ type: "demand", holder: 0, amount: 200 });
   fleet.perform({ type: "demand", holder: 1, amount: 200 });
@@ -247,9 +249,9 @@
   assert.ok(first > 45, `${first}`);
 });
 
-test("shares come back to the floor when their owner is lost", () => {
-  // The owner dies with grants out and no other takes its place. Holders that
-  // yielded must get their floor back, and not before the grants have ended.
+test("allowances return to the floor when the owner fails", () => {
+  // The owner fails while grants are outstanding, and none replaces it. Holders
+  // that yielded must get their floor back, but not before the grants expire.
   const fleet = new Fleet();
   fleet.perform({ type: "demand", holder: 0, amount: 200 });
   for (let round = 0; round < 4; round += 1) {
@@ -265,10 +267,11 @@
   assert.deepEqual(fleet.allowances(), Array(HOLDERS).fill(TOTAL / HOLDERS));
 });
 
-test("a yield that arrives after its time backs no grant", () => {
-  // A holder yields, its report is held up on the way, and it takes its floor
-  // back when the yield has ended. Then the report arrives. Counted from its
-  // arrival, the owner would grant what the holder uses again.
+test("a yield that arrives after its expiry backs no grant", () => {
+  // A holder yields, but its report is delayed, and it takes its floor back
+  // when the yield expires. Then the report arrives. If the owner counted the
+  // yield from the arrival, it would grant an allowance that the holder uses
+  // again.
   const fleet = new Fleet();
   fleet.perform({ type: "demand", holder: 0, amount: 200 });
   fleet.exchange(1);
--- a/packages/coordination/tests/shares_test.ts
+++ b/packages/coordination/tests/shares_test.ts
@@ -39,26 +39,26 @@
   return { network, shares };
 }
 
-/** Looks after each message until it is so. */
+/** Checks the condition at each message, and waits until it holds. */
 function waitUntil(
   network: MemoryNetwork,
-  holds: () => boolean,
+  condition: () => boolean,
 ): Promise<void> {
   return new Promise((done) => {
     network.intercept = () => {
-      if (holds()) done();
+      if (condition()) done();
       return "deliver";
     };
   });
 }
 
-test("each holder may use its floor before any owner has answered", async (t) => {
+test("each holder may use its floor before an owner has answered", async (t) => {
   const { network, shares } = await startFleet(t);
   network.intercept = () => "refuse";
   assert.deepEqual(shares.map((share) => share.allowance()), [30, 30, 30]);
 });
 
-test("demand at one process draws what the others do not use", async (t) => {
+test("a process with demand gets what the others do not use", async (t) => {
   const { network, shares } = await startFleet(t);
   shares[1]?.setDemand(200);
   await waitUntil(network, () => (shares[1]?.allowance() ?? 0) > 80);
@@ -66,7 +66,7 @@
   assert.ok(total <= 90 + 1e-6, `${total}`);
 });
 
-test("a resized limit changes the floor at once", async (t) => {
+test("resizing a limit changes the floor at once", async (t) => {
   const { network, shares } = await startFleet(t);
   network.intercept = () => "refuse";
   shares[0]?.resize({ total: 30, holders: 3 });
--- a/packages/coordination/tests/socket_fixture.ts
+++ b/packages/coordination/tests/socket_fixture.ts
@@ -1,5 +1,5 @@
 /**
- * Sockets and a relay between them, for tests.
+ * Test fixture: connected sockets, an echo server and a TCP relay.
  *
  * @module
  */
@@ -31,7 +31,7 @@
   return { address: LOOPBACK, port };
 }
 
-/** Two connected sockets; both are destroyed with the scope. */
+/** Two connected sockets; both are destroyed when the scope closes. */
 export const socketPair: Effect.Effect<
   { readonly near: Socket; readonly far: Socket },
   never,
@@ -55,12 +55,14 @@
     }),
 );
 
-/** A server that sends back what it gets. */
+/** A server that echoes what it receives. */
 export const echoServer: Effect.Effect<Endpoint, never, Scope> = listen(
   (socket) => socket.pipe(socket),
 ).pipe(Effect.map(endpointOf));
 
-/** A relay in front of an endpoint, which can lose track of connections. */
+/**
+ * A TCP relay in front of an endpoint, which can stall or reset connections.
+ */
 export class TcpRelay {
   readonly endpoint: Endpoint;
   readonly #connections: Set<Socket>;
@@ -95,7 +97,7 @@
     return new TcpRelay(endpointOf(server), connections);
   });
 
-  /** Waits until no connection is left. */
+  /** Waits until all connections are closed. */
   get allClosed(): Effect.Effect<void> {
     return Effect.callback((resume) => {
       const check = () => {
@@ -106,7 +108,9 @@
     });
   }
 
-  /** Existing connections stay open and carry nothing more; new ones work. */
+  /**
+   * Stops relaying on existing connections but keeps them open; new ones work.
+   */
   stall(): void {
     for (const socket of this.#connections) {
       socket.unpipe();
@@ -114,7 +118,7 @@
     }
   }
 
-  /** Resets the existing connections. */
+  /** Destroys the existing connections. */
   reset(): void {
     for (const socket of this.#connections) socket.destroy();
   }
