--- a/packages/coordination/src/process/claim_client.ts
+++ b/packages/coordination/src/process/claim_client.ts
@@ -1,5 +1,6 @@
 /**
- * Finds a member to decide a claim, and decides it here when none answers.
+ * Forwards a request to the member that serves its partition, and decides it
+ * locally if no member responds.
  *
  * @module
  */
@@ -19,12 +20,13 @@
 import type { Peers, PeerUnreachable } from "./peers.ts";
 
 /**
- * Members asked before deciding here. With one only, the loss of a server would
- * make every other member write the partition at once, until the view shows it.
+ * Members that are tried before the request is decided locally. With only one,
+ * the loss of a serving member would make all others write the partition at
+ * once, until the membership view shows the loss.
  */
 const MAX_REMOTE_ATTEMPTS = 2;
 
-/** What a {@linkcode ClaimClient} needs. */
+/** Options of a {@linkcode ClaimClient}. */
 export interface ClaimClientOptions {
   readonly server: ClaimServer;
   readonly layout: ClaimLayout;
@@ -43,8 +45,8 @@
   }
 
   /**
-   * Decides a request within the time given. When it can't, the failure tells
-   * whether the request may still be recorded by a member that was asked.
+   * Decides a request within the given time. A failure states whether a member
+   * that received the request may still record it.
    */
   decide(
     request: PartitionRequest,
@@ -62,17 +64,17 @@
         if (name === self) break;
         const budgetMs = Math.floor((deadline - clock.monotonic()) / 2);
         if (budgetMs <= 0) break;
-        const verdict = yield* this.#requestFrom(name, {
+        const decision = yield* this.#requestFrom(name, {
           partition,
           request,
           budgetMs,
         });
-        if (verdict._tag === "PeerUnreachable") {
-          mayStand ||= mayHaveArrived(verdict);
+        if (decision._tag === "PeerUnreachable") {
+          mayStand ||= mayHaveArrived(decision);
           continue;
         }
-        if (verdict._tag !== "Undecided") return verdict;
-        mayStand ||= verdict.mayStand;
+        if (decision._tag !== "Undecided") return decision;
+        mayStand ||= decision.mayStand;
         break;
       }
       const timeoutMs = Math.max(0, deadline - clock.monotonic());
@@ -93,17 +95,17 @@
       readonly budgetMs: number;
     },
   ): Effect.Effect<ClaimDecision | Undecided | PeerUnreachable> {
-    const answer = this.#options.peers.request(name, {
+    const response = this.#options.peers.request(name, {
       channel: CLAIMS_CHANNEL,
       body: encodeMessage(message),
     }, { timeoutMs: message.budgetMs });
-    return Effect.match(answer, {
+    return Effect.match(response, {
       onFailure: (unreachable) => unreachable,
       onSuccess: (value) =>
         decodeDecision(value) ??
           {
             _tag: "Undecided",
-            reason: "The verdict is not valid",
+            reason: "The decision is not valid",
             mayStand: true,
           },
     });
--- a/packages/coordination/src/process/claim_layout.ts
+++ b/packages/coordination/src/process/claim_layout.ts
@@ -1,5 +1,6 @@
 /**
- * What all processes must agree on before they make claims.
+ * The layout of the claims, on which all processes must agree before they make
+ * claims.
  *
  * @module
  */
@@ -11,15 +12,18 @@
 const LAYOUT_NAME = "layout";
 
 /**
- * Fixed in the store by the first process that starts. Two processes that cut
- * the keys differently would claim one key in two places, and one with a shorter
- * window would drop claims that another still counts on; so the settings of a
- * later process are not used.
+ * Layout of the claims, stored by the first process that starts. Settings of
+ * later processes are ignored: two processes that partition the keys
+ * differently would claim one key in two places, and a process with a shorter
+ * window would drop claims on which another one still relies.
  */
 export interface ClaimLayout {
   /** Number of partitions. */
   readonly partitions: number;
-  /** How long a claim is sure to be seen by a later try, in milliseconds. */
+  /**
+   * Time for which a later attempt is guaranteed to find a claim, in
+   * milliseconds.
+   */
   readonly windowMs: number;
 }
 
@@ -35,7 +39,7 @@
     yield* store.write({ ...object, value: wanted }, { ifVersion: 0 }).pipe(
       Effect.catchTag("Conflict", () => Effect.succeed(0)),
     );
-    // Read back: another process may have been first.
+    // Read back, since another process may have written first.
     const written = yield* store.read(CLAIMS_KIND, LAYOUT_NAME);
     return yield* decodeLayout(written?.value);
   });
--- a/packages/coordination/src/process/claim_message.ts
+++ b/packages/coordination/src/process/claim_message.ts
@@ -8,27 +8,27 @@
 import { decodeRecord, encodeRecord } from "./claim_record.ts";
 import type { ClaimState } from "./claim_record.ts";
 
-/** Channel of the messages. */
+/** Peer channel of the messages. */
 export const CLAIMS_CHANNEL = "claims";
 
 const MAX_BUDGET_MS = 60_000;
 const STATES = ["running", "answered", "may-have-run", "withdrawn"];
 
-/** A request, with how long its sender will wait for the verdict. */
+/** A request, with the time for which its sender waits for the decision. */
 export interface ClaimMessage {
   readonly partition: number;
   readonly request: PartitionRequest;
   readonly budgetMs: number;
 }
 
-/** Form of a request on the wire; a claim is a running record. */
+/** Encodes a request for the wire; a claim is encoded as a running record. */
 export function encodeMessage(message: ClaimMessage): unknown {
   const { partition, request, budgetMs } = message;
   const state = request._tag === "Claim" ? "running" : request.state;
   return { partition, budgetMs, record: encodeRecord({ ...request, state }) };
 }
 
-/** Reads a request; undefined when it is not valid. */
+/** Decodes a request; returns undefined if it is not valid. */
 export function decodeMessage(value: unknown): ClaimMessage | undefined {
   const message = value as Partial<Record<string, unknown>> | null;
   const record = decodeRecord(message?.["record"]);
@@ -44,27 +44,27 @@
   return { partition, request, budgetMs };
 }
 
-/** Reads a verdict; undefined when it is not valid. */
+/** Decodes a decision; returns undefined if it is not valid. */
 export function decodeDecision(
   value: unknown,
 ): ClaimDecision | Undecided | undefined {
-  const verdict = value as Partial<Record<string, unknown>> | null;
-  switch (verdict?.["_tag"]) {
+  const decision = value as Partial<Record<string, unknown>> | null;
+  switch (decision?.["_tag"]) {
     case "Claimed":
     case "Mismatch":
     case "Withdrawn":
     case "Full":
     case "Settled":
-      return { _tag: verdict["_tag"] };
+      return { _tag: decision["_tag"] };
     case "Taken":
-      return decodeTaken(verdict);
+      return decodeTaken(decision);
     case "Answered":
-      return decodeAnswered(verdict);
+      return decodeAnswered(decision);
     case "Undecided":
       return {
         _tag: "Undecided",
-        reason: String(verdict["reason"]),
-        mayStand: verdict["mayStand"] !== false,
+        reason: String(decision["reason"]),
+        mayStand: decision["mayStand"] !== false,
       };
     default:
       return undefined;
@@ -72,9 +72,9 @@
 }
 
 function decodeTaken(
-  verdict: Partial<Record<string, unknown>>,
+  decision: Partial<Record<string, unknown>>,
 ): ClaimDecision | undefined {
-  const { by, state } = verdict;
+  const { by, state } = decision;
   if (typeof by !== "string" || !STATES.includes(state as string)) {
     return undefined;
   }
@@ -82,9 +82,9 @@
 }
 
 function decodeAnswered(
-  verdict: Partial<Record<string, unknown>>,
+  decision: Partial<Record<string, unknown>>,
 ): ClaimDecision | undefined {
-  const answer = verdict["answer"] as Record<string, unknown> | undefined;
+  const answer = decision["answer"] as Record<string, unknown> | undefined;
   const headers = answer?.["headers"];
   const status = answer?.["status"];
   const body = answer?.["body"];
@@ -92,11 +92,11 @@
     return undefined;
   }
   if (!Array.isArray(headers)) return undefined;
-  const named = headers.map((header: Record<string, unknown>) => ({
+  const namedHeaders = headers.map((header: Record<string, unknown>) => ({
     name: String(header?.["name"]),
     value: String(header?.["value"]),
   }));
-  return { _tag: "Answered", answer: { status, headers: named, body } };
+  return { _tag: "Answered", answer: { status, headers: namedHeaders, body } };
 }
 
 function isCount(value: unknown): value is number {
--- a/packages/coordination/src/process/claim_objects.ts
+++ b/packages/coordination/src/process/claim_objects.ts
@@ -1,5 +1,5 @@
 /**
- * The objects in the store that hold a partition's claims.
+ * Reads and writes the objects in the store that hold a partition's claims.
  *
  * @module
  */
@@ -12,15 +12,15 @@
 import type { CrashPoints } from "./crash_points.ts";
 import type { Conflict, Store, StoredObject, Unavailable } from "./store.ts";
 
-/** Kind of the heads. */
+/** Object kind of the heads. */
 export const CLAIMS_KIND = "claims";
-/** More missing segments than this are read by one list. */
+/** Above this number, missing segments are read by one list request. */
 const MAX_SINGLE_READS = 4;
 
 /** Why a partition could not be read or written. */
 export type ClaimStoreFailure = Conflict | Unavailable | UnreadableClaims;
 
-/** What {@linkcode ClaimObjects} needs. */
+/** Options of {@linkcode ClaimObjects}. */
 export interface ClaimObjectsOptions {
   readonly store: Store;
   readonly clock: Clock;
@@ -28,9 +28,10 @@
 }
 
 /**
- * Reads and writes a partition: a head, and the sealed segments that it names.
- * Only the head's conditional update decides anything. A segment that no head
- * names, left by a crash between the two writes, is of no effect.
+ * Reads and writes a partition: a head, and the sealed segments that it
+ * references. Only the conditional update of the head decides anything. A
+ * segment that no head references, left by a crash between the two writes, has
+ * no effect.
  */
 export class ClaimObjects {
   readonly #options: ClaimObjectsOptions;
@@ -43,7 +44,7 @@
     this.#segmentKind = `${CLAIMS_KIND}-${index}`;
   }
 
-  /** Brings the ledger to the head in the store. */
+  /** Updates the ledger to the head in the store. */
   load(ledger: ClaimLedger): Effect.Effect<void, ClaimStoreFailure> {
     const { store } = this.#options;
     return Effect.gen({ self: this }, function* () {
@@ -57,18 +58,21 @@
     });
   }
 
-  /** Seals if the composition says so, then writes the head. */
+  /**
+   * Seals the current head's records if the plan requires it, then writes the
+   * next head.
+   */
   save(
     ledger: ClaimLedger,
-    composition: BatchPlan,
+    plan: BatchPlan,
   ): Effect.Effect<void, ClaimStoreFailure> {
     const { store, crashPoints } = this.#options;
-    const head = composition.head;
+    const head = plan.head;
     if (head === undefined) return Effect.void;
     return Effect.gen({ self: this }, function* () {
-      yield* this.#seal(ledger, composition);
+      yield* this.#seal(ledger, plan);
       yield* crashPoints.reached("claim.before_write");
-      const dropped = composition.dropped.map((name) => ({
+      const dropped = plan.dropped.map((name) => ({
         name,
         version: ledger.segment(name)?.version ?? 0,
       }));
@@ -85,10 +89,10 @@
 
   #seal(
     ledger: ClaimLedger,
-    composition: BatchPlan,
+    plan: BatchPlan,
   ): Effect.Effect<void, ClaimStoreFailure> {
     const { store, clock, crashPoints } = this.#options;
-    const { sealed } = composition;
+    const { sealed } = plan;
     if (sealed === undefined) return Effect.void;
     const name = ledger.version;
     return Effect.gen({ self: this }, function* () {
@@ -98,11 +102,15 @@
         name: String(name),
         value: encodeRecords(sealed),
       }, { ifVersion: 0 }).pipe(
-        // The name holds the head's version, and a version has one content: who
-        // sealed it before wrote the same.
-        Effect.catchTag("Conflict", (met) => Effect.succeed(met.version)),
+        // The name is the head's version, and a version has only one content,
+        // so a process that sealed it earlier wrote the same.
+        Effect.catchTag(
+          "Conflict",
+          (conflict) => Effect.succeed(conflict.version),
+        ),
       );
-      // Learnt now at the earliest; the head that names it comes later still.
+      // This process learns of the segment now at the earliest; the head that
+      // references it is written later.
       ledger.addSegment(name, {
         records: sealed,
         version,
@@ -154,8 +162,9 @@
       const named = new Set(head.segments);
       for (const item of items) {
         const name = Number(item.name);
-        // Only the head that follows version `name` may name this segment. The
-        // head has moved past it without, so no head ever will.
+        // Only the head that replaces version `name` can add a reference to
+        // this segment. The current head is past that version and has none, so
+        // no head ever will.
         if (named.has(name) || name >= headVersion) continue;
         yield* this.#discard({ name, version: item.version });
       }
@@ -167,7 +176,8 @@
     object: StoredObject | undefined,
     name: number,
   ): KnownSegment | UnreadableClaims {
-    // Without a segment its keys would look free, so nothing is claimed.
+    // If a missing segment were ignored, its keys would appear to be free, so
+    // nothing is claimed.
     if (object === undefined) return this.#missingSegment(name);
     const records = decodeRecords(object.value);
     if ("_tag" in records) return records;
@@ -182,7 +192,10 @@
     };
   }
 
-  /** Frees the store's memory; a segment left behind does no harm. */
+  /**
+   * Removes a segment to free memory of the store; a segment left behind does
+   * no harm.
+   */
   #discard(
     segment: { readonly name: number; readonly version: number },
   ): Effect.Effect<void> {
--- a/packages/coordination/src/process/claim_record.ts
+++ b/packages/coordination/src/process/claim_record.ts
@@ -1,17 +1,17 @@
 /**
- * Records of claims, and the form in which the store holds them.
+ * Claim records and their stored form.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 import type { KeptAnswer } from "./claims.ts";
 
-/** Characters of a base64url digest that are kept: 132 bits. */
+/** Number of characters kept of a base64url digest: 132 bits. */
 const KEY_DIGEST_CHARACTERS = 22;
-/** 96 bits: two bodies under one key are told apart. */
+/** 96 bits, enough to distinguish two bodies under one key. */
 const BODY_DIGEST_CHARACTERS = 16;
 
-/** What became of a claim. */
+/** State of a claim. */
 export type ClaimState = "running" | "answered" | "may-have-run" | "withdrawn";
 
 const STATES: readonly ClaimState[] = [
@@ -21,7 +21,7 @@
   "withdrawn",
 ];
 
-/** The latest that is known of a key. */
+/** The latest record of a key. */
 export interface ClaimRecord {
   /** Digest of the key; the key itself may be private and long. */
   readonly key: string;
@@ -29,48 +29,56 @@
   readonly digest: string;
   /** Identifies the claim. */
   readonly id: string;
-  /** Name of the member that made it. */
+  /** Name of the member that made the claim. */
   readonly by: string;
   readonly state: ClaimState;
   readonly answer?: KeptAnswer;
 }
 
-/** Newest part of a partition; the only object that takes new claims. */
+/**
+ * Newest part of a partition, and the only object to which claims are added.
+ */
 export interface ClaimHead {
-  /** Names of the sealed segments, oldest first: the head's version when sealed. */
+  /**
+   * Names of the sealed segments, oldest first. A segment is named after the
+   * head's version at sealing.
+   */
   readonly segments: readonly number[];
   readonly records: readonly ClaimRecord[];
 }
 
-/** A claim in the store could not be understood. */
+/** Claims in the store could not be decoded. */
 export interface UnreadableClaims {
   readonly _tag: "UnreadableClaims";
   readonly message: string;
 }
 
-/** Digest of a caller's key, as records hold it. */
+/** Returns the digest of a caller's key, as stored in records. */
 export function keyDigest(key: string): string {
   return createHash("sha256").update(key).digest("base64url")
     .slice(0, KEY_DIGEST_CHARACTERS);
 }
 
-/** Digest of a request, as records hold it. */
+/** Returns the digest of a request, as stored in records. */
 export function bodyDigest(digest: string): string {
   return createHash("sha256").update(digest).digest("base64url")
     .slice(0, BODY_DIGEST_CHARACTERS);
 }
 
-/** Stored form of records: rows without field names, which would double the size. */
+/**
+ * Encodes records for the store as rows without field names, which would double
+ * the size.
+ */
 export function encodeRecords(records: Iterable<ClaimRecord>): unknown[] {
   return Array.from(records, encodeRecord);
 }
 
-/** Stored form of a head. */
+/** Encodes a head for the store. */
 export function encodeHead(head: ClaimHead): unknown {
   return { segments: head.segments, records: encodeRecords(head.records) };
 }
 
-/** Reads a head. */
+/** Decodes a head. */
 export function decodeHead(value: unknown): ClaimHead | UnreadableClaims {
   const head = value as Partial<Record<keyof ClaimHead, unknown>> | undefined;
   const segments = head?.segments;
@@ -82,7 +90,7 @@
   return { segments, records };
 }
 
-/** Reads the records of a segment or head. */
+/** Decodes the records of a segment or head. */
 export function decodeRecords(
   value: unknown,
 ): readonly ClaimRecord[] | UnreadableClaims {
@@ -96,7 +104,7 @@
   return records;
 }
 
-/** Reads one record; undefined when it is not valid. */
+/** Decodes one record; returns undefined if it is not valid. */
 export function decodeRecord(row: unknown): ClaimRecord | undefined {
   if (!Array.isArray(row)) return undefined;
   const [key, digest, id, by, stateIndex, answer] = row as unknown[];
@@ -110,7 +118,7 @@
   return kept === undefined ? undefined : { ...record, answer: kept };
 }
 
-/** Stored form of one record. */
+/** Encodes one record for the store. */
 export function encodeRecord(record: ClaimRecord): unknown {
   const { key, digest, id, by, answer } = record;
   const row = [key, digest, id, by, STATES.indexOf(record.state)];
@@ -120,19 +128,19 @@
   return [...row, [answer.status, headers, body]];
 }
 
-/** Bytes that a record takes in the store. */
+/** Returns the number of bytes that a record occupies in the store. */
 export function storedBytes(record: ClaimRecord): number {
   const answer = record.answer === undefined ? 0 : answerBytes(record.answer);
   const fields = record.key.length + record.digest.length + record.id.length;
   return fields + Buffer.byteLength(record.by) + ROW_PUNCTUATION_BYTES + answer;
 }
 
-/** Bytes that an answer takes in the store. */
+/** Returns the number of bytes that an answer occupies in the store. */
 export function answerBytes(answer: KeptAnswer): number {
   const BASE64_GROWTH = 4 / 3;
   let size = ROW_PUNCTUATION_BYTES + answer.body.length * BASE64_GROWTH;
   for (const header of answer.headers) {
-    // JSON may escape each character to six.
+    // JSON may escape each character to six bytes.
     size += 6 * (header.name.length + header.value.length);
   }
   return Math.ceil(size);
--- a/packages/coordination/src/process/claim_routing.ts
+++ b/packages/coordination/src/process/claim_routing.ts
@@ -1,5 +1,5 @@
 /**
- * Which partition a key belongs to, and which member serves it.
+ * Maps keys to partitions, and partitions to the members that serve them.
  *
  * @module
  */
@@ -7,16 +7,16 @@
 import type { MemberState, View } from "./membership.ts";
 import { rendezvous } from "./rendezvous.ts";
 
-/** Partition of a key, from its digest. */
+/** Returns the partition of a key, given its digest. */
 export function partitionOf(keyDigest: string, partitions: number): number {
   return hash32(keyDigest) % partitions;
 }
 
 /**
- * Members that may serve a partition, the one to ask first before the others.
- * Members that are suspected come after the healthy ones, leaving ones are left
- * out. Two processes with different views may name different members, which
- * costs conflicts and no more.
+ * Returns the members that may serve a partition, in order of preference.
+ * Suspected members follow the healthy ones; leaving members are excluded. Two
+ * processes with different views may choose different members, which only
+ * causes conflicts.
  */
 export function servers(view: View, partition: number): readonly string[] {
   const key = `claims/${partition}`;
@@ -30,12 +30,12 @@
   ];
 }
 
-/** The servers of each partition, worked out once for a view. */
+/** Caches the servers of each partition for one view. */
 export class RoutingCache {
   #view: View | undefined;
   readonly #servers = new Map<number, readonly string[]>();
 
-  /** As {@linkcode servers}. */
+  /** Returns the same as {@linkcode servers}. */
   servers(view: View, partition: number): readonly string[] {
     if (view !== this.#view) {
       this.#view = view;
--- a/packages/coordination/src/process/claim_server.ts
+++ b/packages/coordination/src/process/claim_server.ts
@@ -1,5 +1,5 @@
 /**
- * Decides claims here, for this process and for others.
+ * Decides claims locally, for this process and for other members.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 import type { ClaimLayout } from "./claim_layout.ts";
 import type { Peers } from "./peers.ts";
 
-/** A partition that nobody asked for this long is forgotten, to free memory. */
+/** A partition without requests for this long is unloaded, to free memory. */
 const IDLE_TIMEOUT_MS = 300_000;
 const SWEEP_INTERVAL_MS = 60_000;
 
@@ -22,7 +22,7 @@
   readonly fiber: Fiber.Fiber<never>;
 }
 
-/** Partitions that this process has been asked for. */
+/** Partitions for which this process has received requests. */
 export class ClaimServer {
   readonly #layout: ClaimLayout;
   readonly #options: ClaimPartitionOptions;
@@ -38,7 +38,7 @@
     this.#scope = options.scope;
   }
 
-  /** Answers other members until the scope closes. */
+  /** Handles requests of other members until the scope closes. */
   serve(peers: Peers): Effect.Effect<void> {
     peers.handle(CLAIMS_CHANNEL, (_, message) => this.#handleMessage(message));
     const sweep = Effect.sleep(SWEEP_INTERVAL_MS).pipe(
@@ -48,7 +48,7 @@
     return Effect.asVoid(Effect.forkIn(sweep, this.#scope));
   }
 
-  /** Has a partition decide a request, and starts the partition if need be. */
+  /** Decides a request on its partition, which is started if necessary. */
   submit(
     partition: number,
     request: PartitionRequest,
@@ -75,7 +75,7 @@
       this.submit(partition, request, { timeoutMs: budgetMs }),
       {
         onFailure: (undecided): unknown => undecided,
-        onSuccess: (verdict): unknown => verdict,
+        onSuccess: (decision): unknown => decision,
       },
     );
   }
--- a/packages/coordination/src/process/claims.ts
+++ b/packages/coordination/src/process/claims.ts
@@ -1,11 +1,12 @@
 /**
- * Claims: at most one run of a request that may not be repeated.
+ * Claims, which ensure that a request that must not be repeated runs at most
+ * once.
  *
  * @module
  */
 import type * as Effect from "effect/Effect";
 
-/** A small answer that is kept with its claim, for a second try. */
+/** A small answer that is kept with its claim, for later attempts. */
 export interface KeptAnswer {
   readonly status: number;
   readonly headers: readonly {
@@ -15,13 +16,13 @@
   readonly body: Uint8Array;
 }
 
-/** How the work under a claim ended. */
+/** Outcome of the request under a claim. */
 export type ClaimSettlement =
-  /** A whole answer was received; it is kept when small enough. */
+  /** A complete answer was received; it is kept if it is small enough. */
   | { readonly _tag: "Answered"; readonly answer?: KeptAnswer }
-  /** Something was sent and no whole answer came. */
+  /** Part of the request was sent, and no complete answer was received. */
   | { readonly _tag: "MayHaveRun" }
-  /** It certainly did not run; the key is free again. */
+  /** The request was certainly not run; the key is free again. */
   | { readonly _tag: "NotRun" };
 
 /** The right to send one request once. */
@@ -30,42 +31,42 @@
   /** Unique; identifies this claim in the store. */
   readonly id: string;
   /**
-   * Whether the send may still start; false once too much time has passed since
-   * the claim, as after a pause. Ask immediately before the send, and settle as
-   * `NotRun` when it is false.
+   * Whether the request may still be sent; false once too much time has passed
+   * since the claim, for example after a pause. Check it immediately before
+   * sending, and settle as `NotRun` if it is false.
    */
   mayStart(): boolean;
   /**
-   * Tells how it ended. Never fails: a settlement that cannot be recorded leaves
-   * the claim standing, so that a second try is told that it may have run.
-   * The effect ends when the settlement is queued, not when it is durable.
+   * Records the outcome. Never fails: if the settlement cannot be recorded, the
+   * claim remains, and a later attempt learns that the request may have run.
+   * The effect completes when the settlement is queued, not when it is durable.
    */
   settle(settlement: ClaimSettlement): Effect.Effect<void>;
 }
 
-/** What came of asking for a claim. */
+/** Result of requesting a claim. */
 export type ClaimOutcome =
-  /** The claim is in the store: send once. */
+  /** The claim is recorded in the store; the request may be sent once. */
   | { readonly _tag: "Claimed"; readonly claim: Claim }
-  /** Another try has the key, and no answer of it is kept. */
+  /** Another attempt holds the key, and no answer to it is kept. */
   | {
     readonly _tag: "Taken";
     /** Member that holds the claim. */
     readonly by: string;
     readonly state: "running" | "answered" | "may-have-run";
   }
-  /** An earlier try with the same body was answered so. */
+  /** An earlier attempt with the same body received this answer. */
   | { readonly _tag: "Answered"; readonly answer: KeptAnswer }
-  /** The key was used with another body. */
+  /** The key was used with a different body. */
   | { readonly _tag: "Mismatch" };
 
-/** No claim was made, and none will be used: the request was not run. */
+/** No claim was made, and none will be used; the request was not run. */
 export interface ClaimUnavailable {
   readonly _tag: "ClaimUnavailable";
   readonly reason: "store" | "full";
-  /** For callers; the same for the same reason. */
+  /** Message for callers; identical for the same reason. */
   readonly message: string;
-  /** For operators: what failed last. */
+  /** Detail for operators: the last failure. */
   readonly detail?: string;
   readonly retryAfterMs: number;
 }
@@ -73,16 +74,19 @@
 /** Makes claims on idempotency keys. */
 export interface Claims {
   /**
-   * Claims a key before the one send that it stands for. Ends within a bound,
-   * also while the store is down.
+   * Claims a key before the one request that it covers is sent. Completes
+   * within a time limit, even while the store is down.
    *
-   * @param key scoped by the caller, such as workspace, service and the caller's
-   * idempotency key together.
+   * @param key scoped by the caller, such as workspace, service and the
+   * caller's idempotency key combined.
    */
   claim(
     key: string,
     options: {
-      /** Digest of all that makes the request what it is: method, path, body. */
+      /**
+       * Digest of everything that identifies the request: method, path and
+       * body.
+       */
       readonly digest: string;
     },
   ): Effect.Effect<ClaimOutcome, ClaimUnavailable>;
--- a/packages/coordination/src/process/share_holding.ts
+++ b/packages/coordination/src/process/share_holding.ts
@@ -1,25 +1,32 @@
 /**
- * A holder's part of a limit, and what it may use of it now.
+ * A holder's side of a shared limit: what it has yielded, what it was granted,
+ * and what it may use now.
  *
  * @module
  */
 
 /** Times of the protocol, in milliseconds. */
 export interface ShareTimes {
-  /** Between two reports of a holder. */
+  /** Interval between two reports of a holder. */
   readonly periodMs: number;
-  /** How long a holder keeps away from what it yielded. */
+  /** Time for which a holder does not use what it has yielded. */
   readonly yieldMs: number;
-  /** How long a grant may be used. */
+  /** Time for which a grant may be used. */
   readonly grantMs: number;
 }
 
-/** Part of each time that is left unused, against clocks of unequal rates. */
+/**
+ * Fraction of each time that is left unused, to allow for clocks that run at
+ * different rates.
+ */
 export const CLOCK_DRIFT_MARGIN = 0.05;
 
-/** Part of the floor that is never yielded, so that new demand starts at once. */
+/**
+ * Fraction of the floor that is never yielded, so that new demand can be served
+ * immediately.
+ */
 const RESERVED_FRACTION = 0.1;
-/** Demand beyond the present one that is kept for growth. */
+/** Factor applied to the current demand, to leave room for growth. */
 const DEMAND_HEADROOM = 1.25;
 
 interface TimedAmount {
@@ -27,19 +34,22 @@
   readonly until: number;
 }
 
-/** What a holder knows of one owner. */
+/** A holder's state for one owner. */
 interface OwnerState {
   yields: readonly TimedAmount[];
   grant: TimedAmount;
-  /** Number of the report whose answer was last taken. */
+  /** Number of the latest report whose response was applied. */
   lastReport: number;
 }
 
-/** What a holder tells an owner of one limit. */
+/** A holder's offer to an owner, for one limit. */
 export interface Offer {
-  /** Kept away from for the whole yield time, counted from the report. */
+  /**
+   * Amount that the holder does not use for the whole yield time, measured from
+   * the report.
+   */
   readonly yielded: number;
-  /** What the holder could use beyond what it keeps of its floor. */
+  /** Amount that the holder could use beyond what it keeps of its floor. */
   readonly wanted: number;
 }
 
@@ -58,32 +68,33 @@
     this.#times = times;
   }
 
-  /** Follows a change of the limit. */
+  /** Sets the floor after a change of the limit. */
   setFloor(floor: number): void {
     this.#floor = floor;
   }
 
-  /** Tells what could be used at present. */
+  /** Sets the amount that could be used at present. */
   setDemand(demand: number): void {
     this.#demand = demand;
   }
 
-  /** What may be used now. */
+  /** Returns the amount that may be used now. */
   allowance(now: number): number {
     let allowance = this.#floor;
     for (const { yields, grant } of this.#owners.values()) {
-      allowance -= largestLive(yields, now);
+      allowance -= largestUnexpired(yields, now);
       if (grant.until > now) allowance += grant.amount;
     }
     return Math.max(0, allowance);
   }
 
   /**
-   * Makes an offer to an owner. What it yields is kept away from as of now, even
-   * if the report never arrives: this process can't know.
+   * Makes an offer to an owner. The yielded amount is not used from now on,
+   * even if the report never arrives, because this process cannot tell whether
+   * it does.
    */
   offer(owner: string, now: number): Offer {
-    const dealing = this.#ownerState(owner);
+    const state = this.#ownerState(owner);
     const elsewhere = this.#yieldedExcept(owner, now);
     const keep = Math.max(
       this.#floor * RESERVED_FRACTION,
@@ -91,41 +102,42 @@
     );
     const yielded = Math.max(0, this.#floor - keep - elsewhere);
     const until = now + this.#times.yieldMs;
-    const live = dealing.yields.filter((entry) => entry.until > now);
-    dealing.yields = [...live, { amount: yielded, until }];
-    const kept = this.#floor - elsewhere - largestLive(dealing.yields, now);
+    const unexpired = state.yields.filter((entry) => entry.until > now);
+    state.yields = [...unexpired, { amount: yielded, until }];
+    const kept = this.#floor - elsewhere - largestUnexpired(state.yields, now);
     return {
       yielded,
       wanted: Math.max(0, this.#demand * DEMAND_HEADROOM - kept),
     };
   }
 
-  /** Takes the answer to the numbered report that was sent at `sentAt`. */
+  /** Applies the response to the numbered report that was sent at `sentAt`. */
   applyGrant(
     owner: string,
-    answer: {
+    response: {
       readonly report: number;
       readonly sentAt: number;
       readonly granted: number;
     },
   ): void {
-    const dealing = this.#ownerState(owner);
-    // The owner counts with either of two crossed answers; the later one fits
-    // the demand better.
-    if (answer.report <= dealing.lastReport) return;
-    dealing.lastReport = answer.report;
-    // The owner counts from when it answered, which was after the report.
+    const state = this.#ownerState(owner);
+    // The owner accounts for either of two responses that arrive out of order;
+    // the later one fits the demand better.
+    if (response.report <= state.lastReport) return;
+    state.lastReport = response.report;
+    // The owner measures the time from its response, which it sent after the
+    // report.
     const usableMs = this.#times.grantMs * (1 - CLOCK_DRIFT_MARGIN);
-    dealing.grant = {
-      amount: answer.granted,
-      until: answer.sentAt + usableMs,
+    state.grant = {
+      amount: response.granted,
+      until: response.sentAt + usableMs,
     };
   }
 
   #yieldedExcept(owner: string, now: number): number {
     let yielded = 0;
     for (const [name, { yields }] of this.#owners) {
-      if (name !== owner) yielded += largestLive(yields, now);
+      if (name !== owner) yielded += largestUnexpired(yields, now);
     }
     return yielded;
   }
@@ -133,21 +145,27 @@
   #ownerState(owner: string): OwnerState {
     const known = this.#owners.get(owner);
     if (known !== undefined) return known;
-    const dealing = {
+    const state = {
       yields: [],
       grant: { amount: 0, until: 0 },
       lastReport: 0,
     };
-    this.#owners.set(owner, dealing);
-    return dealing;
+    this.#owners.set(owner, state);
+    return state;
   }
 }
 
-/** An owner may rely on any one of the yields that it was told, not on all. */
-function largestLive(entries: readonly TimedAmount[], now: number): number {
-  let most = 0;
+/**
+ * Returns the largest amount that has not expired. An owner may rely on any one
+ * of the yields reported to it, but not on their sum.
+ */
+function largestUnexpired(
+  entries: readonly TimedAmount[],
+  now: number,
+): number {
+  let max = 0;
   for (const { amount, until } of entries) {
-    if (until > now) most = Math.max(most, amount);
+    if (until > now) max = Math.max(max, amount);
   }
-  return most;
+  return max;
 }
--- a/packages/coordination/src/process/share_ledger.ts
+++ b/packages/coordination/src/process/share_ledger.ts
@@ -1,5 +1,6 @@
 /**
- * What holders have yielded of a limit, and what was granted from it.
+ * An owner's record of what holders have yielded of a limit, and of what it has
+ * granted from it.
  *
  * @module
  */
@@ -19,21 +20,23 @@
   readonly grants: readonly Grant[];
 }
 
-/** A report, as far as it concerns one limit. */
+/** The part of a report that concerns one limit. */
 export interface ReportedOffer extends Offer {
   readonly holder: string;
   /**
-   * A moment of the owner's clock before which the report can't have been sent:
-   * that of an answer which the report echoes. Absent for a first report, whose
-   * yield can't be relied on, since it may have been under way for any time.
+   * Time on the owner's clock before which the report cannot have been sent:
+   * that of a response whose timestamp the report echoes. Absent for a first
+   * report, whose yield cannot be relied on because the report may have been in
+   * transit for any length of time.
    */
   readonly sentAfter?: number;
 }
 
 /**
- * The owner's side of one limit. Grants are backed by yields alone: what is
- * granted at any moment is at most what holders keep away from for this owner.
- * So it does no harm when several processes believe to be the owner.
+ * The owner's side of one limit. Grants are backed by yields alone: the amount
+ * granted at any time is at most what holders have yielded to this owner and do
+ * not use. Several processes that consider themselves the owner therefore do no
+ * harm.
  */
 export class ShareLedger {
   readonly #times: ShareTimes;
@@ -43,15 +46,17 @@
     this.#times = times;
   }
 
-  /** Whether nothing was heard for so long that nothing is owed. */
+  /**
+   * Whether the last report is so old that all yields and grants have expired.
+   */
   isIdle(now: number): boolean {
-    const longest = this.#times.yieldMs + this.#times.grantMs;
+    const maxMs = this.#times.yieldMs + this.#times.grantMs;
     return [...this.#holders.values()].every(({ reportedAt }) =>
-      now - reportedAt > longest
+      now - reportedAt > maxMs
     );
   }
 
-  /** Takes a report and returns the grant to its holder. */
+  /** Records a holder's offer and returns the amount granted to it. */
   processOffer(offer: ReportedOffer, now: number): number {
     const before = this.#holders.get(offer.holder);
     const grants = (before?.grants ?? []).filter(({ until }) => until > now);
@@ -73,24 +78,32 @@
     return amount;
   }
 
-  /** The holder's fair part of the pool, as far as nobody else may use it. */
+  /**
+   * Returns the holder's fair share of the pool, limited to what no other
+   * holder may use.
+   */
   #grantableAmount(holder: string, now: number): number {
     let pool = 0;
-    let others = 0;
+    let grantedToOthers = 0;
     const wants: number[] = [];
     const end = now + this.#times.grantMs;
     for (const [name, entry] of this.#holders) {
-      // Only what stays yielded until the grant's end can back it.
+      // Only an amount that stays yielded until the grant ends can back it.
       if (entry.yieldedUntil >= end) pool += entry.yielded;
-      if (name !== holder) others += largestLiveGrant(entry.grants, now);
+      if (name !== holder) {
+        grantedToOthers += largestUnexpiredGrant(entry.grants, now);
+      }
       if (this.#isReporting(entry, now)) wants.push(entry.wanted);
     }
     const wanted = this.#holders.get(holder)?.wanted ?? 0;
     const fair = Math.min(wanted, waterLevel(pool, wants));
-    return Math.max(0, Math.min(fair, pool - others));
+    return Math.max(0, Math.min(fair, pool - grantedToOthers));
   }
 
-  /** A holder that has fallen silent no longer takes part in the division. */
+  /**
+   * Whether the holder still reports. A holder that has stopped reporting is
+   * excluded from the division.
+   */
   #isReporting(entry: HolderEntry, now: number): boolean {
     const MISSED_REPORTS = 3;
     return now - entry.reportedAt <= MISSED_REPORTS * this.#times.periodMs;
@@ -98,8 +111,8 @@
 }
 
 /**
- * The level at which all wants, each cut at it, fill the pool; infinite when the
- * pool holds them all.
+ * Returns the max-min fair level, at which all wants, each capped at it, add up
+ * to the pool; infinite if the pool covers them all.
  *
  * @example
  * ```ts
@@ -108,20 +121,23 @@
  */
 export function waterLevel(pool: number, wants: readonly number[]): number {
   const sorted = wants.toSorted((a, b) => a - b);
-  let left = pool;
+  let remaining = pool;
   for (const [index, want] of sorted.entries()) {
-    const level = left / (sorted.length - index);
+    const level = remaining / (sorted.length - index);
     if (want > level) return level;
-    left -= want;
+    remaining -= want;
   }
   return Infinity;
 }
 
-/** The holder uses the last answer that reached it, which may be any of these. */
-function largestLiveGrant(grants: readonly Grant[], now: number): number {
-  let most = 0;
+/**
+ * Returns the largest grant that has not expired. The holder uses the latest
+ * response that reached it, which may contain any of them.
+ */
+function largestUnexpiredGrant(grants: readonly Grant[], now: number): number {
+  let max = 0;
   for (const { amount, until } of grants) {
-    if (until > now) most = Math.max(most, amount);
+    if (until > now) max = Math.max(max, amount);
   }
-  return most;
+  return max;
 }
--- a/packages/coordination/src/process/share_message.ts
+++ b/packages/coordination/src/process/share_message.ts
@@ -5,36 +5,39 @@
  */
 import type { Offer } from "./share_holding.ts";
 
-/** Channel of the messages. */
+/** Peer channel of the messages. */
 export const SHARES_CHANNEL = "shares";
 
-/** An owner's stamp on an answer, which the holder's next report echoes. */
+/**
+ * Timestamp that an owner puts on a response, and that the holder's next report
+ * echoes.
+ */
 export interface OwnerTimestamp {
-  /** Unique for each process that ever started. */
+  /** Unique to each process start. */
   readonly owner: string;
-  /** The owner's clock that never goes back. */
+  /** Time on the owner's monotonic clock, in milliseconds. */
   readonly at: number;
 }
 
-/** One limit in a report. */
+/** A holder's offer for one limit, as part of a report. */
 export interface LimitOffer extends Offer {
   readonly limit: string;
   readonly holder: string;
 }
 
-/** What a process that holds limits tells one owner of them. */
+/** Report of a process to one owner of limits that it holds. */
 export interface ShareReport {
   readonly stamp?: OwnerTimestamp;
   readonly offers: readonly LimitOffer[];
 }
 
-/** The owner's answer; grants are in the order of the offers. */
+/** An owner's response; grants are in the order of the offers. */
 export interface GrantResponse {
   readonly stamp: OwnerTimestamp;
   readonly grants: readonly number[];
 }
 
-/** Reads a report; undefined when it is not valid. */
+/** Decodes a report; returns undefined if it is not valid. */
 export function decodeReport(value: unknown): ShareReport | undefined {
   const report = value as Partial<Record<string, unknown>> | null | undefined;
   const offers = report?.["offers"];
@@ -43,7 +46,7 @@
   return stamp === undefined ? { offers } : { stamp, offers };
 }
 
-/** Reads an answer; undefined when it is not valid. */
+/** Decodes a response; returns undefined if it is not valid. */
 export function decodeResponse(value: unknown): GrantResponse | undefined {
   const answer = value as Partial<Record<string, unknown>> | null | undefined;
   const stamp = decodeTimestamp(answer?.["stamp"]);
--- a/packages/coordination/src/process/share_owner.ts
+++ b/packages/coordination/src/process/share_owner.ts
@@ -1,5 +1,5 @@
 /**
- * Answers reports of holders, for the limits that this process owns.
+ * Handles reports of holders, for the limits that this process owns.
  *
  * @module
  */
@@ -15,10 +15,13 @@
 } from "./share_message.ts";
 
 const OWNER_ID_BYTES = 9;
-/** Reports between two looks for limits that nobody holds any more. */
+/**
+ * Number of reports between two removals of limits that no process holds any
+ * more.
+ */
 const SWEEP_INTERVAL_REPORTS = 1_000;
 
-/** Ledgers of the limits for which reports came. */
+/** Ledgers of the limits for which this process has received reports. */
 export class ShareOwner {
   readonly #id = randomBytes(OWNER_ID_BYTES).toString("base64url");
   readonly #clock: Clock;
@@ -31,7 +34,7 @@
     this.#times = times;
   }
 
-  /** Answers one report; undefined when it is not valid. */
+  /** Handles one report; returns undefined if it is not valid. */
   handleReport(message: unknown): GrantResponse | undefined {
     const report = decodeReport(message);
     if (report === undefined) return undefined;
@@ -47,7 +50,7 @@
     return { stamp: { owner: this.#id, at: now }, grants };
   }
 
-  /** Only a stamp of this very process tells a moment of its clock. */
+  /** Only a timestamp issued by this process refers to its clock. */
   #sentAfter(
     stamp: OwnerTimestamp | undefined,
     now: number,
--- a/packages/coordination/src/process/shares.ts
+++ b/packages/coordination/src/process/shares.ts
@@ -1,5 +1,6 @@
 /**
- * Limits shared by several processes, whose parts never add up to more.
+ * Limits shared by several processes, whose allowances never add up to more
+ * than the limit.
  *
  * @module
  */
@@ -34,27 +35,27 @@
   readonly times?: Partial<ShareTimes>;
 }
 
-/** A limit, and the part that this process holds. */
+/** A limit, and the share of it that this process holds. */
 export interface SharedLimit {
-  /** Names the limit, such as workspace, class and kind together. */
+  /** Name of the limit, such as workspace, class and kind combined. */
   readonly limit: string;
-  /** Names the part, such as a shard; one process at a time holds it. */
+  /** Name of the share, such as a shard; one process at a time holds it. */
   readonly holder: string;
-  /** The whole limit. */
+  /** Total of the limit. */
   readonly total: number;
-  /** Number of parts, the same at all holders. */
+  /** Number of shares, the same at all holders. */
   readonly holders: number;
 }
 
-/** This process's part of a limit. */
+/** This process's share of a limit. */
 export interface Share {
-  /** What may be used now, in the limit's unit. */
+  /** Returns the amount that may be used now, in the limit's unit. */
   allowance(): number;
-  /** Tells what could be used at present, in the limit's unit. */
+  /** Sets the amount that could be used at present, in the limit's unit. */
   setDemand(amount: number): void;
-  /** Follows a change of the limit. */
+  /** Applies a change of the limit. */
   resize(limit: { readonly total: number; readonly holders: number }): void;
-  /** Ends the holding. */
+  /** Gives the share up. */
   close(): void;
 }
 
@@ -73,7 +74,7 @@
  * yield* shares.start();
  * const share = shares.hold({ limit: "quotes/tokens", holder: "shard-1",
  *   total: 1_000, holders: 4 });
- * share.demand(600);
+ * share.setDemand(600);
  * if (used < share.allowance()) admit();
  * ```
  */
@@ -84,7 +85,7 @@
   readonly #times: ShareTimes;
   readonly #owner: ShareOwner;
   readonly #localShares = new Set<LocalShare>();
-  readonly #stamps = new Map<string, OwnerTimestamp>();
+  readonly #timestamps = new Map<string, OwnerTimestamp>();
   #reportCount = 0;
 
   constructor(options: SharesOptions) {
@@ -95,7 +96,7 @@
     this.#owner = new ShareOwner(this.#clock, this.#times);
   }
 
-  /** Takes part in a limit; the floor may be used at once. */
+  /** Joins a limit; the floor may be used immediately. */
   hold(limit: SharedLimit): Share {
     const holding = new ShareHolding(
       limit.total / limit.holders,
@@ -112,22 +113,25 @@
     };
   }
 
-  /** Reports and answers until the scope closes. */
+  /**
+   * Sends reports to owners, and handles those of other holders, until the
+   * scope closes.
+   */
   start(): Effect.Effect<void, never, Scope.Scope> {
     return Effect.gen({ self: this }, function* () {
       this.#peers.handle(
         SHARES_CHANNEL,
         (_, message) => Effect.sync(() => this.#owner.handleReport(message)),
       );
-      const round = Effect.andThen(
+      const loop = Effect.andThen(
         Effect.sleep(this.#times.periodMs),
         this.#sendReports(),
       );
-      yield* Effect.forkScoped(Effect.forever(round));
+      yield* Effect.forkScoped(Effect.forever(loop));
     });
   }
 
-  /** One report to each owner of a limit held here. */
+  /** Sends one report to each owner of a limit held here. */
   #sendReports(): Effect.Effect<void> {
     return Effect.suspend(() =>
       Effect.forEach(
@@ -156,21 +160,21 @@
     return Effect.suspend(() => {
       const sentAt = this.#clock.monotonic();
       const report = this.#reportCount += 1;
-      const stamp = this.#stamps.get(owner);
+      const timestamp = this.#timestamps.get(owner);
       const offers = held.map(({ limit, holder, holding }): LimitOffer => ({
         limit,
         holder,
         ...holding.offer(owner, sentAt),
       }));
-      const body: ShareReport = stamp === undefined
+      const body: ShareReport = timestamp === undefined
         ? { offers }
-        : { stamp, offers };
+        : { stamp: timestamp, offers };
       return Effect.map(this.#sendReport(owner, body), (message) => {
-        const answer = decodeResponse(message);
-        if (answer === undefined) return;
-        this.#stamps.set(owner, answer.stamp);
+        const response = decodeResponse(message);
+        if (response === undefined) return;
+        this.#timestamps.set(owner, response.stamp);
         for (const [index, { holding }] of held.entries()) {
-          const granted = answer.grants[index] ?? 0;
+          const granted = response.grants[index] ?? 0;
           holding.applyGrant(owner, { report, sentAt, granted });
         }
       });
