--- a/packages/coordination/tests/claims_exploration_test.ts
+++ b/packages/coordination/tests/claims_exploration_test.ts
@@ -1,7 +1,8 @@
-// Explores every interleaving of the claim protocol's steps, within the bounds
-// of each scenario, over the decision functions that the daemon runs. A path is
-// a list of choices (who moves, and what becomes of its store call); each is
-// replayed from the start, so that a finding names its path.
+// Explores every interleaving of the steps of the claim protocol, within the
+// bounds of each scenario, with the same decision functions as the daemon. A
+// path is a list of choices of the next actor and the outcome of its store
+// call. Each path is replayed from the start, so that a finding can state its
+// path.
 //
 // Invariant: within the window at most one claim of a key is delivered, and it
 // is delivered only while its record is in the store.
@@ -11,37 +12,45 @@
 import type { PartitionRequest } from "../src/process/claim_decision.ts";
 import type { ClaimHead, ClaimRecord } from "../src/process/claim_record.ts";
 
-type Fate = "ok" | "lose-reply" | "lose-request";
-/** Yields the fates that its next step may have, and is told the chosen one. */
-type Actor = Generator<readonly Fate[], void, Fate>;
-
-const NO_FAULTS: readonly Fate[] = ["ok"];
-const READ_FATES: readonly Fate[] = ["ok", "lose-request"];
-const WRITE_FATES: readonly Fate[] = ["ok", "lose-reply", "lose-request"];
+type StoreOutcome = "ok" | "lose-reply" | "lose-request";
+/**
+ * Yields the possible outcomes of its next step, and receives the chosen one.
+ */
+type Actor = Generator<readonly StoreOutcome[], void, StoreOutcome>;
+
+const NO_FAULTS: readonly StoreOutcome[] = ["ok"];
+const READ_OUTCOMES: readonly StoreOutcome[] = ["ok", "lose-request"];
+const WRITE_OUTCOMES: readonly StoreOutcome[] = [
+  "ok",
+  "lose-reply",
+  "lose-request",
+];
 const MAX_ATTEMPTS = 3;
 const WINDOW_MS = 10;
 const TIMEOUT_MS = 1;
 
 interface Rules {
   /**
-   * Whether the store checks versions; off, to see that the search finds it.
+   * Whether the store checks versions; false to test that explore finds the
+   * fault.
    */
   readonly conditional: boolean;
   readonly retentionMs: number;
   readonly sealBytes: number;
-  /** A claim is not used when its verdict took longer. */
+  /** A claim is not used if its decision took longer. */
   readonly timeoutMs: number;
 }
 
 const RULES: Rules = {
   conditional: true,
-  // The first verdict and the second may each take the whole time bound.
+  // The first and the second decision may each take the whole time-out.
   retentionMs: WINDOW_MS + 2 * TIMEOUT_MS + 1,
   timeoutMs: TIMEOUT_MS,
   sealBytes: 1_000_000,
 };
 
-class SimulatedStore {
+/** The simulated store and clock, and the claims delivered so far. */
+class Simulation {
   readonly rules: Rules;
   readonly findings: string[] = [];
   time = 0;
@@ -74,7 +83,7 @@
     return this.#versions;
   }
 
-  /** The claimant is told that it may send. */
+  /** Delivers a claim: the claimant may now send its request. */
   deliver(id: string, askedAt: number) {
     if (!this.#stored(id)) this.findings.push(`"${id}" is not in the store`);
     for (const earlier of this.#delivered) {
@@ -95,14 +104,18 @@
   }
 }
 
-/** Reads what the ledger lacks, as ClaimObjects.load does. */
-function load(world: SimulatedStore, ledger: ClaimLedger): boolean {
-  const found = world.read();
+/** Reads the objects that the ledger lacks, as ClaimObjects.load does. */
+function load(sim: Simulation, ledger: ClaimLedger): boolean {
+  const found = sim.read();
   if (found === undefined) return true;
   for (const name of ledger.missingSegments(found.head)) {
-    const records = world.segment(name);
+    const records = sim.segment(name);
     if (records === undefined) return false;
-    ledger.addSegment(name, { records, version: 1, knownSince: world.time });
+    ledger.addSegment(name, {
+      records,
+      version: 1,
+      knownSince: sim.time,
+    });
   }
   ledger.applyHead(found.head, found.version);
   return true;
@@ -110,36 +123,36 @@
 
 /** Decides one request at one server, as ClaimPartition does, step by step. */
 function* serve(
-  world: SimulatedStore,
+  sim: Simulation,
   ledger: ClaimLedger,
   request: PartitionRequest,
-): Generator<readonly Fate[], string, Fate> {
-  const { sealBytes, retentionMs } = world.rules;
+): Generator<readonly StoreOutcome[], string, StoreOutcome> {
+  const { sealBytes, retentionMs } = sim.rules;
   const limits = { sealBytes, retentionMs, answerBytes: 0, maxSegments: 99 };
   let current = ledger.version > 0;
   for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
     if (!current) {
-      if ((yield READ_FATES) !== "ok" || !load(world, ledger)) continue;
+      if ((yield READ_OUTCOMES) !== "ok" || !load(sim, ledger)) continue;
     }
     current = false;
-    const composed = ledger.planBatch([request], { now: world.time, limits });
-    const verdict = composed.decisions[0]?._tag ?? "none";
-    if (composed.head === undefined) return verdict;
+    const plan = ledger.planBatch([request], { now: sim.time, limits });
+    const decision = plan.decisions[0]?._tag ?? "none";
+    if (plan.head === undefined) return decision;
     const ifVersion = ledger.version;
-    if (composed.sealed !== undefined) {
+    if (plan.sealed !== undefined) {
       yield NO_FAULTS;
-      world.seal(ifVersion, composed.sealed);
+      sim.seal(ifVersion, plan.sealed);
       ledger.addSegment(ifVersion, {
-        records: composed.sealed,
+        records: plan.sealed,
         version: 1,
-        knownSince: world.time,
+        knownSince: sim.time,
       });
     }
-    const fate = yield WRITE_FATES;
-    if (fate === "lose-request") continue;
-    const version = world.write(composed.head, ifVersion);
-    if (version === undefined || fate === "lose-reply") continue;
-    ledger.applyHead(composed.head, version);
+    const outcome = yield WRITE_OUTCOMES;
+    if (outcome === "lose-request") continue;
+    const version = sim.write(plan.head, ifVersion);
+    if (version === undefined || outcome === "lose-reply") continue;
+    ledger.applyHead(plan.head, version);
     return request._tag === "Claim" ? "Claimed" : "Settled";
   }
   return "Undecided";
@@ -149,67 +162,73 @@
   return { _tag: "Claim", key, digest: "d", id, by: "m" };
 }
 
-function withdrawal(id: string): PartitionRequest {
+function withdrawalRequest(id: string): PartitionRequest {
   const identity = { key: "k", digest: "d", id, by: "m" };
   return { _tag: "Settle", ...identity, state: "withdrawn" };
 }
 
-/** Asks one server, and takes the claim back when no verdict comes. */
+/**
+ * Sends a claim to one server, and withdraws it if no decision arrives in time.
+ */
 function* claimant(
-  world: SimulatedStore,
+  sim: Simulation,
   ledger: ClaimLedger,
   id: string,
 ): Actor {
   yield NO_FAULTS;
-  const askedAt = world.time;
-  const verdict = yield* serve(world, ledger, claimRequest(id));
-  const inTime = world.time - askedAt <= world.rules.timeoutMs;
-  if (verdict === "Claimed" && inTime) return world.deliver(id, askedAt);
-  if (verdict === "Claimed" || verdict === "Undecided") {
-    yield* serve(world, ledger, withdrawal(id));
+  const askedAt = sim.time;
+  const decision = yield* serve(sim, ledger, claimRequest(id));
+  const inTime = sim.time - askedAt <= sim.rules.timeoutMs;
+  if (decision === "Claimed" && inTime) return sim.deliver(id, askedAt);
+  if (decision === "Claimed" || decision === "Undecided") {
+    yield* serve(sim, ledger, withdrawalRequest(id));
   }
 }
 
-/** Asks two servers, the second while the first may still be at work. */
-function concurrentServers(
-  world: SimulatedStore,
+/** Sends one claim to two servers, which may work on it at the same time. */
+function concurrentClaimant(
+  sim: Simulation,
   servers: readonly ClaimLedger[],
   id: string,
 ) {
   let done = false;
-  const askedAt = world.time;
+  const askedAt = sim.time;
   return servers.map(function* (ledger): Actor {
-    const verdict = yield* serve(world, ledger, claimRequest(id));
-    if (done || verdict !== "Claimed") return;
+    const decision = yield* serve(sim, ledger, claimRequest(id));
+    if (done || decision !== "Claimed") return;
     done = true;
-    world.deliver(id, askedAt);
+    sim.deliver(id, askedAt);
   });
 }
 
-/** A request whose sender has left; nobody acts on its verdict. */
+/** A request whose sender has gone; nothing acts on its decision. */
 function* abandonedRequest(
-  world: SimulatedStore,
+  sim: Simulation,
   ledger: ClaimLedger,
   request: PartitionRequest,
 ): Actor {
-  yield* serve(world, ledger, request);
+  yield* serve(sim, ledger, request);
 }
 
-/** Claims other keys, which seals and drops segments. */
-function* filler(
-  world: SimulatedStore,
+/** Claims other keys, which causes segments to be sealed and dropped. */
+function* claimOtherKeys(
+  sim: Simulation,
   ledger: ClaimLedger,
   count: number,
 ): Actor {
   for (let index = 0; index < count; index += 1) {
-    yield* serve(world, ledger, claimRequest(`f${index}`, `filler ${index}`));
+    yield* serve(
+      sim,
+      ledger,
+      claimRequest(`f${index}`, `filler ${index}`),
+    );
   }
 }
 
-function* passTime(world: SimulatedStore, steps: readonly number[]): Actor {
+function* passTime(sim: Simulation, steps: readonly number[]): Actor {
   for (const step of steps) {
     yield NO_FAULTS;
-    world.time += step;
+    sim.time += step;
   }
 }
 
@@ -218,10 +237,10 @@
   readonly findings: readonly string[];
 }
 
-/** Replays every path with at most `faults` faulty store calls. */
+/** Replays every path that has at most `faults` faulty store calls. */
 function explore(
   rules: Rules,
-  actors: (world: SimulatedStore) => readonly Actor[],
+  actors: (sim: Simulation) => readonly Actor[],
   faults: number,
 ): Exploration {
   const findings: string[] = [];
@@ -229,10 +248,10 @@
   let paths = 0;
   while (pending.length > 0) {
     const path = pending.pop() ?? [];
-    const end = replay(rules, actors, { path, faults, pending });
+    const result = replay(rules, actors, { path, faults, pending });
     paths += 1;
-    for (const finding of end.findings) {
-      findings.push(`${finding} on path ${end.path.join(" ")}`);
+    for (const finding of result.findings) {
+      findings.push(`${finding} on path ${result.path.join(" ")}`);
     }
   }
   return { paths, findings };
@@ -240,29 +259,32 @@
 
 interface Choice {
   readonly actor: number;
-  readonly fate: Fate;
+  readonly outcome: StoreOutcome;
 }
 
 function replay(
   rules: Rules,
-  actors: (world: SimulatedStore) => readonly Actor[],
+  actors: (sim: Simulation) => readonly Actor[],
   options: {
     readonly path: readonly number[];
     readonly faults: number;
     readonly pending: number[][];
   },
 ) {
-  const world = new SimulatedStore(rules);
-  const tasks = actors(world).map((actor) => ({ actor, next: actor.next() }));
+  const sim = new Simulation(rules);
+  const tasks = actors(sim).map((actor) => ({
+    actor,
+    next: actor.next(),
+  }));
   const taken: number[] = [];
   let faults = options.faults;
   while (true) {
     const choices = tasks.flatMap(({ next }, actor): Choice[] => {
       if (next.done) return [];
-      const fates = faults > 0 ? next.value : NO_FAULTS;
-      return fates.map((fate) => ({ actor, fate }));
+      const outcomes = faults > 0 ? next.value : NO_FAULTS;
+      return outcomes.map((outcome) => ({ actor, outcome }));
     });
-    if (choices.length === 0) return { findings: world.findings, path: taken };
+    if (choices.length === 0) return { findings: sim.findings, path: taken };
     const depth = taken.length;
     const index = options.path[depth] ?? 0;
     if (depth >= options.path.length) {
@@ -272,8 +294,8 @@
     }
     const choice = choices[index] as Choice;
     const task = tasks[choice.actor] as (typeof tasks)[number];
-    if (choice.fate !== "ok") faults -= 1;
-    task.next = task.actor.next(choice.fate);
+    if (choice.outcome !== "ok") faults -= 1;
+    task.next = task.actor.next(choice.outcome);
     taken.push(index);
   }
 }
@@ -283,65 +305,65 @@
   assert.ok(found.paths > atLeast, `only ${found.paths} paths`);
 }
 
-const twoClaimants = (world: SimulatedStore) => [
-  claimant(world, new ClaimLedger(), "first"),
-  claimant(world, new ClaimLedger(), "second"),
+const twoClaimants = (sim: Simulation) => [
+  claimant(sim, new ClaimLedger(), "first"),
+  claimant(sim, new ClaimLedger(), "second"),
 ];
 
-const claimAtTwoServers = (world: SimulatedStore) => {
+const claimAtTwoServers = (sim: Simulation) => {
   const [a, b] = [new ClaimLedger(), new ClaimLedger()];
   return [
-    ...concurrentServers(world, [a, b], "first"),
-    claimant(world, new ClaimLedger(), "second"),
+    ...concurrentClaimant(sim, [a, b], "first"),
+    claimant(sim, new ClaimLedger(), "second"),
   ];
 };
 
-const withdrawnClaim = (world: SimulatedStore) => [
-  abandonedRequest(world, new ClaimLedger(), claimRequest("first")),
-  abandonedRequest(world, new ClaimLedger(), withdrawal("first")),
-  claimant(world, new ClaimLedger(), "second"),
+const withdrawnClaim = (sim: Simulation) => [
+  abandonedRequest(sim, new ClaimLedger(), claimRequest("first")),
+  abandonedRequest(sim, new ClaimLedger(), withdrawalRequest("first")),
+  claimant(sim, new ClaimLedger(), "second"),
 ];
 
-const expiringClaims = (world: SimulatedStore) => {
+const expiringClaims = (sim: Simulation) => {
   const [a, b] = [new ClaimLedger(), new ClaimLedger()];
-  const first = claimant(world, a, "first");
+  const first = claimant(sim, a, "first");
   while (!first.next("ok").done);
   return [
-    filler(world, a, 3),
-    claimant(world, b, "second"),
-    passTime(world, [WINDOW_MS, 2 * TIMEOUT_MS + 1]),
+    claimOtherKeys(sim, a, 3),
+    claimant(sim, b, "second"),
+    passTime(sim, [WINDOW_MS, 2 * TIMEOUT_MS + 1]),
   ];
 };
 
 const EXPIRING_RULES = { ...RULES, sealBytes: 1 };
 
-test("two servers, lost replies and lost requests claim a key once", () => {
+test("a key is claimed once despite two servers, lost replies and lost requests", () => {
   assertInvariant(explore(RULES, twoClaimants, 2), 1_000);
 });
 
-test("a claim asked of two servers at once, and a rival, claim a key once", () => {
+test("a key is claimed once when one of two claimants uses two servers at once", () => {
   assertInvariant(explore(RULES, claimAtTwoServers, 1), 5_000);
 });
 
-test("a claim given up while it is being made leaves the key to one rival", () => {
+test("a claim withdrawn while it is being made leaves the key to one rival", () => {
   assertInvariant(explore(RULES, withdrawnClaim, 1), 5_000);
 });
 
-test("a retry within the window never runs again, whoever seals and drops", () => {
+test("a retry within the window never runs again while segments are sealed and dropped", () => {
   assertInvariant(explore(EXPIRING_RULES, expiringClaims, 1), 10_000);
 });
 
-test("the exploration finds two runs when the store checks no version", () => {
+test("the exploration finds two runs if the store does not check versions", () => {
   const unsafe = explore({ ...RULES, conditional: false }, twoClaimants, 0);
   assert.notEqual(unsafe.findings.length, 0);
 });
 
-test("the exploration finds two runs when a late verdict is used", () => {
-  const patient = { ...EXPIRING_RULES, timeoutMs: Infinity };
-  assert.notEqual(explore(patient, expiringClaims, 0).findings.length, 0);
+test("the exploration finds two runs if a late decision is used", () => {
+  const lateDecisions = { ...EXPIRING_RULES, timeoutMs: Infinity };
+  assert.notEqual(explore(lateDecisions, expiringClaims, 0).findings.length, 0);
 });
 
-test("the exploration finds two runs when claims age out too early", () => {
-  const early = { ...EXPIRING_RULES, retentionMs: WINDOW_MS / 2 };
-  assert.notEqual(explore(early, expiringClaims, 0).findings.length, 0);
+test("the exploration finds two runs if claims expire too early", () => {
+  const earlyExpiry = { ...EXPIRING_RULES, retentionMs: WINDOW_MS / 2 };
+  assert.notEqual(explore(earlyExpiry, expiringClaims, 0).findings.length, 0);
 });
--- a/packages/coordination/tests/claims_test.ts
+++ b/packages/coordination/tests/claims_test.ts
@@ -16,13 +16,13 @@
   return call.operation === "write" && call.name === "head-0";
 }
 
-/** Fails the head's first writes, one fault each. */
+/** Fails the first writes of the head, with one fault each. */
 function faultyHead(faults: StoreFault[]) {
   return (call: StoreCall): StoreFault =>
     writesHead(call) ? faults.shift() ?? "none" : "none";
 }
 
-test("a second try through another daemon meets the first's claim", async (t) => {
+test("a retry through another daemon finds the claim of the first attempt", async (t) => {
   const fleet = new ClaimFleet(t, ["a", "b", "c"]);
   const [a, b] = [await fleet.daemon("a"), await fleet.daemon("b")];
   await fleet.daemon("c");
@@ -36,7 +36,7 @@
   assert.equal((await tryClaim(b, "other key"))._tag, "Claimed");
 });
 
-test("a second try gets the first's answer while it is kept", async (t) => {
+test("a retry gets the answer of the first attempt while it is kept", async (t) => {
   const fleet = new ClaimFleet(t, ["a", "b"]);
   const [a, b] = [await fleet.daemon("a"), await fleet.daemon("b")];
   const claim = expectClaim(await tryClaim(a, "key"));
@@ -53,7 +53,7 @@
   );
 });
 
-test("an answer too large to keep is told as answered, not given", async (t) => {
+test("an answer too large to keep is reported as answered, without its content", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a");
   const claim = expectClaim(await tryClaim(a, "key"));
@@ -67,7 +67,7 @@
   });
 });
 
-test("a claim settled as not run frees its key", async (t) => {
+test("settling a claim as not run frees its key", async (t) => {
   const fleet = new ClaimFleet(t, ["a", "b"]);
   const [a, b] = [await fleet.daemon("a"), await fleet.daemon("b")];
   const claim = expectClaim(await tryClaim(a, "key"));
@@ -76,7 +76,7 @@
   assert.equal((await tryClaim(b, "key", "other body"))._tag, "Claimed");
 });
 
-test("a claim whose holder has gone may have run", async (t) => {
+test("a claim whose holder has failed is reported as may-have-run", async (t) => {
   const fleet = new ClaimFleet(t, ["a", "b"]);
   const a = await fleet.daemon("a");
   const membership = fleet.membership("b");
@@ -90,7 +90,7 @@
   });
 });
 
-test("many claims share few writes", async (t) => {
+test("concurrent claims are batched into few writes", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a");
   const keys = Array.from({ length: 300 }, (_, index) => `key ${index}`);
@@ -100,11 +100,11 @@
   assert.ok(writes.length <= 3, `${writes.length} writes`);
 });
 
-test("a claim whose write took effect and lost its reply is made once", async (t) => {
-  // The store records the claim and its reply is lost. Taken for a failure, the
-  // caller is refused though the key is taken; taken for a stranger's claim,
-  // the first try is told that it may have run. Reading back finds the own
-  // claim id.
+test("a claim whose write took effect but lost its reply is made once", async (t) => {
+  // The store records the claim, but its reply is lost. Treated as a failure,
+  // the caller would be refused although the key is claimed; treated as
+  // another's claim, the first attempt would be reported as possibly run.
+  // Reading back finds the claim's own id.
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a");
   fleet.store.plan = faultyHead(["lose-reply", "lose-reply"]);
@@ -112,14 +112,14 @@
   assert.equal((await tryClaim(a, "key"))._tag, "Taken");
 });
 
-test("a claim whose write was lost on the way is made by the next", async (t) => {
+test("a claim whose write request was lost is made by a retry", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a");
   fleet.store.plan = faultyHead(["lose-request", "refuse"]);
   assert.equal((await tryClaim(a, "key"))._tag, "Claimed");
 });
 
-test("a daemon that reaches no server of the partition claims by itself", async (t) => {
+test("a daemon that reaches no server of the partition makes the claim itself", async (t) => {
   const fleet = new ClaimFleet(t, ["a", "b", "c"]);
   const name = fleet.serverOrder()[2] ?? "";
   const entry = await fleet.daemon(name);
@@ -128,8 +128,8 @@
 });
 
 test("a claim is not lost with the server's answer", async (t) => {
-  // The server makes the claim and its answer is lost. The claimant asks the
-  // store itself after a bounded wait, finds its own id and may send.
+  // The server makes the claim, but its answer is lost. After a bounded wait
+  // the claimant reads the store itself, finds its own id and may send.
   const fleet = new ClaimFleet(t, ["a", "b"]);
   const [server = "", entry = ""] = fleet.serverOrder();
   await fleet.daemon(server);
@@ -141,8 +141,9 @@
 });
 
 test("two servers of one partition give a key to one claimant", async (t) => {
-  // The members' views differ: each of two daemons believes to serve the
-  // partition alone. Both judge the key free and write at the same time.
+  // The membership views differ, so each of two daemons considers itself the
+  // only server of the partition. Both find the key free and write at the same
+  // time.
   const fleet = new ClaimFleet(t, ["a", "b"]);
   const alone = (name: string) =>
     fleet.daemon(name, { membership: new FakeMembership(memberNamed(name)) });
@@ -155,10 +156,11 @@
   }
 });
 
-test("a paused server's late write does not claim", async (t) => {
-  // A judges the key free and is paused before its write reaches the store. B
-  // claims the key meanwhile. A's write, sent when it wakes, meets the newer
-  // head; without the condition it would take B's claim out and run again.
+test("a late write of a paused server does not claim the key", async (t) => {
+  // A finds the key free and is paused before its write reaches the store.
+  // Meanwhile B claims the key. When A resumes, its write conflicts with the
+  // newer head. An unconditional write would remove B's claim, and the request
+  // would run twice.
   const fleet = new ClaimFleet(t, ["a", "b"]);
   const paused = Deferred.makeUnsafe<void>();
   const woken = Deferred.makeUnsafe<StoreFault>();
@@ -179,7 +181,7 @@
   assert.equal((await late)._tag, "Taken");
 });
 
-test("a store that is down refuses within the bound, and the key stays free", async (t) => {
+test("a claim is refused in time when the store is down, and its key stays free", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a", { settings: { timeoutMs: 200 } });
   assert.equal((await tryClaim(a, "warm"))._tag, "Claimed");
@@ -192,8 +194,8 @@
 });
 
 test("claims refused before any write leave nothing to take back", async (t) => {
-  // During an outage each refused claim would otherwise wait to be withdrawn,
-  // and the answers of requests that did run would find no room to be kept.
+  // Otherwise each claim refused during an outage would queue a withdrawal, and
+  // there would be no room to keep the answers of requests that did run.
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a", { settings: { timeoutMs: 200 } });
   assert.equal((await tryClaim(a, "warm"))._tag, "Claimed");
@@ -205,8 +207,7 @@
 
 test("a claim given up while the store went down is taken back later", async (t) => {
   // The write takes effect, its reply is lost, and the store goes down before
-  // it can be read back. The caller is told "not run", and its next try must
-  // run.
+  // it can be read back. The caller receives "not run", so its retry must run.
   const fleet = new ClaimFleet(t, ["a"]);
   const a = await fleet.daemon("a", { settings: { timeoutMs: 200 } });
   let down = false;
@@ -221,9 +222,9 @@
   assert.equal((await tryClaim(a, "key"))._tag, "Claimed");
 });
 
-test("a verdict that comes after a pause is not used", async (t) => {
-  // The claimant is paused between its claim's write and the verdict, for
-  // longer than its bound. Its caller has left and may have tried again
+test("a decision that arrives after a pause is not used", async (t) => {
+  // The claimant is paused between the write of its claim and the decision, for
+  // longer than its time-out. Its caller has gone and may have retried
   // elsewhere.
   const fleet = new ClaimFleet(t, ["a"]);
   const clock = new FakeClock();
@@ -239,7 +240,7 @@
   assert.equal((await tryClaim(a, "key"))._tag, "ClaimUnavailable");
 });
 
-test("a claim can't be used after a pause before the send", async (t) => {
+test("a claim can't be used after a pause between claim and send", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
   const clock = new FakeClock();
   const a = await fleet.daemon("a", { clock });
@@ -249,7 +250,7 @@
   assert.equal(claim.mayStart(), false);
 });
 
-test("a process that can't read the claims in the store claims nothing", async (t) => {
+test("a process that can't decode the claims in the store makes no claims", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
   const broken = { segments: [], records: [["key"]] };
   await Effect.runPromise(
@@ -263,7 +264,7 @@
   assert.match(JSON.stringify(outcome), /record 0 is not valid/);
 });
 
-test("the layout of the first process holds for later ones", async (t) => {
+test("later processes use the partition layout of the first one", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
   await tryClaim(await fleet.daemon("a"), "key");
   const later = await fleet.daemon("a", { settings: { partitions: 64 } });
