--- a/packages/coordination/src/process/clock.ts
+++ b/packages/coordination/src/process/clock.ts
@@ -1,19 +1,19 @@
 /**
- * Time, so that tests can set it.
+ * Clocks, as an interface that tests can control.
  *
  * @module
  */
 
-/** Two clocks: one that others share, one that never goes back. */
+/** A wall clock and a monotonic clock. */
 export interface Clock {
-  /** Milliseconds since the epoch; may jump. */
+  /** Wall-clock time in milliseconds since the epoch; may jump. */
   now(): number;
-  /** Milliseconds since some moment of this process; never goes back. */
+  /** Milliseconds since an arbitrary time in this process; never decreases. */
   monotonic(): number;
 }
 
 /**
- * The machine's clocks.
+ * The clocks of the machine.
  *
  * @example
  * ```ts
@@ -26,26 +26,26 @@
   monotonic: () => performance.now(),
 };
 
-/** A moment by both clocks. */
+/** A time on both clocks. */
 export interface Timestamp {
   readonly monotonic: number;
   readonly wall: number;
 }
 
-/** The present moment. */
+/** Returns the current time on both clocks. */
 export function timestampOf(clock: Clock): Timestamp {
   return { monotonic: clock.monotonic(), wall: clock.now() };
 }
 
 /**
- * Milliseconds since a moment, by the clock that shows more. The clock that
- * never goes back stands still while a whole machine is suspended, and whoever
- * acts under a lease would not notice; the shown one is set right after that. A
- * shown time that jumps ahead by mistake only makes the caller too careful.
+ * Returns the milliseconds since a timestamp, on the clock that shows more. The
+ * monotonic clock stands still while a whole machine is suspended, which the
+ * holder of a lease would not notice; the wall clock is set right after that. A
+ * wall clock that jumps ahead by mistake only makes the caller too careful.
  */
-export function elapsedSince(moment: Timestamp, clock: Clock): number {
+export function elapsedSince(timestamp: Timestamp, clock: Clock): number {
   return Math.max(
-    clock.monotonic() - moment.monotonic,
-    clock.now() - moment.wall,
+    clock.monotonic() - timestamp.monotonic,
+    clock.now() - timestamp.wall,
   );
 }
--- a/packages/coordination/src/process/codec.ts
+++ b/packages/coordination/src/process/codec.ts
@@ -1,5 +1,5 @@
 /**
- * CBOR for links and probes.
+ * CBOR encoding of messages on links and probes.
  *
  * @module
  */
@@ -8,13 +8,14 @@
 import { err, ok } from "neverthrow";
 import type { Result } from "neverthrow";
 
-/** Bytes are not one CBOR item. */
+/** The bytes are not one CBOR item. */
 export interface Malformed {
   readonly _tag: "Malformed";
   readonly reason: string;
 }
 
-// Plain CBOR maps: with records, a decoder would keep structures between items.
+// Plain CBOR maps, because with records a decoder would keep structures between
+// items.
 const OPTIONS = {
   useRecords: false,
   mapsAsObjects: true,
@@ -25,7 +26,7 @@
 const encoder = new Encoder(OPTIONS);
 const decoder = new Decoder(OPTIONS);
 
-/** Encodes one value as one CBOR item. The bytes belong to the caller. */
+/** Encodes one value as one CBOR item. The caller owns the returned bytes. */
 export function encodeItem(value: unknown): Buffer {
   return encoder.encode(value);
 }
--- a/packages/coordination/src/process/composite_digest.ts
+++ b/packages/coordination/src/process/composite_digest.ts
@@ -1,20 +1,20 @@
 /**
- * Several digests that ride on heartbeats together.
+ * Combines several digests into one that is piggybacked on heartbeats.
  *
  * @module
  */
 import type { Digest } from "./digest.ts";
 
 /**
- * A {@linkcode Digest} of named parts. Parts are added when they exist, which is
- * after the node that carries them has started.
+ * A {@linkcode Digest} of named parts. Parts are added once they exist, which
+ * is after the node that sends them has started.
  *
  * @example
  * ```ts
- * const board = new DigestBoard();
- * const node = yield* startNode({ ...options, digest: board });
+ * const digest = new CompositeDigest();
+ * const node = yield* startNode({ ...options, digest });
  * const table = new PublishedValue({ ...parts, peers: node.peers });
- * board.add("table", table.digest);
+ * digest.add("table", table.digest);
  * ```
  */
 export class CompositeDigest implements Digest {
@@ -29,12 +29,12 @@
   }
 
   read(): unknown {
-    const read: Record<string, unknown> = {};
-    for (const [name, part] of this.#parts) read[name] = part.read();
-    return read;
+    const values: Record<string, unknown> = {};
+    for (const [name, part] of this.#parts) values[name] = part.read();
+    return values;
   }
 
-  /** Parts that this process does not have are left out. */
+  /** Ignores parts that this process does not have. */
   receive(from: string, digest: unknown): void {
     if (typeof digest !== "object" || digest === null) return;
     for (const [name, part] of this.#parts) {
--- a/packages/coordination/src/process/composite_digest_test.ts
+++ b/packages/coordination/src/process/composite_digest_test.ts
@@ -11,7 +11,7 @@
   };
 }
 
-test("each part gets what the same part of another member reads", () => {
+test("each part receives the value of the same part at another member", () => {
   const [sender, receiver] = [new CompositeDigest(), new CompositeDigest()];
   sender.add("table", part(7));
   sender.add("unknown here", part(1));
@@ -22,12 +22,12 @@
   assert.deepEqual(table.received, [["a", 7]]);
 });
 
-test("a digest that is no board is left alone", () => {
-  const board = new CompositeDigest();
+test("a digest without named parts is ignored", () => {
+  const composite = new CompositeDigest();
   const table = part(3);
-  board.add("table", table);
+  composite.add("table", table);
   for (const digest of [null, undefined, 4, "text", []]) {
-    board.receive("a", digest);
+    composite.receive("a", digest);
   }
   assert.deepEqual(table.received, []);
 });
--- a/packages/coordination/src/process/crash_points.ts
+++ b/packages/coordination/src/process/crash_points.ts
@@ -1,11 +1,11 @@
 /**
- * Named places between two steps at which a test can stop a process.
+ * Named points between two steps at which a test can stop a process.
  *
  * @module
  */
 import * as Effect from "effect/Effect";
 
-/** A place between two steps of the claim protocol, the lease or a send. */
+/** A point between two steps of the claim protocol, the lease or a send. */
 export type CrashPoint =
   | "claim.before_ask"
   | "claim.after_ask"
@@ -24,14 +24,14 @@
   | "release.before"
   | "release.after";
 
-/** Told of each crash point that is passed. */
+/** Receives each crash point that the code reaches. */
 export interface CrashPoints {
   /**
-   * Runs at the point. An effect that never ends stands for a pause, one that
-   * dies for a crash of the task; the default does nothing.
+   * Runs at the point. An effect that never completes simulates a pause, and
+   * one that dies a crash of the task; the default does nothing.
    */
   reached(point: CrashPoint): Effect.Effect<void>;
 }
 
-/** Passes every point. */
+/** Crash points that do nothing. */
 export const NO_CRASH_POINTS: CrashPoints = { reached: () => Effect.void };
--- a/packages/coordination/src/process/digest.ts
+++ b/packages/coordination/src/process/digest.ts
@@ -1,19 +1,19 @@
 /**
- * A small record that rides on heartbeats and probes.
+ * A small record that is piggybacked on heartbeats and probes.
  *
  * @module
  */
 
-/** What is known of the state of this process and of others. */
+/** Exchanges the state of this process with that of other members. */
 export interface Digest {
   /**
-   * A small CBOR value, such as the version of a table. One over 128 bytes rides
-   * on links only, since a probe must fit one datagram.
+   * Returns a small CBOR value, such as the version of a table. A value over
+   * 128 bytes is sent on links only, since a probe must fit one datagram.
    */
   read(): unknown;
-  /** Takes in the digest of another member; must not throw. */
+  /** Handles the digest of another member; must not throw. */
   receive(from: string, digest: unknown): void;
 }
 
-/** A digest that says nothing. */
+/** A digest without content. */
 export const NO_DIGEST: Digest = { read: () => null, receive: () => {} };
--- a/packages/coordination/src/process/http_client.ts
+++ b/packages/coordination/src/process/http_client.ts
@@ -1,5 +1,5 @@
 /**
- * One HTTP request and its answer, on kept connections.
+ * Sends HTTP requests to the store over persistent connections.
  *
  * @module
  */
@@ -11,10 +11,10 @@
 const MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 const MS_PER_SECOND = 1_000;
 
-/** An answer of the store, whole. */
+/** A complete response of the store. */
 export interface StoreResponse {
   readonly status: number;
-  /** Decoded JSON; absent when there was none. */
+  /** Decoded JSON; absent if there was none. */
   readonly body?: unknown;
   readonly retryAfterMs?: number;
 }
@@ -52,7 +52,7 @@
     options: { readonly timeoutMs: number },
   ): Effect.Effect<StoreResponse, Unavailable> {
     return Effect.callback<StoreResponse, Unavailable>((resume) => {
-      const exchange = new RequestTracker(message.method !== "GET");
+      const tracker = new RequestTracker(message.method !== "GET");
       const finish = (result: Effect.Effect<StoreResponse, Unavailable>) => {
         clearTimeout(timer);
         resume(result);
@@ -66,20 +66,20 @@
         headers: headersOf(message),
       });
       const timer = setTimeout(() => {
-        finish(Effect.fail(exchange.failure("No answer in time")));
+        finish(Effect.fail(tracker.failure("No answer in time")));
         outgoing.destroy();
         this.closeIdleConnections();
       }, options.timeoutMs);
-      exchange.track(outgoing);
+      tracker.track(outgoing);
       outgoing.on("error", (error) => {
-        finish(Effect.fail(exchange.failure(error.message)));
+        finish(Effect.fail(tracker.failure(error.message)));
       });
       outgoing.on("response", (incoming) => {
-        readResponse(incoming, (reply) => {
+        readResponse(incoming, (response) => {
           finish(
-            typeof reply === "string"
-              ? Effect.fail(exchange.failure(reply))
-              : Effect.succeed(reply),
+            typeof response === "string"
+              ? Effect.fail(tracker.failure(response))
+              : Effect.succeed(response),
           );
         });
       });
@@ -92,8 +92,8 @@
   }
 
   /**
-   * Closes idle connections. They share the path of one that went silent, and
-   * each would cost the next request its whole time.
+   * Closes idle connections. They share the network path of a connection that
+   * stopped responding, and each of them would make the next request time out.
    */
   closeIdleConnections(): void {
     for (const sockets of Object.values(this.#agent.freeSockets)) {
@@ -102,7 +102,7 @@
   }
 }
 
-/** Knows whether any byte of a request can have left this process. */
+/** Tracks whether any byte of a request may have left this process. */
 class RequestTracker {
   readonly #isWrite: boolean;
   #connected = false;
@@ -127,8 +127,9 @@
     return {
       _tag: "Unavailable",
       reason,
-      // Before the connection stands nothing can have reached the store. After
-      // that nothing is known, so a write must be read back by its caller.
+      // Nothing can have reached the store before the connection is
+      // established. After that the result is unknown, so the caller must read
+      // a write back.
       mayHaveWritten: this.#isWrite && this.#connected,
     };
   }
@@ -145,24 +146,24 @@
 
 function readResponse(
   incoming: IncomingMessage,
-  done: (reply: StoreResponse | string) => void,
+  done: (response: StoreResponse | string) => void,
 ): void {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let size = 0;
-  incoming.on("data", (part: Buffer) => {
-    size += part.length;
+  incoming.on("data", (chunk: Buffer) => {
+    size += chunk.length;
     if (size > MAX_RESPONSE_BYTES) {
       incoming.destroy();
-      done("The answer is too large");
+      done("The response is too large");
       return;
     }
-    parts.push(part);
+    chunks.push(chunk);
   });
   incoming.on("error", (error) => done(error.message));
-  incoming.on("aborted", () => done("The answer broke off"));
+  incoming.on("aborted", () => done("The response was cut off"));
   incoming.on("end", () => {
     if (incoming.complete) {
-      done(toStoreResponse(incoming, Buffer.concat(parts)));
+      done(toStoreResponse(incoming, Buffer.concat(chunks)));
     }
   });
 }
@@ -175,7 +176,7 @@
   const status = incoming.statusCode ?? 0;
   const body = bytes.length === 0 ? undefined : parse(bytes);
   if (body instanceof SyntaxError && status === 200) {
-    return "The answer is not JSON";
+    return "The response is not JSON";
   }
   return {
     status,
--- a/packages/coordination/src/process/http_response.ts
+++ b/packages/coordination/src/process/http_response.ts
@@ -1,5 +1,5 @@
 /**
- * What an answer of the platform's object store means.
+ * Interprets responses of the platform's object store.
  *
  * @module
  */
@@ -7,46 +7,49 @@
 import type { StoreResponse } from "./http_client.ts";
 import type { Conflict, Unavailable } from "./store.ts";
 
-/** The decoded body of a read, list or watch. */
+/** Returns the decoded body of a read, list or watch. */
 export function responseBody<T>(
-  reply: StoreResponse,
+  response: StoreResponse,
 ): Effect.Effect<T, Unavailable> {
-  if (reply.status === 200 && reply.body !== undefined) {
-    return Effect.succeed(reply.body as T);
+  if (response.status === 200 && response.body !== undefined) {
+    return Effect.succeed(response.body as T);
   }
-  return unavailable(reply, { mayHaveWritten: false });
+  return unavailable(response, { mayHaveWritten: false });
 }
 
-/** The new version after a write. */
+/** Returns the new version after a write. */
 export function writtenVersion(
-  reply: StoreResponse,
+  response: StoreResponse,
 ): Effect.Effect<number, Conflict | Unavailable> {
-  const version = versionIn(reply);
-  if (reply.status === 200 && version !== undefined) {
+  const version = versionIn(response);
+  if (response.status === 200 && version !== undefined) {
     return Effect.succeed(version);
   }
-  return writeFailure(reply);
+  return writeFailure(response);
 }
 
-/** Succeeds after a removal; one that is gone already conflicts as version 0. */
+/**
+ * Succeeds after a removal; an object that no longer exists is a conflict with
+ * version 0.
+ */
 export function removalResult(
-  reply: StoreResponse,
+  response: StoreResponse,
 ): Effect.Effect<void, Conflict | Unavailable> {
-  if (reply.status === 200) return Effect.void;
-  if (reply.status === 404) return conflict(0);
-  return writeFailure(reply);
+  if (response.status === 200) return Effect.void;
+  if (response.status === 404) return conflict(0);
+  return writeFailure(response);
 }
 
 function writeFailure(
-  reply: StoreResponse,
+  response: StoreResponse,
 ): Effect.Effect<never, Conflict | Unavailable> {
-  const version = versionIn(reply);
-  if (reply.status === 409 && version !== undefined) return conflict(version);
-  // 4xx and 503 are the store's own refusals. Any other answer may come from
-  // something between the two ends, after the store did the write.
-  const refused = reply.status >= 400 && reply.status < 500 ||
-    reply.status === 503;
-  return unavailable(reply, { mayHaveWritten: !refused });
+  const stored = versionIn(response);
+  if (response.status === 409 && stored !== undefined) return conflict(stored);
+  // 4xx and 503 are refusals by the store itself. Any other response may come
+  // from an intermediary, after the store has applied the write.
+  const refused = response.status >= 400 && response.status < 500 ||
+    response.status === 503;
+  return unavailable(response, { mayHaveWritten: !refused });
 }
 
 function conflict(version: number): Effect.Effect<never, Conflict> {
@@ -54,10 +57,10 @@
 }
 
 function unavailable(
-  reply: StoreResponse,
+  response: StoreResponse,
   options: { readonly mayHaveWritten: boolean },
 ): Effect.Effect<never, Unavailable> {
-  const { status, retryAfterMs } = reply;
+  const { status, retryAfterMs } = response;
   return Effect.fail({
     _tag: "Unavailable",
     reason: `The store answered with status ${status}`,
@@ -66,7 +69,7 @@
   });
 }
 
-function versionIn(reply: StoreResponse): number | undefined {
-  const version = (reply.body as { version?: unknown } | undefined)?.version;
+function versionIn(response: StoreResponse): number | undefined {
+  const version = (response.body as { version?: unknown } | undefined)?.version;
   return typeof version === "number" ? version : undefined;
 }
--- a/packages/coordination/src/process/http_store.ts
+++ b/packages/coordination/src/process/http_store.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's object store over HTTP.
+ * HTTP client of the platform's object store.
  *
  * @module
  */
@@ -29,16 +29,21 @@
 
 const DEFAULT_TIMEOUT_MS = 2_000;
 const DEFAULT_MAX_CONCURRENT = 32;
-/** How much longer than its own wait a long poll may take. */
+/** Time that a long poll may take beyond its own wait. */
 const WATCH_MARGIN_MS = 2_000;
 
 /** Settings of an {@linkcode HttpStore}. */
 export interface HttpStoreOptions {
   /** Address of the store, such as `http://10.0.0.1:7000`. */
   readonly url: string;
-  /** Longest time of one call, in milliseconds, waiting for its turn included; 2,000 by default. */
+  /**
+   * Time-out of one call in milliseconds, including the wait for a free
+   * connection; 2,000 by default.
+   */
   readonly timeoutMs?: number;
-  /** Calls under way at once, watches apart; 32 by default. */
+  /**
+   * Maximum number of concurrent calls, not counting watches; 32 by default.
+   */
   readonly maxConcurrent?: number;
   readonly clock?: Clock;
 }
@@ -50,22 +55,22 @@
   /** Bytes of the values written. */
   readonly writtenBytes: number;
   readonly watches: number;
-  /** Conditional writes that met another version. */
+  /** Conditional writes that found a different version. */
   readonly conflicts: number;
-  /** Calls that ended without an answer that could be used. */
+  /** Calls that ended without a usable response. */
   readonly failures: number;
-  /** Calls not made because the store had asked to wait. */
+  /** Calls that were not made because the store had asked to wait. */
   readonly held: number;
 }
 
 type CountersDraft = { -readonly [K in keyof StoreCounters]: number };
 
 /**
- * {@linkcode Store} over Node's HTTP client, with kept connections.
+ * {@linkcode Store} over Node's HTTP client, with persistent connections.
  *
- * A call that is not answered in time fails and its connection is closed, along
- * with the idle ones: a path that has lost track of one connection has often
- * lost the others, and a new one works.
+ * A call that times out fails, and its connection is closed together with the
+ * idle ones: a network path that has lost the state of one connection has often
+ * lost that of the others, and a new connection works.
  *
  * @example
  * ```ts
@@ -106,7 +111,7 @@
     return { ...this.#counters };
   }
 
-  /** Closes all connections; calls under way fail. */
+  /** Closes all connections; calls in progress fail. */
   close(): void {
     this.#calls.close();
     this.#watches.close();
@@ -117,9 +122,9 @@
     name: string,
   ): Effect.Effect<StoredObject | undefined, Unavailable> {
     const call = this.#read(pathOf(kind, name));
-    return Effect.flatMap(call, (reply) => {
-      if (reply.status === 404) return Effect.succeed(undefined);
-      return this.#countFailures(responseBody<StoredObject>(reply));
+    return Effect.flatMap(call, (response) => {
+      if (response.status === 404) return Effect.succeed(undefined);
+      return this.#countFailures(responseBody<StoredObject>(response));
     });
   }
 
@@ -133,7 +138,7 @@
     });
     return Effect.flatMap(
       call,
-      (reply) => this.#countFailures(writtenVersion(reply)),
+      (response) => this.#countFailures(writtenVersion(response)),
     );
   }
 
@@ -145,17 +150,17 @@
     const call = this.#write("DELETE", path, options);
     return Effect.flatMap(
       call,
-      (reply) => this.#countFailures(removalResult(reply)),
+      (response) => this.#countFailures(removalResult(response)),
     );
   }
 
   list(kind: string): Effect.Effect<StoreListing, Unavailable> {
     return Effect.flatMap(
       this.#read(pathOf(kind)),
-      (reply) =>
+      (response) =>
         Effect.map(
           this.#countFailures(
-            responseBody<StoreListing>(reply),
+            responseBody<StoreListing>(response),
           ),
           (body) => ({
             revision: body.revision,
@@ -178,17 +183,17 @@
         timeoutMs: options.waitMs + WATCH_MARGIN_MS,
       });
     }).pipe(
-      // What silenced the watch has silenced the idle connections of the calls
-      // as well, and the list that follows would wait for one of them in vain.
+      // A fault that silences the watch also silences the idle connections of
+      // the calls, and the list that follows would time out on one of them.
       Effect.tapError(() =>
         Effect.sync(() => this.#calls.closeIdleConnections())
       ),
     );
     return Effect.flatMap(
       this.#sendUnlessHeld(this.#readGate, call),
-      (reply) =>
+      (response) =>
         this.#countFailures(
-          responseBody<StoreChanges>(reply),
+          responseBody<StoreChanges>(response),
         ),
     );
   }
@@ -221,11 +226,11 @@
   }
 
   #sendUnlessHeld(
-    hold: RetryAfterGate,
+    gate: RetryAfterGate,
     call: Effect.Effect<StoreResponse, Unavailable>,
   ): Effect.Effect<StoreResponse, Unavailable> {
     return Effect.suspend(() => {
-      const remainingMs = hold.remainingMs();
+      const remainingMs = gate.remainingMs();
       if (remainingMs > 0) {
         this.#counters.held += 1;
         return Effect.fail<Unavailable>({
@@ -236,12 +241,14 @@
         });
       }
       return this.#countFailures(call).pipe(
-        Effect.tap((reply) => Effect.sync(() => hold.recordResponse(reply))),
+        Effect.tap((response) =>
+          Effect.sync(() => gate.recordResponse(response))
+        ),
       );
     });
   }
 
-  /** Counts how a call failed. */
+  /** Counts conflicts and failures of calls. */
   #countFailures<A, E extends Conflict | Unavailable>(
     call: Effect.Effect<A, E>,
   ): Effect.Effect<A, E> {
--- a/packages/coordination/src/process/http_store_test.ts
+++ b/packages/coordination/src/process/http_store_test.ts
@@ -12,7 +12,7 @@
 
 type Handler = (incoming: IncomingMessage, outgoing: ServerResponse) => void;
 
-async function storeBehind(
+async function startStore(
   t: TestContext,
   handler: Handler,
   options: Partial<HttpStoreOptions> = {},
@@ -32,7 +32,7 @@
   return { store, server };
 }
 
-function answer(outgoing: ServerResponse, status: number, body: unknown) {
+function respond(outgoing: ServerResponse, status: number, body: unknown) {
   outgoing.writeHead(status, { "content-type": "application/json" });
   outgoing.end(JSON.stringify(body));
 }
@@ -43,11 +43,11 @@
   ));
 }
 
-test("a conditional write carries its version and returns the new one", async (t) => {
+test("a conditional write sends its version and returns the new one", async (t) => {
   const seen: (string | string[] | undefined)[] = [];
-  const { store } = await storeBehind(t, (incoming, outgoing) => {
+  const { store } = await startStore(t, (incoming, outgoing) => {
     seen.push(incoming.url, incoming.headers["if-version"]);
-    answer(outgoing, 200, { version: 9 });
+    respond(outgoing, 200, { version: 9 });
   });
   const version = await Effect.runPromise(
     store.write({ kind: "k", name: "a/b", value: {} }, { ifVersion: 3 }),
@@ -57,24 +57,24 @@
 });
 
 test("an absent object reads as undefined", async (t) => {
-  const { store } = await storeBehind(
+  const { store } = await startStore(
     t,
-    (_, outgoing) => answer(outgoing, 404, {}),
+    (_, outgoing) => respond(outgoing, 404, {}),
   );
   assert.equal(await Effect.runPromise(store.read("k", "n")), undefined);
 });
 
-test("a conflict tells the version in the store", async (t) => {
-  const { store } = await storeBehind(
+test("a conflict reports the version in the store", async (t) => {
+  const { store } = await startStore(
     t,
-    (_, outgoing) => answer(outgoing, 409, { version: 5 }),
+    (_, outgoing) => respond(outgoing, 409, { version: 5 }),
   );
   assert.deepEqual(await write(store), { _tag: "Conflict", version: 5 });
   assert.equal(store.counters.conflicts, 1);
 });
 
 test("a write to a store that does not listen cannot have taken effect", async (t) => {
-  const { store, server } = await storeBehind(t, () => {});
+  const { store, server } = await startStore(t, () => {});
   await new Promise((done) => server.close(done));
   const failure = await write(store) as Unavailable;
   assert.equal(failure._tag, "Unavailable");
@@ -82,10 +82,10 @@
 });
 
 test("a write whose connection breaks before the reply may have taken effect", async (t) => {
-  // The store applies the write and its connection breaks before the reply. The
-  // writer must not take this for a failed write: it would tell its caller that
-  // nothing happened.
-  const { store } = await storeBehind(
+  // The store applies a write, and its connection breaks before the response
+  // arrives. If the writer treated this as a failed write, it would tell its
+  // caller that nothing was written.
+  const { store } = await startStore(
     t,
     (incoming) => incoming.socket.destroy(),
   );
@@ -93,11 +93,11 @@
   assert.equal(failure.mayHaveWritten, true);
 });
 
-test("a refusal by the store did not write, and an error between may have", async (t) => {
+test("a refusal by the store has not written, and an intermediary's error may have", async (t) => {
   let status = 429;
-  const { store } = await storeBehind(
+  const { store } = await startStore(
     t,
-    (_, outgoing) => answer(outgoing, status, {}),
+    (_, outgoing) => respond(outgoing, status, {}),
   );
   const outcomes: boolean[] = [];
   for (status of [413, 429, 503, 502, 500]) {
@@ -106,16 +106,17 @@
   assert.deepEqual(outcomes, [false, false, false, true, true]);
 });
 
-test("a store that asks to wait is left alone until then", async (t) => {
-  // The store refuses for exceeding its rate. Callers that ask again at once
-  // would keep it over its rate for good, so calls fail here without being made.
+test("no call is made before the retry-after time of the store", async (t) => {
+  // The store refuses calls because its rate limit is exceeded. Callers that
+  // retry immediately would keep it above the limit, so calls fail locally
+  // until the retry-after time.
   let now = 0;
   let calls = 0;
   const clock = { now: () => now, monotonic: () => now };
-  const { store } = await storeBehind(t, (_, outgoing) => {
+  const { store } = await startStore(t, (_, outgoing) => {
     calls += 1;
     outgoing.setHeader("retry-after", "2");
-    answer(outgoing, 429, {});
+    respond(outgoing, 429, {});
   }, { clock });
   assert.equal((await write(store) as Unavailable).retryAfterMs, 2_000);
   assert.equal((await write(store) as Unavailable).retryAfterMs, 2_000);
@@ -126,15 +127,15 @@
   assert.equal(calls, 2);
 });
 
-test("a silent connection is given up and a new one is used", async (t) => {
-  // Something between the two ends loses track of an open connection: requests
-  // on it vanish. Nothing tells the caller, so only the time bound ends the
-  // call, and the connection must not be used again.
+test("an unresponsive connection is closed and a new one is used", async (t) => {
+  // An intermediary loses the state of an open connection, and requests on it
+  // get no response. Only the time-out ends such a call, and the connection
+  // must not be used again.
   const silent = new Set<unknown>();
-  const { store } = await storeBehind(t, (incoming, outgoing) => {
+  const { store } = await startStore(t, (incoming, outgoing) => {
     if (silent.size === 0) silent.add(incoming.socket);
     if (silent.has(incoming.socket)) return;
-    answer(outgoing, 200, { kind: "k", name: "n", version: 1, value: "new" });
+    respond(outgoing, 200, { kind: "k", name: "n", version: 1, value: "new" });
   }, { timeoutMs: 200 });
   const failure = await Effect.runPromise(Effect.flip(store.read("k", "n")));
   assert.equal(failure.mayHaveWritten, false);
@@ -142,34 +143,34 @@
   assert.equal(found?.value, "new");
 });
 
-test("calls beyond the bound wait for their turn", async (t) => {
-  let underWay = 0;
-  let most = 0;
+test("calls beyond the concurrency limit are queued", async (t) => {
+  let inFlight = 0;
+  let maxInFlight = 0;
   const pending: ServerResponse[] = [];
-  const { store } = await storeBehind(t, (_, outgoing) => {
-    underWay += 1;
-    most = Math.max(most, underWay);
+  const { store } = await startStore(t, (_, outgoing) => {
+    inFlight += 1;
+    maxInFlight = Math.max(maxInFlight, inFlight);
     pending.push(outgoing);
     if (pending.length === 2) {
-      for (const held of pending.splice(0)) {
-        underWay -= 1;
-        answer(held, 404, {});
+      for (const response of pending.splice(0)) {
+        inFlight -= 1;
+        respond(response, 404, {});
       }
     }
   }, { maxConcurrent: 2, timeoutMs: 60_000 });
   const reads = Array.from({ length: 6 }, () => store.read("k", "n"));
   await Effect.runPromise(Effect.all(reads, { concurrency: "unbounded" }));
-  assert.equal(most, 2);
+  assert.equal(maxInFlight, 2);
 });
 
-test("a list names the kind of each object, and a watch where it goes on", async (t) => {
+test("a list includes the kind of each object, and a watch its next revision", async (t) => {
   const item = { name: "n", version: 4, value: 1 };
   const event = { type: "put", ...item };
   const urls: (string | undefined)[] = [];
-  const { store } = await storeBehind(t, (incoming, outgoing) => {
+  const { store } = await startStore(t, (incoming, outgoing) => {
     urls.push(incoming.url);
     const events = incoming.url?.startsWith("/watch");
-    answer(
+    respond(
       outgoing,
       200,
       events
@@ -188,18 +189,18 @@
   assert.deepEqual(urls, ["/objects/k", "/watch/k?from=3&wait=50"]);
 });
 
-test("a call whose caller leaves closes its connection", async (t) => {
+test("an interrupted call closes its connection", async (t) => {
   const closed = Deferred.makeUnsafe<void>();
-  const asked = Deferred.makeUnsafe<void>();
-  const { store } = await storeBehind(t, (incoming) => {
+  const received = Deferred.makeUnsafe<void>();
+  const { store } = await startStore(t, (incoming) => {
     incoming.socket.once(
       "close",
       () => Deferred.doneUnsafe(closed, Effect.void),
     );
-    Deferred.doneUnsafe(asked, Effect.void);
+    Deferred.doneUnsafe(received, Effect.void);
   }, { timeoutMs: 60_000 });
   const fiber = Effect.runFork(store.read("k", "n"));
-  await Effect.runPromise(Deferred.await(asked));
+  await Effect.runPromise(Deferred.await(received));
   fiber.interruptUnsafe();
   await Effect.runPromise(Deferred.await(closed));
 });
--- a/packages/coordination/src/process/result.ts
+++ b/packages/coordination/src/process/result.ts
@@ -1,5 +1,5 @@
 /**
- * The one adapter from neverthrow's results to effects.
+ * Converts neverthrow results to effects.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { Result } from "neverthrow";
 
 /**
- * Turns a result into an effect that succeeds or fails alike.
+ * Converts a result to an effect that succeeds or fails with the same value.
  *
  * @example
  * ```ts
--- a/packages/coordination/src/process/retry_after_gate.ts
+++ b/packages/coordination/src/process/retry_after_gate.ts
@@ -1,34 +1,37 @@
 /**
- * Remembers how long the store asked to be left alone.
+ * Blocks calls to the store for as long as its `retry-after` header demands.
  *
  * @module
  */
 import type { Clock } from "./clock.ts";
 
-/** Bounds what a store may ask for, so that a wrong header cannot stop us for good. */
+/** Limits the wait, so that a wrong header cannot block calls indefinitely. */
 const MAX_WAIT_MS = 10_000;
 
-/** Time until which no call of a kind may be made. */
+/** Blocks calls of one kind until the time that the store demanded. */
 export class RetryAfterGate {
   readonly #clock: Clock;
-  #until = 0;
+  #blockedUntil = 0;
 
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
-  /** Milliseconds left to wait; 0 when calls may be made. */
+  /** Returns the remaining wait in milliseconds; 0 if calls may be made. */
   remainingMs(): number {
-    return Math.max(0, this.#until - this.#clock.monotonic());
+    return Math.max(0, this.#blockedUntil - this.#clock.monotonic());
   }
 
-  /** Takes note of the `retry-after` of a refusal. */
+  /** Records the `retry-after` header of a refusal. */
   recordResponse(
-    reply: { readonly status: number; readonly retryAfterMs?: number },
+    response: { readonly status: number; readonly retryAfterMs?: number },
   ): void {
-    if (reply.status !== 429 && reply.status !== 503) return;
-    if (reply.retryAfterMs === undefined) return;
-    const holdMs = Math.min(reply.retryAfterMs, MAX_WAIT_MS);
-    this.#until = Math.max(this.#until, this.#clock.monotonic() + holdMs);
+    if (response.status !== 429 && response.status !== 503) return;
+    if (response.retryAfterMs === undefined) return;
+    const waitMs = Math.min(response.retryAfterMs, MAX_WAIT_MS);
+    this.#blockedUntil = Math.max(
+      this.#blockedUntil,
+      this.#clock.monotonic() + waitMs,
+    );
   }
 }
--- a/packages/coordination/src/process/share_ledger.ts
+++ b/packages/coordination/src/process/share_ledger.ts
@@ -84,20 +84,18 @@
    */
   #grantableAmount(holder: string, now: number): number {
     let pool = 0;
-    let grantedToOthers = 0;
+    let grantedElsewhere = 0;
     const wants: number[] = [];
     const end = now + this.#times.grantMs;
     for (const [name, entry] of this.#holders) {
       // Only an amount that stays yielded until the grant ends can back it.
       if (entry.yieldedUntil >= end) pool += entry.yielded;
-      if (name !== holder) {
-        grantedToOthers += largestUnexpiredGrant(entry.grants, now);
-      }
+      if (name !== holder) grantedElsewhere += largestGrant(entry.grants, now);
       if (this.#isReporting(entry, now)) wants.push(entry.wanted);
     }
     const wanted = this.#holders.get(holder)?.wanted ?? 0;
     const fair = Math.min(wanted, waterLevel(pool, wants));
-    return Math.max(0, Math.min(fair, pool - grantedToOthers));
+    return Math.max(0, Math.min(fair, pool - grantedElsewhere));
   }
 
   /**
@@ -134,7 +132,7 @@
  * Returns the largest grant that has not expired. The holder uses the latest
  * response that reached it, which may contain any of them.
  */
-function largestUnexpiredGrant(grants: readonly Grant[], now: number): number {
+function largestGrant(grants: readonly Grant[], now: number): number {
   let max = 0;
   for (const { amount, until } of grants) {
     if (until > now) max = Math.max(max, amount);
--- a/packages/coordination/src/process/store.ts
+++ b/packages/coordination/src/process/store.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's object store, as coordination uses it.
+ * Interface of the platform's object store, as coordination uses it.
  *
  * @module
  */
@@ -14,26 +14,26 @@
   readonly value: unknown;
 }
 
-/** Which object a write or removal means. */
+/** Identifies the object of a write or removal. */
 export interface ObjectKey {
   readonly kind: string;
   readonly name: string;
 }
 
-/** An object as it shall be. */
+/** An object to be written. */
 export interface ObjectWrite extends ObjectKey {
   readonly value: unknown;
 }
 
-/** What must still hold for a write or removal to take effect. */
+/** Condition under which a write or removal takes effect. */
 export interface WriteCondition {
-  /** Version of the object; 0 when it must not exist. */
+  /** Expected version of the object; 0 if it must not exist. */
   readonly ifVersion: number;
 }
 
 /** The objects of a kind. */
 export interface StoreListing {
-  /** Where a watch goes on from. */
+  /** Revision from which a watch continues. */
   readonly revision: number;
   readonly items: readonly StoredObject[];
 }
@@ -42,19 +42,19 @@
 export interface WatchRange {
   /** Changes later than this revision. */
   readonly from: number;
-  /** Longest wait for a first change, in milliseconds. */
+  /** Maximum wait for the first change, in milliseconds. */
   readonly waitMs: number;
 }
 
-/** The changes that a watch saw. */
+/** The changes that a watch returned. */
 export interface StoreChanges {
-  /** Where the next watch goes on from. */
+  /** Revision from which the next watch continues. */
   readonly revision: number;
-  /** Empty when none came in time. */
+  /** Empty if there were no changes in time. */
   readonly events: readonly StoreEvent[];
 }
 
-/** A change seen by a watch. */
+/** A change that a watch returned. */
 export interface StoreEvent {
   readonly type: "put" | "delete";
   readonly name: string;
@@ -62,7 +62,7 @@
   readonly value?: unknown;
 }
 
-/** A conditional write met another version. Nothing was written. */
+/** A conditional write found a different version. Nothing was written. */
 export interface Conflict {
   readonly _tag: "Conflict";
   /** Version in the store; 0 when the object does not exist. */
@@ -70,14 +70,16 @@
 }
 
 /**
- * The store could not be asked. `mayHaveWritten` tells whether a write may have
- * taken effect all the same, its reply being lost.
+ * The store gave no usable response. `mayHaveWritten` tells whether a write may
+ * have taken effect although its response was lost.
  */
 export interface Unavailable {
   readonly _tag: "Unavailable";
   readonly reason: string;
   readonly mayHaveWritten: boolean;
-  /** When to come back, if the store said so, in milliseconds. */
+  /**
+   * Delay before the next call, in milliseconds, if the store specified one.
+   */
   readonly retryAfterMs?: number;
 }
 
@@ -108,7 +110,10 @@
   /** Lists a kind, with the revision to watch from. */
   list(kind: string): Effect.Effect<StoreListing, Unavailable>;
 
-  /** Waits for changes later than `from`; an empty answer means none came. */
+  /**
+   * Waits for changes later than `from`; an empty result means that there were
+   * none in time.
+   */
   watch(
     kind: string,
     options: WatchRange,
--- a/packages/coordination/src/process/write_rate_limiter.ts
+++ b/packages/coordination/src/process/write_rate_limiter.ts
@@ -1,27 +1,31 @@
 /**
- * Paces the writes of one partition, so that all stay under the store's rate.
+ * Limits the write rate of one partition, so that all partitions together stay
+ * below the store's rate limit.
  *
  * @module
  */
 import * as Effect from "effect/Effect";
 import type { Clock } from "./clock.ts";
 
-/** Writes that may follow each other at once after an idle time. */
+/** Number of writes that may be made without delay after an idle period. */
 const BURST = 2;
 const MAX_INTERVAL_MS = 1_000;
-/** Two writers need not be slow to let each other through. */
+/**
+ * Maximum factor by which conflicts lengthen the interval; two writers need no
+ * more to let each other through.
+ */
 const MAX_CONFLICT_SLOWDOWN = 2;
 
 /**
  * A token bucket whose interval doubles while the store refuses or fails, grows
- * a little with conflicts, and shrinks back with each success. What waits meanwhile
- * joins the next write, so the batch grows as the store gets slower.
+ * a little with conflicts, and shrinks again with each success. Requests that
+ * wait meanwhile join the next write, so batches grow as the store slows down.
  */
 export class WriteRateLimiter {
   readonly #clock: Clock;
   readonly #minIntervalMs: number;
   #intervalMs: number;
-  /** When the bucket would be full of unused turns. */
+  /** Time at which the bucket would be full of unused slots. */
   #nextAt = 0;
 
   constructor(clock: Clock, options: { readonly writesPerSecond: number }) {
@@ -30,12 +34,12 @@
     this.#intervalMs = this.#minIntervalMs;
   }
 
-  /** Present time between two writes under load, in milliseconds. */
+  /** Current interval between two writes under load, in milliseconds. */
   get intervalMs(): number {
     return this.#intervalMs;
   }
 
-  /** Ends when a write may be made, and counts it. */
+  /** Counts a write, and completes when it may be made. */
   acquire(): Effect.Effect<void> {
     return Effect.suspend(() => {
       const waitMs = this.reserve();
@@ -43,29 +47,32 @@
     });
   }
 
-  /** Counts a write, and returns how long to wait before making it. */
+  /**
+   * Counts a write, and returns the time to wait before making it, in
+   * milliseconds.
+   */
   reserve(): number {
     const now = this.#clock.monotonic();
     const earliest = now - (BURST - 1) * this.#intervalMs;
-    const turn = Math.max(this.#nextAt, earliest);
-    this.#nextAt = turn + this.#intervalMs;
-    return Math.max(0, turn - now);
+    const slot = Math.max(this.#nextAt, earliest);
+    this.#nextAt = slot + this.#intervalMs;
+    return Math.max(0, slot - now);
   }
 
-  /** The store took a write. */
+  /** Shortens the interval after a successful write. */
   recordSuccess(): void {
     this.#intervalMs = Math.max(this.#minIntervalMs, this.#intervalMs / 2);
   }
 
-  /** Another process wrote first. */
+  /** Lengthens the interval after a conflict with another process. */
   recordConflict(): void {
-    const most = this.#minIntervalMs * MAX_CONFLICT_SLOWDOWN;
+    const maxMs = this.#minIntervalMs * MAX_CONFLICT_SLOWDOWN;
     const jitter = 1 + Math.random();
-    const longer = Math.min(most, this.#intervalMs * jitter);
+    const longer = Math.min(maxMs, this.#intervalMs * jitter);
     this.#intervalMs = Math.max(this.#intervalMs, longer);
   }
 
-  /** The store did not take a write. */
+  /** Lengthens the interval after a failed write. */
   recordFailure(retryAfterMs = 0): void {
     const doubled = Math.min(MAX_INTERVAL_MS, this.#intervalMs * 2);
     this.#intervalMs = Math.max(this.#minIntervalMs, doubled);
--- a/packages/coordination/src/process/write_rate_limiter_test.ts
+++ b/packages/coordination/src/process/write_rate_limiter_test.ts
@@ -5,7 +5,7 @@
 
 const PER_SECOND = 10;
 
-function budget() {
+function rateLimiter() {
   const clock = new FakeClock({ at: 1_000 });
   return {
     clock,
@@ -13,8 +13,11 @@
   };
 }
 
-/** Writes that may start within the time, each as soon as it may. */
-function writesWithin(ms: number, setup = budget()): number {
+/**
+ * Returns the number of writes that may start within a time, each as early as
+ * possible.
+ */
+function writesWithin(ms: number, setup = rateLimiter()): number {
   const { clock, writes } = setup;
   const end = clock.monotonic() + ms;
   for (let count = 0;; count += 1) {
@@ -23,21 +26,21 @@
   }
 }
 
-test("writes after an idle time start at once", () => {
-  const { writes } = budget();
+test("writes after an idle period start without delay", () => {
+  const { writes } = rateLimiter();
   assert.equal(writes.reserve(), 0);
   assert.equal(writes.reserve(), 0);
   assert.notEqual(writes.reserve(), 0);
 });
 
-test("writes under load keep to the rate", () => {
+test("writes under load stay within the rate", () => {
   const count = writesWithin(10_000);
   assert.ok(count <= 10 * PER_SECOND + 1, `${count}`);
   assert.ok(count >= 10 * PER_SECOND - 1, `${count}`);
 });
 
-test("a failing store is written to less and less, and more again after", () => {
-  const { writes } = budget();
+test("the write rate drops while the store fails, and recovers afterwards", () => {
+  const { writes } = rateLimiter();
   const usual = writes.intervalMs;
   for (let failures = 0; failures < 20; failures += 1) writes.recordFailure();
   assert.equal(writes.intervalMs, 1_000);
@@ -47,14 +50,14 @@
   assert.equal(writes.intervalMs, usual);
 });
 
-test("a store that names a time is left alone until then", () => {
-  const { writes } = budget();
+test("no write starts before the retry-after time of the store", () => {
+  const { writes } = rateLimiter();
   writes.recordFailure(5_000);
   assert.ok(writes.reserve() >= 5_000);
 });
 
-test("conflicts slow a writer down to half its rate at most", () => {
-  const { writes } = budget();
+test("conflicts reduce a writer to half its rate at most", () => {
+  const { writes } = rateLimiter();
   const usual = writes.intervalMs;
   for (let conflicts = 0; conflicts < 20; conflicts += 1) {
     writes.recordConflict();
