--- a/packages/daemon/src/process/scheduling/broker.ts
+++ b/packages/daemon/src/process/scheduling/broker.ts
@@ -11,13 +11,13 @@
  * @module
  */
 import type { Table } from "@umbermast/table";
-import { AskAppraisal } from "./admission_control.ts";
-import { BrokerAnswers } from "./broker_replies.ts";
-import { BrokerBooks } from "./broker_state.ts";
+import { AdmissionControl } from "./admission_control.ts";
+import { BrokerReplies } from "./broker_replies.ts";
+import { BrokerState } from "./broker_state.ts";
 import type { BrokerDependencies } from "./broker_dependencies.ts";
 import { FairQueue } from "./fair_queue.ts";
 
-import { Granting } from "./grant_dispatcher.ts";
+import { GrantDispatcher } from "./grant_dispatcher.ts";
 import type {
   AskMessage,
   EntrySnapshotMessage,
@@ -25,78 +25,78 @@
   HeldSlot,
   ReleaseMessage,
 } from "./messages.ts";
-import { PauseWatch } from "./pause_detector.ts";
-import { RunnerLearning } from "./runner_feedback.ts";
+import { PauseDetector } from "./pause_detector.ts";
+import { RunnerFeedback } from "./runner_feedback.ts";
 import { RunnerPool } from "./runner_pool.ts";
 import { SlotLedger } from "./slot_ledger.ts";
-import type { Waiting } from "./waiting_ask.ts";
+import type { WaitingAsk } from "./waiting_ask.ts";
 
 /** An entry that says nothing for this long is granted nothing. */
-const QUIET_MS = 2_000;
+const ENTRY_IDLE_MS = 2_000;
 /** An entry that says nothing for this long has lost what it asked and held. */
-const LOST_MS = 6_000;
+const ENTRY_TIMEOUT_MS = 6_000;
 const MISMATCHES_BEFORE_RESYNC = 2;
 
 /** Grants the slots of one service's runners to the asks of all entry daemons. */
 export class Broker {
   readonly #service: string;
-  readonly #parts: BrokerDependencies;
+  readonly #dependencies: BrokerDependencies;
   readonly #queue: FairQueue;
   readonly #pool: RunnerPool;
-  readonly #learning: RunnerLearning;
-  readonly #appraisal: AskAppraisal;
-  readonly #answers: BrokerAnswers;
-  readonly #books = new BrokerBooks();
+  readonly #feedback: RunnerFeedback;
+  readonly #admission: AdmissionControl;
+  readonly #replies: BrokerReplies;
+  readonly #state = new BrokerState();
   readonly #slots: SlotLedger;
-  readonly #granting: Granting;
-  readonly #pauses: PauseWatch;
-  #heardAt: number;
-  #opensAt = -Infinity;
+  readonly #dispatcher: GrantDispatcher;
+  readonly #pauseDetector: PauseDetector;
+  #lastActivityAt: number;
+  #grantsFrom = -Infinity;
 
-  constructor(service: string, parts: BrokerDependencies) {
+  constructor(service: string, dependencies: BrokerDependencies) {
     this.#service = service;
-    this.#parts = parts;
-    const table = parts.table.current();
-    const { switches, bounds } = parts;
+    this.#dependencies = dependencies;
+    const table = dependencies.table.current();
+    const { switches, bounds } = dependencies;
     this.#queue = new FairQueue(table, {
       switches,
-      usage: this.#books,
+      usage: this.#state,
       ...(bounds === undefined ? {} : { bounds }),
     });
     const queue = this.#queue;
     const pool = new RunnerPool(service, { table, switches });
-    const learning = new RunnerLearning(pool, switches);
-    pool.setRunners(parts.directory.runners(service));
+    const learning = new RunnerFeedback(pool, switches);
+    pool.setRunners(dependencies.directory.runners(service));
     this.#pool = pool;
-    this.#learning = learning;
-    this.#appraisal = new AskAppraisal({ queue, pool, learning, switches });
-    this.#answers = new BrokerAnswers(service, parts);
-    this.#slots = new SlotLedger({ pool, books: this.#books, table });
-    this.#granting = new Granting({
+    this.#feedback = learning;
+    this.#admission = new AdmissionControl({ queue, pool, learning, switches });
+    this.#replies = new BrokerReplies(service, dependencies);
+    this.#slots = new SlotLedger({ pool, state: this.#state, table });
+    this.#dispatcher = new GrantDispatcher({
       queue,
       pool,
-      books: this.#books,
+      state: this.#state,
       slots: this.#slots,
-      answers: this.#answers,
-      members: parts.members,
+      replies: this.#replies,
+      members: dependencies.members,
     });
-    this.#pauses = new PauseWatch(parts.clock);
-    this.#heardAt = this.#now;
+    this.#pauseDetector = new PauseDetector(dependencies.clock);
+    this.#lastActivityAt = this.#now;
   }
 
   /** Milliseconds since an entry was last heard. */
   get idleMs(): number {
-    return this.#now - this.#heardAt;
+    return this.#now - this.#lastActivityAt;
   }
 
   /** Asks that wait here. */
   get waitingCount(): number {
-    return this.#books.waiting;
+    return this.#state.waitingCount;
   }
 
   /** Slots in use through this broker. */
   get inFlight(): number {
-    return this.#books.inFlight;
+    return this.#state.inFlight;
   }
 
   /**
@@ -105,59 +105,61 @@
    * give the others' slots a second time.
    */
   pauseGranting(ms: number): void {
-    this.#opensAt = this.#now + ms;
+    this.#grantsFrom = this.#now + ms;
   }
 
   /** Takes an ask. One that is known already changes nothing but its epoch. */
   ask(entry: string, ask: AskMessage): void {
-    const now = this.#hear(entry);
-    const held = this.#books.findHeld(ask.askId);
+    const now = this.#recordActivity(entry);
+    const held = this.#state.findHeld(ask.askId);
     if (held !== undefined) {
       // The entry asks again since it did not get the grant: the link dropped
       // it. The same slot is granted again, so none is lost and none doubled.
-      const again = { ...held, entry, epoch: ask.epoch };
-      this.#books.addHeld(again);
-      return this.#answers.repeat(again);
+      const regrant = { ...held, entry, epoch: ask.epoch };
+      this.#state.addHeld(regrant);
+      return this.#replies.sendGrant(regrant);
     }
-    const former = this.#books.findWaiting(ask.askId);
-    if (former !== undefined) this.#granting.forget(former);
-    this.#admit(this.#appraisal.describe(entry, { ask, now }), now);
+    const former = this.#state.findWaiting(ask.askId);
+    if (former !== undefined) this.#dispatcher.remove(former);
+    this.#admit(this.#admission.estimate(entry, { ask, now }), now);
     this.#drain();
   }
 
   /** Forgets an ask, or frees the slot that was granted to it meanwhile. */
   withdraw(entry: string, askId: string): void {
-    this.#hear(entry);
-    const waiting = this.#books.findWaiting(askId);
-    if (waiting?.entry === entry) this.#granting.forget(waiting);
-    const held = this.#books.findHeld(askId);
+    this.#recordActivity(entry);
+    const waiting = this.#state.findWaiting(askId);
+    if (waiting?.entry === entry) this.#dispatcher.remove(waiting);
+    const held = this.#state.findHeld(askId);
     if (held?.entry === entry) this.#slots.abandon(held);
     this.#drain();
   }
 
   /** Frees a slot and settles what it cost. */
   release(entry: string, message: ReleaseMessage): void {
-    const now = this.#hear(entry);
-    const held = this.#books.findHeld(message.askId);
+    const now = this.#recordActivity(entry);
+    const held = this.#state.findHeld(message.askId);
     if (held === undefined) return;
     const end = { settlement: message.settlement, now };
-    this.#learning.settled(held, end);
-    const excess = this.#appraisal.learn(held, end) - held.cost;
-    this.#slots.settle(held, excess);
-    if (this.#parts.switches.costEstimate) this.#queue.settle(held, excess);
+    this.#feedback.recordSettlement(held, end);
+    const excessCost = this.#admission.recordSettlement(held, end) - held.cost;
+    this.#slots.settle(held, excessCost);
+    if (this.#dependencies.switches.costEstimate) {
+      this.#queue.settle(held, excessCost);
+    }
     this.#drain();
   }
 
   /** Takes all that an entry has in place of what was known of it. */
   applySnapshot(entry: string, message: EntrySnapshotMessage): void {
-    const now = this.#hear(entry);
-    this.#books.reconciled(entry);
+    const now = this.#recordActivity(entry);
+    this.#state.resetMismatches(entry);
     const waiting = new Set(message.waiting);
-    const held = new Set(message.held.map((it) => it.askId));
-    for (const known of this.#books.allWaiting(entry)) {
-      if (!waiting.has(known.ask.askId)) this.#granting.forget(known);
+    const held = new Set(message.held.map((slot) => slot.askId));
+    for (const known of this.#state.waitingAsks(entry)) {
+      if (!waiting.has(known.ask.askId)) this.#dispatcher.remove(known);
     }
-    for (const known of this.#books.allHeld(entry)) {
+    for (const known of this.#state.heldSlots(entry)) {
       // One that the entry still waits for is on its way to it, or was lost on
       // the way: the ask that follows gets the same grant again.
       if (held.has(known.askId) || waiting.has(known.askId)) continue;
@@ -169,16 +171,18 @@
 
   /** Answers a sign of life, and asks for a presentation when books differ. */
   heartbeat(entry: string, message: HeartbeatMessage): void {
-    this.#hear(entry);
-    const mismatches = this.#books.compare(entry, message);
+    this.#recordActivity(entry);
+    const mismatches = this.#state.compareCounts(entry, message);
     const resync = mismatches >= MISMATCHES_BEFORE_RESYNC;
-    this.#answers.alive(entry, { resync });
+    this.#replies.replyToHeartbeat(entry, { resync });
   }
 
   /** Takes the runners that the directory has now; slots at others are lost. */
   runnersChanged(): void {
-    const runners = this.#parts.directory.runners(this.#service);
-    for (const held of this.#pool.setRunners(runners)) this.#slots.lose(held);
+    const runners = this.#dependencies.directory.runners(this.#service);
+    for (const held of this.#pool.setRunners(runners)) {
+      this.#slots.runnerLost(held);
+    }
     this.#drain();
   }
 
@@ -192,42 +196,42 @@
 
   /** Learns from a runner's newest report, and grants what it makes room for. */
   reportReceived(runner: string): void {
-    const report = this.#parts.reports.get(runner);
+    const report = this.#dependencies.reports.get(runner);
     if (report === undefined) return;
-    this.#learning.reported(runner, report, this.#now);
+    this.#feedback.recordReport(runner, report, this.#now);
     this.#drain();
   }
 
   /** An entry has left or died: its asks go, and its slots after a while. */
   entryGone(entry: string): void {
-    for (const waiting of this.#books.allWaiting(entry)) {
-      this.#granting.forget(waiting);
+    for (const waiting of this.#state.waitingAsks(entry)) {
+      this.#dispatcher.remove(waiting);
     }
     this.#drain();
   }
 
   /** To be called several times a second. */
   tick(): void {
-    const now = this.#wake();
-    for (const entry of this.#books.entries) {
-      const quietMs = this.#books.quietMs(entry, now);
-      if (quietMs > LOST_MS) this.#dropEntry(entry);
-      else if (quietMs > QUIET_MS) this.entryGone(entry);
+    const now = this.#detectPause();
+    for (const entry of this.#state.entries) {
+      const idleMs = this.#state.idleMs(entry, now);
+      if (idleMs > ENTRY_TIMEOUT_MS) this.#dropEntry(entry);
+      else if (idleMs > ENTRY_IDLE_MS) this.entryGone(entry);
     }
-    for (const waiting of this.#books.allWaiting()) {
-      if (waiting.deadlineAt <= now) this.#granting.expire(waiting);
+    for (const waiting of this.#state.waitingAsks()) {
+      if (waiting.deadlineAt <= now) this.#dispatcher.expire(waiting);
     }
     this.#drain();
   }
 
   get #now(): number {
-    return this.#parts.clock.monotonic();
+    return this.#dependencies.clock.monotonic();
   }
 
-  #hear(entry: string): number {
-    const now = this.#wake();
-    this.#heardAt = now;
-    this.#books.heard(entry, now);
+  #recordActivity(entry: string): number {
+    const now = this.#detectPause();
+    this.#lastActivityAt = now;
+    this.#state.recordActivity(entry, now);
     return now;
   }
 
@@ -237,33 +241,38 @@
    * taken elsewhere; granting them would fill runners with work that nobody
    * sends. All is forgotten; the entries that still hold to it present anew.
    */
-  #wake(): number {
+  #detectPause(): number {
     const now = this.#now;
-    const gapMs = this.#pauses.look();
+    const gapMs = this.#pauseDetector.check();
     if (gapMs === 0) return now;
-    const { waiting, inFlight } = this.#books;
+    const { waitingCount: waiting, inFlight } = this.#state;
     const service = this.#service;
-    this.#parts.log.event("broker_woke", { service, gapMs, waiting, inFlight });
-    for (const entry of this.#books.entries) {
+    this.#dependencies.log.event("broker_woke", {
+      service,
+      gapMs,
+      waiting,
+      inFlight,
+    });
+    for (const entry of this.#state.entries) {
       this.#dropEntry(entry);
-      this.#answers.alive(entry, { resync: true });
+      this.#replies.replyToHeartbeat(entry, { resync: true });
     }
     return now;
   }
 
-  #admit(waiting: Waiting, now: number): void {
+  #admit(waiting: WaitingAsk, now: number): void {
     const { ask, entry } = waiting;
     if (ask.remainingMs <= 0) {
-      return this.#answers.refuse(entry, ask, { code: "deadline_passed" });
+      return this.#replies.refuse(entry, ask, { code: "deadline_passed" });
     }
     const row = this.#slots.rowOf(ask);
-    const verdict = this.#appraisal.hopeless(waiting, { now, row });
-    if (verdict !== undefined) return this.#answers.refuse(entry, ask, verdict);
+    const verdict = this.#admission.earlyRefusal(waiting, { now, row });
+    if (verdict !== undefined) return this.#replies.refuse(entry, ask, verdict);
     const { shed } = this.#queue.offer(waiting);
-    this.#books.addWaiting(waiting);
+    this.#state.addWaiting(waiting);
     for (const victim of shed) {
-      this.#books.removeWaiting(victim);
-      this.#answers.shed(victim, {
+      this.#state.removeWaiting(victim);
+      this.#replies.shed(victim, {
         tier: this.#queue.tierOf(victim.ask.class),
         waiting: this.#queue.length,
       });
@@ -272,22 +281,22 @@
 
   #drain(): void {
     const now = this.#now;
-    if (now >= this.#opensAt) this.#granting.drain(now);
+    if (now >= this.#grantsFrom) this.#dispatcher.drain(now);
   }
 
   /** Takes in a slot that another broker granted. */
   #adopt(entry: string, slot: HeldSlot, now: number): void {
-    const waiting = this.#books.findWaiting(slot.askId);
-    if (waiting !== undefined) this.#granting.forget(waiting);
-    const cost = this.#appraisal.costOf(slot);
+    const waiting = this.#state.findWaiting(slot.askId);
+    if (waiting !== undefined) this.#dispatcher.remove(waiting);
+    const cost = this.#admission.costOf(slot);
     this.#slots.adopt({ ...slot, entry, cost, grantedAt: now, epoch: 0 });
   }
 
   #dropEntry(entry: string): void {
-    for (const waiting of this.#books.allWaiting(entry)) {
-      this.#granting.forget(waiting);
+    for (const waiting of this.#state.waitingAsks(entry)) {
+      this.#dispatcher.remove(waiting);
     }
-    for (const held of this.#books.allHeld(entry)) this.#slots.abandon(held);
-    this.#books.removeEntry(entry);
+    for (const held of this.#state.heldSlots(entry)) this.#slots.abandon(held);
+    this.#state.removeEntry(entry);
   }
 }
--- a/packages/daemon/src/process/scheduling/broker_finder.ts
+++ b/packages/daemon/src/process/scheduling/broker_finder.ts
@@ -13,7 +13,7 @@
   readonly #membership: Membership | undefined;
   readonly #directory: RunnerDirectory;
   #ranks: ReadonlyMap<string, readonly string[]> = new Map();
-  #key = "";
+  #cacheKey = "";
 
   constructor(parts: {
     readonly membership: Membership | undefined;
@@ -39,8 +39,8 @@
     const names = brokerCandidates(membership.view());
     const services = [...this.#directory.services()].sort();
     const key = JSON.stringify([names, services]);
-    if (key === this.#key) return;
-    this.#key = key;
+    if (key === this.#cacheKey) return;
+    this.#cacheKey = key;
     this.#ranks = assignBrokers(names, services);
   }
 }
--- a/packages/daemon/src/process/scheduling/broker_registry.ts
+++ b/packages/daemon/src/process/scheduling/broker_registry.ts
@@ -23,11 +23,11 @@
 
 const TICK_MS = 50;
 /** Entries present what they hold within this time of a change of broker. */
-const HAND_OVER_MS = 150;
+const HANDOVER_MS = 150;
 /** A daemon that no longer brokers a service stops polling its runners. */
-const IDLE_MS = 60_000;
+const IDLE_TIMEOUT_MS = 60_000;
 /** Services come from asks, so a faulty peer could name any number of them. */
-const BROKERS_LIMIT = 1_000;
+const MAX_BROKERS = 1_000;
 
 /** What a broker host works with. */
 export interface BrokerRegistryDependencies
@@ -39,20 +39,20 @@
 
 /** Runs brokers and passes messages between them and the entries. */
 export class BrokerRegistry {
-  readonly #parts: BrokerRegistryDependencies;
+  readonly #dependencies: BrokerRegistryDependencies;
   readonly #brokers = new Map<string, Broker>();
-  #toOwnEntry: (message: EntryMessage) => void = () => {};
+  #deliverLocally: (message: EntryMessage) => void = () => {};
   #members: ReadonlySet<string> = new Set();
 
   readonly #finder: BrokerFinder;
   /** Services that this daemon takes itself to be the broker of. */
-  readonly #owned = new Set<string>();
+  readonly #ownedServices = new Set<string>();
 
-  constructor(parts: BrokerRegistryDependencies) {
-    this.#parts = parts;
+  constructor(dependencies: BrokerRegistryDependencies) {
+    this.#dependencies = dependencies;
     this.#finder = new BrokerFinder({
-      membership: parts.membership,
-      directory: parts.directory,
+      membership: dependencies.membership,
+      directory: dependencies.directory,
     });
   }
 
@@ -63,7 +63,7 @@
 
   /** Sets where grants and refusals for this daemon's own entry go. */
   connectLocalEntry(deliver: (message: EntryMessage) => void): void {
-    this.#toOwnEntry = deliver;
+    this.#deliverLocally = deliver;
   }
 
   /** Takes a message of an entry; `self` for this daemon's own. */
@@ -87,13 +87,13 @@
   /** Serves peers and follows runners, reports, table and view until the scope closes. */
   start(): Effect.Effect<void, never, Scope.Scope> {
     return Effect.gen({ self: this }, function* () {
-      const { directory, reports, table, peers, membership } = this.#parts;
+      const { directory, reports, table, peers, membership } =
+        this.#dependencies;
       peers?.handle(
         TO_BROKER,
-        (from, message) =>
-          Effect.sync(() => this.#receiveUnread(from, message)),
+        (from, message) => Effect.sync(() => this.#receiveRaw(from, message)),
       );
-      const ends = [
+      const unsubscribers = [
         directory.subscribe(() => {
           for (const broker of this.#brokers.values()) broker.runnersChanged();
         }),
@@ -110,23 +110,25 @@
       ];
       if (membership !== undefined) {
         this.#viewChanged(membership.view());
-        ends.push(membership.subscribe((view) => this.#viewChanged(view)));
+        unsubscribers.push(
+          membership.subscribe((view) => this.#viewChanged(view)),
+        );
       }
       yield* Effect.addFinalizer(() =>
         Effect.sync(() => {
-          for (const end of ends) end();
+          for (const end of unsubscribers) end();
         })
       );
-      yield* Effect.forkScoped(this.#ticks());
+      yield* Effect.forkScoped(this.#tickLoop());
     });
   }
 
-  #ticks(): Effect.Effect<never> {
+  #tickLoop(): Effect.Effect<never> {
     return Effect.forever(Effect.gen({ self: this }, function* () {
       yield* Effect.sleep(TICK_MS);
       for (const [service, broker] of this.#brokers) {
         broker.tick();
-        if (broker.idleMs > IDLE_MS) this.#close(service);
+        if (broker.idleMs > IDLE_TIMEOUT_MS) this.#close(service);
       }
     }));
   }
@@ -134,14 +136,14 @@
   /** Forgets a broker that nobody has asked for a while. */
   #close(service: string): void {
     this.#brokers.delete(service);
-    this.#owned.delete(service);
-    this.#parts.reports.stopWatching(service);
+    this.#ownedServices.delete(service);
+    this.#dependencies.reports.stopWatching(service);
   }
 
-  #receiveUnread(from: string, message: unknown): void {
-    const read = parseBrokerMessage(message);
-    if (read !== undefined) return this.receive(from, read);
-    this.#parts.log.warning("scheduler_message_malformed", { from });
+  #receiveRaw(from: string, message: unknown): void {
+    const parsed = parseBrokerMessage(message);
+    if (parsed !== undefined) return this.receive(from, parsed);
+    this.#dependencies.log.warning("scheduler_message_malformed", { from });
   }
 
   #viewChanged(view: View): void {
@@ -153,40 +155,44 @@
     this.#members = present;
     for (const [service, broker] of this.#brokers) {
       const owns = this.#finder.rank(service)[0] === this.#self;
-      if (owns && !this.#owned.has(service)) broker.pauseGranting(HAND_OVER_MS);
-      if (owns) this.#owned.add(service);
-      else this.#owned.delete(service);
+      if (owns && !this.#ownedServices.has(service)) {
+        broker.pauseGranting(HANDOVER_MS);
+      }
+      if (owns) this.#ownedServices.add(service);
+      else this.#ownedServices.delete(service);
     }
   }
 
   #brokerOf(service: string): Broker | undefined {
-    const known = this.#brokers.get(service);
-    if (known !== undefined) return known;
-    if (this.#brokers.size >= BROKERS_LIMIT) return undefined;
-    const made = new Broker(service, {
-      ...this.#parts,
+    const existing = this.#brokers.get(service);
+    if (existing !== undefined) return existing;
+    if (this.#brokers.size >= MAX_BROKERS) return undefined;
+    const created = new Broker(service, {
+      ...this.#dependencies,
       send: (entry, message) => this.#send(entry, message),
       members: () => this.#members.size,
     });
-    this.#brokers.set(service, made);
-    this.#parts.reports.watch(service);
-    if (this.#members.size > 1) made.pauseGranting(HAND_OVER_MS);
-    if (this.#finder.rank(service)[0] === this.#self) this.#owned.add(service);
-    return made;
+    this.#brokers.set(service, created);
+    this.#dependencies.reports.watch(service);
+    if (this.#members.size > 1) created.pauseGranting(HANDOVER_MS);
+    if (this.#finder.rank(service)[0] === this.#self) {
+      this.#ownedServices.add(service);
+    }
+    return created;
   }
 
   #send(entry: string, message: EntryMessage): void {
     if (entry === this.#self) {
       // Delivered later, as over a link: an answer that came back within the
       // broker's own step would change its books halfway through.
-      return queueMicrotask(() => this.#toOwnEntry(message));
+      return queueMicrotask(() => this.#deliverLocally(message));
     }
     // A grant that no link takes is found by the entry's next beat, whose count
     // differs from the broker's account of it.
-    this.#parts.peers?.send(entry, TO_ENTRY, message);
+    this.#dependencies.peers?.send(entry, TO_ENTRY, message);
   }
 
   get #self(): string {
-    return this.#parts.membership?.self.name ?? "";
+    return this.#dependencies.membership?.self.name ?? "";
   }
 }
--- a/packages/daemon/src/process/scheduling/broker_replies.ts
+++ b/packages/daemon/src/process/scheduling/broker_replies.ts
@@ -5,17 +5,17 @@
  */
 import type { Log } from "../log.ts";
 import type { AskMessage, EntryMessage } from "./messages.ts";
-import type { Verdict } from "./admission_control.ts";
+import type { Refusal } from "./admission_control.ts";
 import type { Choice } from "./runner_pool.ts";
-import type { Held } from "./runner_state.ts";
-import type { Waiting } from "./waiting_ask.ts";
+import type { GrantedSlot } from "./runner_state.ts";
+import type { WaitingAsk } from "./waiting_ask.ts";
 
 /** A grant that was not used by then is of no use. */
-export const GRANT_MS = 5_000;
-const RETRY_MS = 1_000;
+export const GRANT_VALIDITY_MS = 5_000;
+const DEFAULT_RETRY_AFTER_MS = 1_000;
 
 /** What is said of a grant. */
-export interface GrantReason {
+export interface GrantDetails {
   readonly choice: Choice;
   /** What put the ask first. */
   readonly order: "tier" | "minimum_share";
@@ -25,7 +25,7 @@
 }
 
 /** Sends grants and refusals. */
-export class BrokerAnswers {
+export class BrokerReplies {
   readonly #service: string;
   readonly #log: Log;
   readonly #send: (entry: string, message: EntryMessage) => void;
@@ -40,10 +40,10 @@
   }
 
   /** Grants a slot. */
-  grant(held: Held, ask: AskMessage, reason: GrantReason): void {
+  grant(held: GrantedSlot, ask: AskMessage, reason: GrantDetails): void {
     const { choice, order, waitedMs, stillWaiting } = reason;
     this.#log.decision("slot_granted", {
-      ...named(ask),
+      ...askFields(ask),
       entry: held.entry,
       runner: held.runner,
       runnersUp: choice.runnersUp.join(","),
@@ -52,34 +52,34 @@
       waitedMs: Math.round(waitedMs),
       stillWaiting,
     });
-    this.repeat(held);
+    this.sendGrant(held);
   }
 
   /** Sends a grant, for the first time or again. */
-  repeat(held: Held): void {
+  sendGrant(held: GrantedSlot): void {
     this.#send(held.entry, {
       type: "grant",
       service: this.#service,
       askId: held.askId,
       epoch: held.epoch,
       runner: held.runner,
-      validForMs: GRANT_MS,
+      validForMs: GRANT_VALIDITY_MS,
     });
   }
 
   /** Sheds an ask to make room. */
   shed(
-    waiting: Waiting,
+    waiting: WaitingAsk,
     state: { readonly tier: number; readonly waiting: number },
   ): void {
     this.#log.decision("ask_shed", {
-      ...named(waiting.ask),
+      ...askFields(waiting.ask),
       ...state,
       why: "queue_full",
     });
-    this.#refuse(waiting.entry, waiting.ask, {
+    this.#sendRefusal(waiting.entry, waiting.ask, {
       code: "queue_full",
-      retryAfterMs: RETRY_MS,
+      retryAfterMs: DEFAULT_RETRY_AFTER_MS,
     });
   }
 
@@ -87,30 +87,30 @@
   refuse(
     entry: string,
     ask: AskMessage,
-    verdict: Pick<Verdict, "code"> & Partial<Verdict>,
+    verdict: Pick<Refusal, "code"> & Partial<Refusal>,
   ): void {
-    const { code, retryAfterMs = RETRY_MS } = verdict;
+    const { code, retryAfterMs = DEFAULT_RETRY_AFTER_MS } = verdict;
     this.#log.decision("ask_refused", {
-      ...named(ask),
+      ...askFields(ask),
       why: code,
       retryAfterMs,
     });
-    this.#refuse(entry, ask, { code, retryAfterMs });
+    this.#sendRefusal(entry, ask, { code, retryAfterMs });
   }
 
   /** Answers a beat; `resync` asks the entry to present all that it has. */
-  alive(entry: string, reply: { readonly resync: boolean }): void {
+  replyToHeartbeat(entry: string, reply: { readonly resync: boolean }): void {
     const service = this.#service;
     this.#send(entry, { type: "beat_reply", service, ...reply });
   }
 
-  #refuse(entry: string, ask: AskMessage, verdict: Verdict): void {
+  #sendRefusal(entry: string, ask: AskMessage, verdict: Refusal): void {
     const { askId, epoch } = ask;
     this.#send(entry, { type: "refuse", askId, epoch, ...verdict });
   }
 }
 
-function named(ask: AskMessage) {
+function askFields(ask: AskMessage) {
   return {
     requestId: ask.requestId,
     askId: ask.askId,
--- a/packages/daemon/src/process/scheduling/broker_state.ts
+++ b/packages/daemon/src/process/scheduling/broker_state.ts
@@ -3,28 +3,28 @@
  *
  * @module
  */
-import type { Held } from "./runner_state.ts";
-import type { Waiting } from "./waiting_ask.ts";
+import type { GrantedSlot } from "./runner_state.ts";
+import type { WaitingAsk } from "./waiting_ask.ts";
 
 /** What one entry has here. */
-interface Account {
+interface EntryAccount {
   /** Monotonic milliseconds of its last message. */
-  heardAt: number;
-  readonly waiting: Set<string>;
-  readonly held: Set<string>;
+  lastActivityAt: number;
+  readonly waitingAsks: Set<string>;
+  readonly heldSlots: Set<string>;
   /** Beats in a row that did not match this account. */
   mismatches: number;
 }
 
 /** Waiting asks and held slots, and whose they are. */
-export class BrokerBooks {
-  readonly #waiting = new Map<string, Waiting>();
-  readonly #held = new Map<string, Held>();
-  readonly #accounts = new Map<string, Account>();
+export class BrokerState {
+  readonly #waiting = new Map<string, WaitingAsk>();
+  readonly #held = new Map<string, GrantedSlot>();
+  readonly #accounts = new Map<string, EntryAccount>();
   readonly #heldByClass = new Map<string, number>();
 
   /** Asks that wait. */
-  get waiting(): number {
+  get waitingCount(): number {
     return this.#waiting.size;
   }
 
@@ -44,61 +44,61 @@
   }
 
   /** Notes a sign of life. */
-  heard(entry: string, now: number): void {
-    this.#account(entry).heardAt = now;
+  recordActivity(entry: string, now: number): void {
+    this.#account(entry).lastActivityAt = now;
   }
 
   /** Milliseconds since an entry was last heard. */
-  quietMs(entry: string, now: number): number {
-    return now - (this.#accounts.get(entry)?.heardAt ?? -Infinity);
+  idleMs(entry: string, now: number): number {
+    return now - (this.#accounts.get(entry)?.lastActivityAt ?? -Infinity);
   }
 
-  findWaiting(askId: string): Waiting | undefined {
+  findWaiting(askId: string): WaitingAsk | undefined {
     return this.#waiting.get(askId);
   }
 
-  findHeld(askId: string): Held | undefined {
+  findHeld(askId: string): GrantedSlot | undefined {
     return this.#held.get(askId);
   }
 
   /** What waits, of one entry or of all. */
-  allWaiting(entry?: string): readonly Waiting[] {
+  waitingAsks(entry?: string): readonly WaitingAsk[] {
     if (entry === undefined) return [...this.#waiting.values()];
-    const ids = this.#accounts.get(entry)?.waiting ?? [];
+    const ids = this.#accounts.get(entry)?.waitingAsks ?? [];
     return [...ids].map((id) => this.#waiting.get(id))
       .filter((it) => it !== undefined);
   }
 
   /** What an entry holds. */
-  allHeld(entry: string): readonly Held[] {
-    const ids = this.#accounts.get(entry)?.held ?? [];
+  heldSlots(entry: string): readonly GrantedSlot[] {
+    const ids = this.#accounts.get(entry)?.heldSlots ?? [];
     return [...ids].map((id) => this.#held.get(id))
       .filter((it) => it !== undefined);
   }
 
-  addWaiting(waiting: Waiting): void {
+  addWaiting(waiting: WaitingAsk): void {
     this.#waiting.set(waiting.ask.askId, waiting);
-    this.#account(waiting.entry).waiting.add(waiting.ask.askId);
+    this.#account(waiting.entry).waitingAsks.add(waiting.ask.askId);
   }
 
-  removeWaiting(waiting: Waiting): void {
+  removeWaiting(waiting: WaitingAsk): void {
     this.#waiting.delete(waiting.ask.askId);
-    this.#accounts.get(waiting.entry)?.waiting.delete(waiting.ask.askId);
+    this.#accounts.get(waiting.entry)?.waitingAsks.delete(waiting.ask.askId);
   }
 
   /** Books a slot, in place of an earlier booking of the same ask. */
-  addHeld(held: Held): void {
+  addHeld(held: GrantedSlot): void {
     const former = this.#held.get(held.askId);
     if (former !== undefined) this.removeHeld(former);
     this.#held.set(held.askId, held);
     this.#countClass(held.class, 1);
-    this.#account(held.entry).held.add(held.askId);
+    this.#account(held.entry).heldSlots.add(held.askId);
   }
 
-  removeHeld(held: Held): void {
+  removeHeld(held: GrantedSlot): void {
     if (!this.#held.delete(held.askId)) return;
     this.#countClass(held.class, -1);
-    this.#accounts.get(held.entry)?.held.delete(held.askId);
+    this.#accounts.get(held.entry)?.heldSlots.delete(held.askId);
   }
 
   /** Forgets an entry that has nothing here any more. */
@@ -112,19 +112,19 @@
    * @returns how many times in a row they have differed. Messages under way make
    * them differ for a moment; a difference that stays means that one was lost.
    */
-  compare(
+  compareCounts(
     entry: string,
     counts: { readonly waiting: number; readonly held: number },
   ): number {
     const account = this.#account(entry);
-    const agrees = account.waiting.size === counts.waiting &&
-      account.held.size === counts.held;
-    account.mismatches = agrees ? 0 : account.mismatches + 1;
+    const matches = account.waitingAsks.size === counts.waiting &&
+      account.heldSlots.size === counts.held;
+    account.mismatches = matches ? 0 : account.mismatches + 1;
     return account.mismatches;
   }
 
   /** An entry has presented all that it has. */
-  reconciled(entry: string): void {
+  resetMismatches(entry: string): void {
     this.#account(entry).mismatches = 0;
   }
 
@@ -132,16 +132,16 @@
     this.#heldByClass.set(className, this.inFlightOf(className) + change);
   }
 
-  #account(entry: string): Account {
-    const known = this.#accounts.get(entry);
-    if (known !== undefined) return known;
-    const made: Account = {
-      heardAt: -Infinity,
-      waiting: new Set(),
-      held: new Set(),
+  #account(entry: string): EntryAccount {
+    const existing = this.#accounts.get(entry);
+    if (existing !== undefined) return existing;
+    const created: EntryAccount = {
+      lastActivityAt: -Infinity,
+      waitingAsks: new Set(),
+      heldSlots: new Set(),
       mismatches: 0,
     };
-    this.#accounts.set(entry, made);
-    return made;
+    this.#accounts.set(entry, created);
+    return created;
   }
 }
--- a/packages/daemon/src/process/scheduling/ejection.ts
+++ b/packages/daemon/src/process/scheduling/ejection.ts
@@ -4,8 +4,8 @@
  * @module
  */
 
-const FIRST_BACKOFF_MS = 500;
-const LAST_BACKOFF_MS = 8_000;
+const MIN_BACKOFF_MS = 500;
+const MAX_BACKOFF_MS = 8_000;
 
 /** Why a runner is out of use. */
 export type EjectionCause = "failure" | "straggler";
@@ -13,7 +13,7 @@
 /** Whether one runner is in use; if not, when a probe may be sent to it. */
 export class Ejection {
   #cause: EjectionCause | undefined;
-  #strikes = 0;
+  #ejectionsInRow = 0;
   #probeAt = 0;
   #probing: string | undefined;
 
@@ -25,9 +25,9 @@
   /** Takes the runner out of use, longer with each time in a row. */
   eject(cause: EjectionCause, now: number): void {
     this.#cause = cause;
-    const backoff = FIRST_BACKOFF_MS * 2 ** this.#strikes;
-    this.#strikes = Math.min(this.#strikes + 1, 10);
-    this.#probeAt = now + Math.min(LAST_BACKOFF_MS, backoff);
+    const backoff = MIN_BACKOFF_MS * 2 ** this.#ejectionsInRow;
+    this.#ejectionsInRow = Math.min(this.#ejectionsInRow + 1, 10);
+    this.#probeAt = now + Math.min(MAX_BACKOFF_MS, backoff);
     this.#probing = undefined;
   }
 
@@ -38,19 +38,19 @@
   }
 
   /** A request was given to it; while ejected, that one is the probe. */
-  started(askId: string): void {
+  requestStarted(askId: string): void {
     if (this.#cause !== undefined) this.#probing = askId;
   }
 
   /** A request ended without telling anything of the runner. */
-  ended(askId: string): void {
+  requestEnded(askId: string): void {
     if (this.#probing === askId) this.#probing = undefined;
   }
 
   /** The runner was observed to be well: back into use. */
-  recovered(): void {
+  restore(): void {
     this.#cause = undefined;
-    this.#strikes = 0;
+    this.#ejectionsInRow = 0;
     this.#probing = undefined;
   }
 }
--- a/packages/daemon/src/process/scheduling/fair_queue.ts
+++ b/packages/daemon/src/process/scheduling/fair_queue.ts
@@ -12,7 +12,7 @@
 import { Flow } from "./flow.ts";
 import { MinimumShares, type SlotUsage } from "./minimum_shares.ts";
 import type { SchedulerSwitches } from "./switches.ts";
-import type { Waiting } from "./waiting_ask.ts";
+import type { WaitingAsk } from "./waiting_ask.ts";
 
 /** Bounds of what may wait. */
 export interface QueueBounds {
@@ -35,7 +35,7 @@
 export interface Offer {
   readonly accepted: boolean;
   /** Asks shed to make room, the offered one among them if not accepted. */
-  readonly shed: readonly Waiting[];
+  readonly shed: readonly WaitingAsk[];
 }
 
 /** What waits of one workspace and class. */
@@ -51,11 +51,11 @@
   readonly #flows = new Map<string, Flow>();
   readonly #shares: MinimumShares;
   /** Virtual time of each tier: the pass of the flow served last. */
-  readonly #virtual = new Map<number, number>();
+  readonly #virtualTime = new Map<number, number>();
   #classes: ReadonlyMap<string, Class> = new Map();
   #weights: ReadonlyMap<string, number> = new Map();
   /** Tier of the class that is served first. */
-  #highest = 0;
+  #highestTier = 0;
   #count = 0;
   #bytes = 0;
 
@@ -82,7 +82,7 @@
   setTable(table: Table): void {
     this.#classes = new Map(table.classes.map((it) => [it.name, it]));
     this.#shares.setClasses(this.#classes);
-    this.#highest = Math.min(
+    this.#highestTier = Math.min(
       ...table.classes.map((it) => this.tierOf(it.name)),
     );
     this.#weights = new Map(
@@ -98,11 +98,11 @@
 
   /** Whether no class of the table comes before this one. */
   isHighest(className: string): boolean {
-    return this.tierOf(className) <= this.#highest;
+    return this.tierOf(className) <= this.#highestTier;
   }
 
   /** All that waits, in no order that matters. */
-  *all(): Generator<Waiting> {
+  *all(): Generator<WaitingAsk> {
     for (const flow of this.#flows.values()) yield* flow.items;
   }
 
@@ -110,21 +110,21 @@
    * Offers an ask. When a bound is passed, the newest ask of the lowest tier
    * present goes, from the workspace that has the most waiting for its weight.
    */
-  offer(waiting: Waiting): Offer {
+  offer(waiting: WaitingAsk): Offer {
     const flow = this.#flowOf(waiting);
     // One workspace's burst would fill the queue for all; its own bound makes it
     // lose its own newest asks first. While a lower tier waits the bound rests:
     // shedding here would shed a higher tier before a lower one.
     const full = flow.length >= this.#bounds.perWorkspace;
-    if (full && !this.hasBelow(this.tierOf(flow.class))) {
+    if (full && !this.hasLowerTier(this.tierOf(flow.class))) {
       return { accepted: false, shed: [waiting] };
     }
     this.#add(flow, waiting);
-    const shed: Waiting[] = [];
+    const shed: WaitingAsk[] = [];
     while (
       this.#count > this.#bounds.count || this.#bytes > this.#bounds.bytes
     ) {
-      const victim = this.#victim();
+      const victim = this.#nextToShed();
       if (victim === undefined) break;
       this.remove(victim);
       shed.push(victim);
@@ -133,14 +133,14 @@
   }
 
   /** Takes an ask out without serving it. */
-  remove(waiting: Waiting): boolean {
+  remove(waiting: WaitingAsk): boolean {
     const { workspace, class: className } = waiting.ask;
     const key = flowKey(workspace, className);
     const flow = this.#flows.get(key);
     if (flow === undefined || !flow.remove(waiting)) return false;
     this.#count--;
     this.#bytes -= waiting.bytes;
-    if (flow.length === 0) this.#forgetClaim(className);
+    if (flow.length === 0) this.#clearCreditIfIdle(className);
     return true;
   }
 
@@ -151,14 +151,17 @@
   }
 
   /** The ask of a flow to serve next. */
-  headOf(flow: Flow, now: number): Waiting | undefined {
+  headOf(flow: Flow, now: number): WaitingAsk | undefined {
     return flow.head(this.#switches.lateLast ? now : undefined);
   }
 
   /** Takes an ask out to serve it, and charges its cost. */
-  take(flow: Flow, waiting: Waiting): void {
+  dequeue(flow: Flow, waiting: WaitingAsk): void {
     const tier = this.tierOf(flow.class);
-    this.#virtual.set(tier, Math.max(this.#virtual.get(tier) ?? 0, flow.pass));
+    this.#virtualTime.set(
+      tier,
+      Math.max(this.#virtualTime.get(tier) ?? 0, flow.startTag),
+    );
     this.#charge(flow, waiting.cost);
     this.remove(waiting);
   }
@@ -166,10 +169,10 @@
   /** Corrects a charge: what the answer cost beyond its estimate, or less. */
   settle(
     served: { readonly workspace: string; readonly class: string },
-    excess: number,
+    excessCost: number,
   ): void {
     const flow = this.#flows.get(flowKey(served.workspace, served.class));
-    if (flow !== undefined) this.#charge(flow, excess);
+    if (flow !== undefined) this.#charge(flow, excessCost);
   }
 
   /** Cost that would be served before a new ask of this workspace and class. */
@@ -196,7 +199,7 @@
   }
 
   /** Whether anything of a lower tier waits. */
-  hasBelow(tier: number): boolean {
+  hasLowerTier(tier: number): boolean {
     for (const flow of this.#flows.values()) {
       if (flow.length > 0 && this.tierOf(flow.class) > tier) return true;
     }
@@ -212,31 +215,31 @@
   }
 
   /** Whether a class is owed service under its minimum share. */
-  isOwed(className: string): boolean {
-    return this.#claim(className) > 0;
+  isBelowMinimumShare(className: string): boolean {
+    return this.#deficit(className) > 0;
   }
 
   #compare(left: Flow, right: Flow): number {
-    const owed = this.#claim(right.class) - this.#claim(left.class);
-    if (owed !== 0) return owed;
+    const deficits = this.#deficit(right.class) - this.#deficit(left.class);
+    if (deficits !== 0) return deficits;
     const tiers = this.tierOf(left.class) - this.tierOf(right.class);
     if (tiers !== 0) return tiers;
-    if (this.#switches.fairQueueing && left.pass !== right.pass) {
-      return left.pass - right.pass;
+    if (this.#switches.fairQueueing && left.startTag !== right.startTag) {
+      return left.startTag - right.startTag;
     }
     return left.items[0]!.arrivedAt - right.items[0]!.arrivedAt;
   }
 
   /** What a class is owed; 0 when nothing. */
-  #claim(className: string): number {
-    return this.#switches.minimumShare ? this.#shares.claim(className) : 0;
+  #deficit(className: string): number {
+    return this.#switches.minimumShare ? this.#shares.deficit(className) : 0;
   }
 
-  #add(flow: Flow, waiting: Waiting): void {
+  #add(flow: Flow, waiting: WaitingAsk): void {
     if (flow.length === 0) {
       // An idle flow must not save up service: it starts at the present.
-      const virtual = this.#virtual.get(this.tierOf(flow.class)) ?? 0;
-      flow.pass = Math.max(flow.pass, virtual);
+      const tierTime = this.#virtualTime.get(this.tierOf(flow.class)) ?? 0;
+      flow.startTag = Math.max(flow.startTag, tierTime);
     }
     flow.add(waiting);
     this.#count++;
@@ -244,29 +247,32 @@
   }
 
   #charge(flow: Flow, cost: number): void {
-    flow.pass += cost / this.#weightOf(flow.workspace, flow.class);
+    flow.startTag += cost / this.#weightOf(flow.workspace, flow.class);
     this.#shares.charge(flow.class, cost, this.#waitingClasses());
   }
 
   /** Classes that wait, with the cost of one of their next asks. */
   #waitingClasses(): ReadonlyMap<string, number> {
-    const found = new Map<string, number>();
+    const headCosts = new Map<string, number>();
     for (const flow of this.#flows.values()) {
       const head = flow.items[0];
       if (head === undefined) continue;
-      found.set(flow.class, Math.max(found.get(flow.class) ?? 0, head.cost));
+      headCosts.set(
+        flow.class,
+        Math.max(headCosts.get(flow.class) ?? 0, head.cost),
+      );
     }
-    return found;
+    return headCosts;
   }
 
-  #forgetClaim(className: string): void {
+  #clearCreditIfIdle(className: string): void {
     for (const flow of this.#flows.values()) {
       if (flow.class === className && flow.length > 0) return;
     }
-    this.#shares.forget(className);
+    this.#shares.clearCredit(className);
   }
 
-  #victim(): Waiting | undefined {
+  #nextToShed(): WaitingAsk | undefined {
     let worst: Flow | undefined;
     for (const flow of this.#flows.values()) {
       if (flow.length === 0) continue;
@@ -286,14 +292,14 @@
     return this.#weights.get(flowKey(workspace, className)) ?? 1;
   }
 
-  #flowOf(waiting: Waiting): Flow {
+  #flowOf(waiting: WaitingAsk): Flow {
     const { workspace, class: className } = waiting.ask;
     const key = flowKey(workspace, className);
-    const known = this.#flows.get(key);
-    if (known !== undefined) return known;
-    const made = new Flow(workspace, className);
-    this.#flows.set(key, made);
-    return made;
+    const existing = this.#flows.get(key);
+    if (existing !== undefined) return existing;
+    const created = new Flow(workspace, className);
+    this.#flows.set(key, created);
+    return created;
   }
 }
 
--- a/packages/daemon/src/process/scheduling/fair_queue_test.ts
+++ b/packages/daemon/src/process/scheduling/fair_queue_test.ts
@@ -10,7 +10,7 @@
 } from "../../../tests/scheduling/table_fixture.ts";
 import { FairQueue, type QueueBounds } from "./fair_queue.ts";
 import { ALL_ENABLED } from "./switches.ts";
-import type { Waiting } from "./waiting_ask.ts";
+import type { WaitingAsk } from "./waiting_ask.ts";
 
 const WIDE: QueueBounds = { count: 10_000, bytes: 1e9, perWorkspace: 10_000 };
 
@@ -20,7 +20,7 @@
   readonly cost?: number;
   readonly arrivedAt?: number;
   readonly startBy?: number;
-}): Waiting {
+}): WaitingAsk {
   return {
     ask: askOf({
       class: fields.class,
@@ -52,10 +52,10 @@
   });
 }
 
-function serve(queue: FairQueue): Waiting {
+function serve(queue: FairQueue): WaitingAsk {
   const flow = queue.order()[0]!;
   const head = queue.headOf(flow, 0)!;
-  queue.take(flow, head);
+  queue.dequeue(flow, head);
   return head;
 }
 
--- a/packages/daemon/src/process/scheduling/flow.ts
+++ b/packages/daemon/src/process/scheduling/flow.ts
@@ -3,15 +3,15 @@
  *
  * @module
  */
-import type { Waiting } from "./waiting_ask.ts";
+import type { WaitingAsk } from "./waiting_ask.ts";
 
 /** A first-in-first-out queue with its place in fair queueing. */
 export class Flow {
   readonly workspace: string;
   readonly class: string;
   /** Virtual time at which its next ask starts; the lowest is served first. */
-  pass = 0;
-  #items: Waiting[] = [];
+  startTag = 0;
+  #items: WaitingAsk[] = [];
   #cost = 0;
   #bytes = 0;
 
@@ -33,16 +33,16 @@
     return this.#bytes;
   }
 
-  get items(): readonly Waiting[] {
+  get items(): readonly WaitingAsk[] {
     return this.#items;
   }
 
-  get newest(): Waiting | undefined {
+  get newest(): WaitingAsk | undefined {
     return this.#items.at(-1);
   }
 
   /** Adds an ask at its place by time of arrival. */
-  add(waiting: Waiting): void {
+  add(waiting: WaitingAsk): void {
     let index = this.#items.length;
     while (index > 0 && this.#items[index - 1]!.arrivedAt > waiting.arrivedAt) {
       index--;
@@ -53,7 +53,7 @@
   }
 
   /** Removes an ask; false when it is not here. */
-  remove(waiting: Waiting): boolean {
+  remove(waiting: WaitingAsk): boolean {
     const index = this.#items.indexOf(waiting);
     if (index < 0) return false;
     this.#items.splice(index, 1);
@@ -66,7 +66,7 @@
    * The ask to serve next: the oldest, or with `now` the oldest that can still
    * meet its target, when there is one.
    */
-  head(now?: number): Waiting | undefined {
+  head(now?: number): WaitingAsk | undefined {
     if (now === undefined) return this.#items[0];
     return this.#items.find((it) => it.startBy >= now) ?? this.#items[0];
   }
--- a/packages/daemon/src/process/scheduling/grant_dispatcher.ts
+++ b/packages/daemon/src/process/scheduling/grant_dispatcher.ts
@@ -3,54 +3,54 @@
  *
  * @module
  */
-import type { BrokerAnswers } from "./broker_replies.ts";
-import type { BrokerBooks } from "./broker_state.ts";
+import type { BrokerReplies } from "./broker_replies.ts";
+import type { BrokerState } from "./broker_state.ts";
 import type { FairQueue } from "./fair_queue.ts";
 import type { Flow } from "./flow.ts";
 import type { Choice, RunnerPool } from "./runner_pool.ts";
 import type { SlotLedger } from "./slot_ledger.ts";
-import type { Waiting } from "./waiting_ask.ts";
+import type { WaitingAsk } from "./waiting_ask.ts";
 
 /** What granting works with. */
-export interface GrantingParts {
+export interface GrantDispatcherDependencies {
   readonly queue: FairQueue;
   readonly pool: RunnerPool;
-  readonly books: BrokerBooks;
+  readonly state: BrokerState;
   readonly slots: SlotLedger;
-  readonly answers: BrokerAnswers;
+  readonly replies: BrokerReplies;
   /** Daemons that take part; a lone one gets its share of the slots. */
   readonly members: () => number;
 }
 
 /** Grants, and refuses what can never be granted. */
-export class Granting {
-  readonly #parts: GrantingParts;
+export class GrantDispatcher {
+  readonly #dependencies: GrantDispatcherDependencies;
 
-  constructor(parts: GrantingParts) {
-    this.#parts = parts;
+  constructor(dependencies: GrantDispatcherDependencies) {
+    this.#dependencies = dependencies;
   }
 
   /** Grants all that can be granted now. */
   drain(now: number): void {
-    while (this.#parts.queue.length > 0) {
-      if (!this.#serveOne(now)) return;
+    while (this.#dependencies.queue.length > 0) {
+      if (!this.#serveNext(now)) return;
     }
   }
 
   /** Takes an ask out without an answer. */
-  forget(waiting: Waiting): void {
-    this.#parts.queue.remove(waiting);
-    this.#parts.books.removeWaiting(waiting);
+  remove(waiting: WaitingAsk): void {
+    this.#dependencies.queue.remove(waiting);
+    this.#dependencies.state.removeWaiting(waiting);
   }
 
   /** Refuses an ask whose answer is of no use any more. */
-  expire(waiting: Waiting): void {
+  expire(waiting: WaitingAsk): void {
     this.#refuse(waiting, "deadline_passed");
   }
 
   /** Grants or refuses one ask; false when nothing can be done now. */
-  #serveOne(now: number): boolean {
-    const { queue, slots } = this.#parts;
+  #serveNext(now: number): boolean {
+    const { queue, slots } = this.#dependencies;
     for (const flow of queue.order()) {
       if (!slots.admits(flow, now)) continue;
       const waiting = queue.headOf(flow, now);
@@ -61,7 +61,7 @@
   }
 
   /** Grants or refuses the head of a flow; false when it has to wait. */
-  #serve(flow: Flow, waiting: Waiting, now: number): boolean {
+  #serve(flow: Flow, waiting: WaitingAsk, now: number): boolean {
     if (waiting.deadlineAt <= now) {
       this.expire(waiting);
       return true;
@@ -72,25 +72,28 @@
       this.#refuse(waiting, "no_runner");
       return true;
     }
-    const { queue } = this.#parts;
-    const order = queue.isOwed(flow.class) ? "minimum_share" : "tier";
-    queue.take(flow, waiting);
+    const { queue } = this.#dependencies;
+    const order = queue.isBelowMinimumShare(flow.class)
+      ? "minimum_share"
+      : "tier";
+    queue.dequeue(flow, waiting);
     this.#grant(waiting, { choice, now, order });
     return true;
   }
 
-  #choose(waiting: Waiting, now: number) {
+  #choose(waiting: WaitingAsk, now: number) {
     const { ask } = waiting;
-    const { queue, pool, members } = this.#parts;
+    const { queue, pool, members } = this.#dependencies;
     return pool.choose(ask, {
       now,
-      highest: queue.isHighest(ask.class) || queue.isOwed(ask.class),
+      highest: queue.isHighest(ask.class) ||
+        queue.isBelowMinimumShare(ask.class),
       share: ask.alone ? 1 / Math.max(1, members()) : 1,
     });
   }
 
   #grant(
-    waiting: Waiting,
+    waiting: WaitingAsk,
     given: {
       readonly choice: Choice;
       readonly now: number;
@@ -98,7 +101,7 @@
     },
   ): void {
     const { choice, now, order } = given;
-    const { books, slots, answers, queue } = this.#parts;
+    const { state: books, slots, replies: answers, queue } = this.#dependencies;
     books.removeWaiting(waiting);
     const held = slots.take(waiting, { runner: choice.runner.name, now });
     answers.grant(held, waiting.ask, {
@@ -109,8 +112,8 @@
     });
   }
 
-  #refuse(waiting: Waiting, code: "deadline_passed" | "no_runner"): void {
-    this.forget(waiting);
-    this.#parts.answers.refuse(waiting.entry, waiting.ask, { code });
+  #refuse(waiting: WaitingAsk, code: "deadline_passed" | "no_runner"): void {
+    this.remove(waiting);
+    this.#dependencies.replies.refuse(waiting.entry, waiting.ask, { code });
   }
 }
--- a/packages/daemon/src/process/scheduling/load_reports.ts
+++ b/packages/daemon/src/process/scheduling/load_reports.ts
@@ -26,9 +26,9 @@
   readonly receivedAt: number;
 }
 
-const DEFAULT_INTERVAL_MS = 500;
-const TIMEOUT_MS = 1_000;
-const BODY_LIMIT_BYTES = 64 * 1024;
+const DEFAULT_POLL_INTERVAL_MS = 500;
+const POLL_TIMEOUT_MS = 1_000;
+const MAX_BODY_BYTES = 64 * 1024;
 
 /** Polls runners and keeps the last report of each. */
 export class LoadReports {
@@ -38,7 +38,7 @@
   readonly #reports = new Map<string, LoadReport>();
   readonly #listeners = new Set<(runner: string) => void>();
   readonly #watched = new Set<string>();
-  #adjust: () => void = () => {};
+  #updatePolls: () => void = () => {};
 
   constructor(options: {
     readonly clock: Clock;
@@ -46,7 +46,7 @@
     readonly intervalMs?: number;
   }) {
     this.#clock = options.clock;
-    this.#intervalMs = options.intervalMs ?? DEFAULT_INTERVAL_MS;
+    this.#intervalMs = options.intervalMs ?? DEFAULT_POLL_INTERVAL_MS;
   }
 
   /** The last report of a runner, however old. */
@@ -74,12 +74,12 @@
   watch(service: string): void {
     if (this.#watched.has(service)) return;
     this.#watched.add(service);
-    this.#adjust();
+    this.#updatePolls();
   }
 
   /** Ends the polling of a service's runners. */
   stopWatching(service: string): void {
-    if (this.#watched.delete(service)) this.#adjust();
+    if (this.#watched.delete(service)) this.#updatePolls();
   }
 
   /** Polls the runners of watched services until the scope closes: one fibre each. */
@@ -87,38 +87,38 @@
     return Effect.gen({ self: this }, function* () {
       const scope = yield* Effect.scope;
       const running = new Map<string, Fiber.Fiber<void>>();
-      this.#adjust = () => {
-        const wanted = this.#wanted(directory);
+      this.#updatePolls = () => {
+        const toPoll = this.#runnersToPoll(directory);
         for (const [key, fiber] of running) {
-          if (wanted.has(key)) continue;
+          if (toPoll.has(key)) continue;
           running.delete(key);
           this.#reports.delete(key.slice(key.indexOf(" ") + 1));
           Effect.runFork(Fiber.interrupt(fiber));
         }
-        for (const [key, runner] of wanted) {
+        for (const [key, runner] of toPoll) {
           if (running.has(key)) continue;
-          const poll = Effect.forkIn(this.#poll(runner), scope);
+          const poll = Effect.forkIn(this.#pollRunner(runner), scope);
           running.set(key, Effect.runSync(poll));
         }
       };
-      this.#adjust();
-      const end = directory.subscribe(() => this.#adjust());
+      this.#updatePolls();
+      const end = directory.subscribe(() => this.#updatePolls());
       yield* Effect.addFinalizer(() =>
         Effect.sync(() => {
           end();
-          this.#adjust = () => {};
+          this.#updatePolls = () => {};
           this.#agent.destroy();
         })
       );
     });
   }
 
-  #wanted(directory: RunnerDirectory): ReadonlyMap<string, Runner> {
+  #runnersToPoll(directory: RunnerDirectory): ReadonlyMap<string, Runner> {
     const watched = [...this.#watched].flatMap((it) => directory.runners(it));
     return new Map(watched.map((it) => [keyOf(it), it]));
   }
 
-  #poll(runner: Runner): Effect.Effect<void> {
+  #pollRunner(runner: Runner): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       while (true) {
         const body = yield* this.#fetch(runner);
@@ -138,26 +138,29 @@
         path: "/load",
         agent: this.#agent,
       }, (response) => {
-        const parts: Buffer[] = [];
+        const chunks: Buffer[] = [];
         let size = 0;
-        response.on("data", (part: Buffer) => {
-          size += part.length;
-          if (size > BODY_LIMIT_BYTES) return request.destroy();
-          parts.push(part);
+        response.on("data", (chunk: Buffer) => {
+          size += chunk.length;
+          if (size > MAX_BODY_BYTES) return request.destroy();
+          chunks.push(chunk);
         });
-        response.on("end", () => done(Buffer.concat(parts).toString("utf8")));
-        response.on("error", () => done(""));
-        response.on("close", () => done(""));
+        response.on(
+          "end",
+          () => finish(Buffer.concat(chunks).toString("utf8")),
+        );
+        response.on("error", () => finish(""));
+        response.on("close", () => finish(""));
       });
       // A runner that accepts and then says nothing would hold its poll for
       // good and freeze its report; the whole exchange is bounded instead.
-      const timer = setTimeout(() => request.destroy(), TIMEOUT_MS);
-      const done = (body: string) => {
+      const timer = setTimeout(() => request.destroy(), POLL_TIMEOUT_MS);
+      const finish = (body: string) => {
         clearTimeout(timer);
         resume(Effect.succeed(body));
       };
-      request.on("error", () => done(""));
-      request.on("close", () => done(""));
+      request.on("error", () => finish(""));
+      request.on("close", () => finish(""));
       return Effect.sync(() => {
         clearTimeout(timer);
         request.destroy();
@@ -181,10 +184,10 @@
     if (typeof value !== "object" || value === null) return undefined;
     const fields = new Map(Object.entries(value));
     return {
-      running: count(fields.get("running")),
-      waiting: count(fields.get("waiting")),
-      slots: count(fields.get("slots")),
-      stepMs: count(fields.get("stepMs")),
+      running: nonNegative(fields.get("running")),
+      waiting: nonNegative(fields.get("waiting")),
+      slots: nonNegative(fields.get("slots")),
+      stepMs: nonNegative(fields.get("stepMs")),
       leaving: fields.get("leaving") === true,
       receivedAt,
     };
@@ -193,7 +196,7 @@
   }
 }
 
-function count(value: unknown): number {
+function nonNegative(value: unknown): number {
   if (typeof value !== "number" || !Number.isFinite(value)) return 0;
   return Math.max(0, value);
 }
--- a/packages/daemon/src/process/scheduling/messages.ts
+++ b/packages/daemon/src/process/scheduling/messages.ts
@@ -13,29 +13,29 @@
 /** Channel of messages from brokers to entries. */
 export const TO_ENTRY = "entry";
 
-const NAME_LIMIT = 256;
-const LIST_LIMIT = 20_000;
+const MAX_NAME_LENGTH = 256;
+const MAX_LIST_LENGTH = 20_000;
 
-const Name = Schema.String.check(Schema.isMaxLength(NAME_LIMIT));
-const Amount = Schema.Finite.check(Schema.isGreaterThanOrEqualTo(0));
+const Name = Schema.String.check(Schema.isMaxLength(MAX_NAME_LENGTH));
+const NonNegative = Schema.Finite.check(Schema.isGreaterThanOrEqualTo(0));
 
 const AskBody = Schema.Struct({
   type: Schema.Literal("ask"),
   askId: Name,
   /** Grows when the entry asks anew elsewhere; a grant echoes it. */
-  epoch: Amount,
+  epoch: NonNegative,
   requestId: Name,
   service: Name,
   model: Schema.optionalKey(Name),
   workspace: Name,
   class: Name,
-  promptTokens: Amount,
-  maxTokens: Schema.optionalKey(Amount),
+  promptTokens: NonNegative,
+  maxTokens: Schema.optionalKey(NonNegative),
   prefixDigest: Schema.optionalKey(Name),
   /** Milliseconds until the answer is of no use. */
-  remainingMs: Amount,
+  remainingMs: NonNegative,
   /** Milliseconds since the request arrived. */
-  waitedMs: Amount,
+  waitedMs: NonNegative,
   excluded: Schema.Array(Name),
   /** The entry reaches no broker and acts alone: grant within a small cap. */
   alone: Schema.Boolean,
@@ -49,10 +49,10 @@
     "failed",
     "silent",
   ]),
-  promptTokens: Amount,
-  outputTokens: Amount,
-  firstTokenMs: Schema.optionalKey(Amount),
-  betweenTokensMs: Schema.optionalKey(Amount),
+  promptTokens: NonNegative,
+  outputTokens: NonNegative,
+  firstTokenMs: Schema.optionalKey(NonNegative),
+  betweenTokensMs: Schema.optionalKey(NonNegative),
 });
 
 const WithdrawBody = Schema.Struct({
@@ -73,36 +73,36 @@
   runner: Name,
   workspace: Name,
   class: Name,
-  promptTokens: Amount,
+  promptTokens: NonNegative,
 });
 
-const PresentBody = Schema.Struct({
+const EntrySnapshotBody = Schema.Struct({
   type: Schema.Literal("present"),
   service: Name,
-  waiting: Schema.Array(Name).check(Schema.isMaxLength(LIST_LIMIT)),
-  held: Schema.Array(HeldBody).check(Schema.isMaxLength(LIST_LIMIT)),
+  waiting: Schema.Array(Name).check(Schema.isMaxLength(MAX_LIST_LENGTH)),
+  held: Schema.Array(HeldBody).check(Schema.isMaxLength(MAX_LIST_LENGTH)),
 });
 
-const BeatBody = Schema.Struct({
+const HeartbeatBody = Schema.Struct({
   type: Schema.Literal("beat"),
   service: Name,
-  waiting: Amount,
-  held: Amount,
+  waiting: NonNegative,
+  held: NonNegative,
 });
 
 const GrantBody = Schema.Struct({
   type: Schema.Literal("grant"),
   service: Name,
   askId: Name,
-  epoch: Amount,
+  epoch: NonNegative,
   runner: Name,
-  validForMs: Amount,
+  validForMs: NonNegative,
 });
 
 const RefuseBody = Schema.Struct({
   type: Schema.Literal("refuse"),
   askId: Name,
-  epoch: Amount,
+  epoch: NonNegative,
   code: Schema.Literals([
     "queue_full",
     "limit_reached",
@@ -110,10 +110,10 @@
     "no_runner",
     "leaving",
   ]),
-  retryAfterMs: Amount,
+  retryAfterMs: NonNegative,
 });
 
-const BeatReplyBody = Schema.Struct({
+const HeartbeatReplyBody = Schema.Struct({
   type: Schema.Literal("beat_reply"),
   service: Name,
   /** The broker's books differ from the beat: the entry presents all it has. */
@@ -124,10 +124,10 @@
   AskBody,
   WithdrawBody,
   ReleaseBody,
-  PresentBody,
-  BeatBody,
+  EntrySnapshotBody,
+  HeartbeatBody,
 ]);
-const ToEntry = Schema.Union([GrantBody, RefuseBody, BeatReplyBody]);
+const ToEntry = Schema.Union([GrantBody, RefuseBody, HeartbeatReplyBody]);
 
 /** An entry asks for a slot. A second one with the same id changes nothing. */
 export type AskMessage = typeof AskBody.Type;
@@ -138,15 +138,15 @@
 /** A slot that an entry holds. */
 export type HeldSlot = typeof HeldBody.Type;
 /** All that an entry has at a broker; what is not listed is gone. */
-export type EntrySnapshotMessage = typeof PresentBody.Type;
+export type EntrySnapshotMessage = typeof EntrySnapshotBody.Type;
 /** Sign of life of an entry that has something at a broker. */
-export type HeartbeatMessage = typeof BeatBody.Type;
+export type HeartbeatMessage = typeof HeartbeatBody.Type;
 /** A broker grants an ask a slot at a runner. */
 export type GrantMessage = typeof GrantBody.Type;
 /** No slot for an ask; it was not run. */
 export type RefuseMessage = typeof RefuseBody.Type;
 /** Answer to a beat. */
-export type HeartbeatReplyMessage = typeof BeatReplyBody.Type;
+export type HeartbeatReplyMessage = typeof HeartbeatReplyBody.Type;
 /** Any message to a broker. */
 export type BrokerMessage = typeof ToBroker.Type;
 /** Any message to an entry. */
--- a/packages/daemon/src/process/scheduling/minimum_shares.ts
+++ b/packages/daemon/src/process/scheduling/minimum_shares.ts
@@ -14,9 +14,9 @@
 }
 
 /** Unpaid share that a class may save up, in multiples of its next cost. */
-const CREDIT_BOUND = 4;
+const CREDIT_LIMIT = 4;
 /** A slot of long prompts does less work than others; its class gets more slots. */
-const SHARE_MARGIN = 1.2;
+const SLOT_SHARE_MARGIN = 1.2;
 
 /** Keeps account of what classes are owed. */
 export class MinimumShares {
@@ -42,15 +42,15 @@
    * long answers that it pays for end. A share of less than a slot is kept over
    * time, by cost.
    */
-  claim(className: string): number {
+  deficit(className: string): number {
     const share = this.#shareOf(className);
     if (share <= 0) return 0;
     const inFlight = this.#usage?.inFlight ?? 0;
-    const exact = SHARE_MARGIN * share * (inFlight + 1);
-    if (exact < 1) {
+    const shareSlots = SLOT_SHARE_MARGIN * share * (inFlight + 1);
+    if (shareSlots < 1) {
       return Math.max(0, (this.#credit.get(className) ?? 0) / share);
     }
-    const slots = Math.ceil(exact);
+    const slots = Math.ceil(shareSlots);
     const used = this.#usage?.inFlightOf(className) ?? 0;
     return Math.max(0, (slots - used) / slots);
   }
@@ -69,16 +69,16 @@
       const share = this.#shareOf(name);
       if (share <= 0) continue;
       const credit = (this.#credit.get(name) ?? 0) + share * cost;
-      this.#credit.set(name, Math.min(credit, CREDIT_BOUND * headCost));
+      this.#credit.set(name, Math.min(credit, CREDIT_LIMIT * headCost));
     }
     // A class pays for its service only down to one such cost: service beyond
     // its share is the tiers' gift and must not be held against it later.
-    const paid = (this.#credit.get(className) ?? 0) - cost;
-    this.#credit.set(className, Math.max(paid, -Math.abs(cost)));
+    const remaining = (this.#credit.get(className) ?? 0) - cost;
+    this.#credit.set(className, Math.max(remaining, -Math.abs(cost)));
   }
 
   /** A class with nothing waiting has no claim left; its debts stay. */
-  forget(className: string): void {
+  clearCredit(className: string): void {
     const credit = this.#credit.get(className) ?? 0;
     this.#credit.set(className, Math.min(0, credit));
   }
--- a/packages/daemon/src/process/scheduling/pause_detector.ts
+++ b/packages/daemon/src/process/scheduling/pause_detector.ts
@@ -6,23 +6,23 @@
 import type { Clock } from "@umbermast/coordination";
 
 /** A longer gap between two looks means that this process was paused. */
-const PAUSE_MS = 1_500;
+const PAUSE_THRESHOLD_MS = 1_500;
 
 /** Watches the time between looks, of which there must be several a second. */
-export class PauseWatch {
+export class PauseDetector {
   readonly #clock: Clock;
-  #lookedAt: number;
+  #checkedAt: number;
 
   constructor(clock: Clock) {
     this.#clock = clock;
-    this.#lookedAt = clock.monotonic();
+    this.#checkedAt = clock.monotonic();
   }
 
   /** Milliseconds that the process was paused before this look; 0 if it was not. */
-  look(): number {
+  check(): number {
     const now = this.#clock.monotonic();
-    const gap = now - this.#lookedAt;
-    this.#lookedAt = now;
-    return gap > PAUSE_MS ? Math.round(gap) : 0;
+    const gap = now - this.#checkedAt;
+    this.#checkedAt = now;
+    return gap > PAUSE_THRESHOLD_MS ? Math.round(gap) : 0;
   }
 }
--- a/packages/daemon/src/process/scheduling/row_limits.ts
+++ b/packages/daemon/src/process/scheduling/row_limits.ts
@@ -7,7 +7,7 @@
 
 /** Seconds of unused allowance that a row may save up. */
 const BURST_SECONDS = 1;
-const SECOND_MS = 1_000;
+const MS_PER_SECOND = 1_000;
 
 /** What a row has used. */
 interface Usage {
@@ -54,12 +54,12 @@
   /** Settles an end: the cost in excess of the charge, or less than it. */
   end(
     key: { readonly workspace: string; readonly class: string },
-    excess: number,
+    excessCost: number,
   ): void {
     const usage = this.#usage.get(keyOf(key));
     if (usage === undefined) return;
     usage.inFlight = Math.max(0, usage.inFlight - 1);
-    usage.tokens -= excess;
+    usage.tokens -= excessCost;
   }
 
   /** Requests of a row in flight. */
@@ -74,15 +74,15 @@
     let usage = this.#usage.get(key);
     if (usage === undefined) {
       usage = {
-        requests: burst(row.requestsPerSecond),
-        tokens: burst(row.tokensPerSecond),
+        requests: burstOf(row.requestsPerSecond),
+        tokens: burstOf(row.tokensPerSecond),
         refilledAt: now,
         inFlight: 0,
       };
       this.#usage.set(key, usage);
       return usage;
     }
-    const seconds = Math.max(0, now - usage.refilledAt) / SECOND_MS;
+    const seconds = Math.max(0, now - usage.refilledAt) / MS_PER_SECOND;
     usage.refilledAt = now;
     usage.requests = refill(usage.requests, seconds, row.requestsPerSecond);
     usage.tokens = refill(usage.tokens, seconds, row.tokensPerSecond);
@@ -97,17 +97,17 @@
 }
 
 /** At least one, so that a row of less than one request a second can start. */
-function burst(rate: number | undefined): number {
+function burstOf(rate: number | undefined): number {
   return rate === undefined ? Infinity : Math.max(1, rate * BURST_SECONDS);
 }
 
 function refill(
-  left: number,
+  remaining: number,
   seconds: number,
   rate: number | undefined,
 ): number {
   if (rate === undefined) return Infinity;
   // A row that had no limit so far starts with a full burst.
-  if (left === Infinity) return burst(rate);
-  return Math.min(burst(rate), left + seconds * rate);
+  if (remaining === Infinity) return burstOf(rate);
+  return Math.min(burstOf(rate), remaining + seconds * rate);
 }
--- a/packages/daemon/src/process/scheduling/runner_feedback.ts
+++ b/packages/daemon/src/process/scheduling/runner_feedback.ts
@@ -6,7 +6,7 @@
  */
 import type { LoadReport } from "./load_reports.ts";
 import type { RunnerPool } from "./runner_pool.ts";
-import type { Held, RunnerState } from "./runner_state.ts";
+import type { GrantedSlot, RunnerState } from "./runner_state.ts";
 import type { Settlement } from "./settlement.ts";
 import type { LatencyRatios } from "./slot_limit.ts";
 import type { SchedulerSwitches } from "./switches.ts";
@@ -14,13 +14,13 @@
 /** A runner that takes this many times the median between tokens is ejected. */
 const STRAGGLER_FACTOR = 2.5;
 /** Steps shorter than this are noise, whatever their proportion. */
-const STRAGGLER_FLOOR_MS = 6;
+const STRAGGLER_MIN_STEP_MS = 6;
 const DEFAULT_STEP_MS = 10;
 /**
  * Share of the time to the first token that may pass at the runner; the rest is
  * for the queue, where waiting can still be put in another order.
  */
-const FIRST_TOKEN_SHARE = 0.4;
+const RUNNER_FIRST_TOKEN_SHARE = 0.4;
 
 /** How an attempt ended, and when. */
 export interface AttemptEnd {
@@ -29,7 +29,7 @@
 }
 
 /** Watches the runners of a pool. */
-export class RunnerLearning {
+export class RunnerFeedback {
   readonly #pool: RunnerPool;
   readonly #switches: SchedulerSwitches;
 
@@ -39,12 +39,12 @@
   }
 
   /** Learns a report. */
-  reported(runner: string, report: LoadReport, now: number): void {
+  recordReport(runner: string, report: LoadReport, now: number): void {
     const state = this.#pool.state(runner);
     state.setReport(report);
     if (this.#switches.adaptiveSlots) state.limit.setCapacity(report.slots);
     if (report.stepMs <= 0 || report.running === 0) return;
-    const target = this.#tightest(state);
+    const target = this.#tightestTarget(state);
     if (this.#switches.adaptiveSlots && target !== undefined) {
       const saturated = state.freeSlots(now) <= 0;
       state.limit.observe({ between: report.stepMs / target }, {
@@ -52,11 +52,11 @@
         saturated,
       });
     }
-    this.#judge(runner, now);
+    this.#updateEjection(runner, now);
   }
 
   /** Gives a slot back and learns from how its attempt went. */
-  settled(held: Held, end: AttemptEnd): void {
+  recordSettlement(held: GrantedSlot, end: AttemptEnd): void {
     const state = this.#pool.state(held.runner);
     const saturated = state.freeSlots(end.now) <= 0;
     if (state.free(held.askId) === undefined) return;
@@ -65,18 +65,19 @@
     if (outcome === "failed" || outcome === "silent" || outcome === "refused") {
       // A runner that crashed answers nothing; without ejection its slots free
       // at once and it draws every following request in turn.
-      if (this.#switches.ejection && !this.#isLast(held.runner)) {
+      if (this.#switches.ejection && !this.#isLastInService(held.runner)) {
         state.ejection.eject("failure", now);
       }
       return;
     }
-    this.#learnStep(state, settlement);
+    this.#recordStep(state, settlement);
     if (this.#switches.adaptiveSlots) {
-      const ratios = this.#ratios(state, { held, settlement });
+      const ratios = this.#latencyRatios(state, { held, settlement });
       state.limit.observe(ratios, { now, saturated });
     }
-    if (outcome === "complete") this.#judge(held.runner, now, held.askId);
-    else state.ejection.ended(held.askId);
+    if (outcome === "complete") {
+      this.#updateEjection(held.runner, now, held.askId);
+    } else state.ejection.requestEnded(held.askId);
   }
 
   /** The median time between tokens over the runners; a guess without any. */
@@ -85,27 +86,27 @@
       DEFAULT_STEP_MS;
   }
 
-  #learnStep(state: RunnerState, settlement: Settlement): void {
+  #recordStep(state: RunnerState, settlement: Settlement): void {
     const { betweenTokensMs } = settlement;
     if (betweenTokensMs === undefined) return;
     // What was smoothed before the ejection would condemn the probe as well.
-    if (state.ejection.cause !== undefined) state.forgetSteps();
+    if (state.ejection.cause !== undefined) state.resetStep();
     state.observeStep(betweenTokensMs);
   }
 
   /** Observed latencies over their targets. */
-  #ratios(
+  #latencyRatios(
     state: RunnerState,
-    end: { readonly held: Held; readonly settlement: Settlement },
+    end: { readonly held: GrantedSlot; readonly settlement: Settlement },
   ): LatencyRatios {
     const { firstTokenMs, betweenTokensMs } = end.settlement;
     const target = this.#pool.classOf(end.held.class)?.target;
     const first = target?.firstTokenMs ?? target?.wholeAnswerMs;
-    const between = this.#tightest(state) ?? target?.betweenTokensMs;
+    const between = this.#tightestTarget(state) ?? target?.betweenTokensMs;
     return {
       ...(firstTokenMs === undefined || first === undefined
         ? {}
-        : { first: firstTokenMs / (first * FIRST_TOKEN_SHARE) }),
+        : { first: firstTokenMs / (first * RUNNER_FIRST_TOKEN_SHARE) }),
       ...(betweenTokensMs === undefined || between === undefined
         ? {}
         : { between: betweenTokensMs / between }),
@@ -113,7 +114,7 @@
   }
 
   /** The tightest time between tokens promised to what runs there. */
-  #tightest(state: RunnerState): number | undefined {
+  #tightestTarget(state: RunnerState): number | undefined {
     const targets = state.classes
       .map((name) => this.#pool.classOf(name)?.target.betweenTokensMs)
       .filter((it) => it !== undefined);
@@ -121,7 +122,7 @@
   }
 
   /** Ejects a straggler, or lets back one whose probe went well. */
-  #judge(runner: string, now: number, probe?: string): void {
+  #updateEjection(runner: string, now: number, probe?: string): void {
     if (!this.#switches.ejection) return;
     const { ejection } = this.#pool.state(runner);
     const { cause } = ejection;
@@ -131,7 +132,7 @@
     }
     if (probe === undefined || cause === undefined) return;
     if (slow) ejection.eject("straggler", now);
-    else ejection.recovered();
+    else ejection.restore();
   }
 
   #isStraggler(runner: string): boolean {
@@ -140,7 +141,7 @@
       .filter((it) => it !== runner);
     const median = this.#median(others);
     if (ownStepMs === undefined || median === undefined) return false;
-    return ownStepMs > STRAGGLER_FLOOR_MS &&
+    return ownStepMs > STRAGGLER_MIN_STEP_MS &&
       ownStepMs > median * STRAGGLER_FACTOR;
   }
 
@@ -156,7 +157,7 @@
    * Whether no other runner is in use. The last one stays: a service that has
    * ejected all of its runners would refuse what one of them might serve.
    */
-  #isLast(runner: string): boolean {
+  #isLastInService(runner: string): boolean {
     return this.#pool.live().every((it) =>
       it.name === runner ||
       this.#pool.state(it.name).ejection.cause !== undefined
@@ -166,9 +167,9 @@
   /** At most half may be out: a slow median is congestion, not a straggler. */
   #mayEject(): boolean {
     const live = this.#pool.live();
-    const out = live.filter((it) =>
+    const ejected = live.filter((it) =>
       this.#pool.state(it.name).ejection.cause !== undefined
     );
-    return (out.length + 1) * 2 <= live.length;
+    return (ejected.length + 1) * 2 <= live.length;
   }
 }
--- a/packages/daemon/src/process/scheduling/runner_pool.ts
+++ b/packages/daemon/src/process/scheduling/runner_pool.ts
@@ -6,16 +6,16 @@
 import type { Class, Service, Table } from "@umbermast/table";
 import type { Runner } from "../runner.ts";
 import type { AskMessage } from "./messages.ts";
-import { PrefixHomes } from "./prefix_affinity.ts";
-import { type Held, RunnerState } from "./runner_state.ts";
+import { PrefixAffinity } from "./prefix_affinity.ts";
+import { type GrantedSlot, RunnerState } from "./runner_state.ts";
 import type { SchedulerSwitches } from "./switches.ts";
 
 const DEFAULT_SLOTS = 16;
 /** A prefix draws a request to a runner this much fuller than the emptiest. */
-const AFFINITY_BOUND = 0.25;
+const AFFINITY_MARGIN = 0.25;
 /** Share of all slots that only the highest tier may use. */
-const HEADROOM = 0.05;
-const RUNNERS_UP = 2;
+const HEADROOM_SHARE = 0.05;
+const MAX_RUNNERS_UP = 2;
 
 /** A runner chosen for an ask. */
 export interface Choice {
@@ -40,7 +40,7 @@
 export class RunnerPool {
   readonly #switches: SchedulerSwitches;
   readonly #states = new Map<string, RunnerState>();
-  readonly #homes = new PrefixHomes();
+  readonly #affinity = new PrefixAffinity();
   #runners: readonly Runner[] = [];
   #classes: ReadonlyMap<string, Class> = new Map();
   #service: Service | undefined;
@@ -57,29 +57,33 @@
   setTable(table: Table, service: string): void {
     this.#classes = new Map(table.classes.map((it) => [it.name, it]));
     this.#service = table.services.find((it) => it.name === service);
-    for (const state of this.#states.values()) state.limit.setBase(this.#base);
+    for (const state of this.#states.values()) {
+      state.limit.setBase(this.#baseSlots);
+    }
   }
 
   /** Takes a new list of runners; those that are gone lose their slots. */
-  setRunners(runners: readonly Runner[]): readonly Held[] {
-    const lost: Held[] = [];
-    const keys = new Map(runners.map((it) => [it.name, it.incarnation]));
-    for (const former of this.#runners) {
-      if (keys.get(former.name) === former.incarnation) continue;
+  setRunners(runners: readonly Runner[]): readonly GrantedSlot[] {
+    const lost: GrantedSlot[] = [];
+    const incarnations = new Map(
+      runners.map((it) => [it.name, it.incarnation]),
+    );
+    for (const previous of this.#runners) {
+      if (incarnations.get(previous.name) === previous.incarnation) continue;
       // A replaced host shares nothing with the former one but its name.
-      lost.push(...this.#states.get(former.name)?.held.values() ?? []);
-      this.#states.delete(former.name);
+      lost.push(...this.#states.get(previous.name)?.held.values() ?? []);
+      this.#states.delete(previous.name);
     }
     this.#runners = runners;
     return lost;
   }
 
   state(runner: string): RunnerState {
-    const known = this.#states.get(runner);
-    if (known !== undefined) return known;
-    const made = new RunnerState(this.#base);
-    this.#states.set(runner, made);
-    return made;
+    const existing = this.#states.get(runner);
+    if (existing !== undefined) return existing;
+    const created = new RunnerState(this.#baseSlots);
+    this.#states.set(runner, created);
+    return created;
   }
 
   /** Runners that may be given something new. */
@@ -103,23 +107,23 @@
       readonly share?: number;
     },
   ): Choice | Busy | None {
-    const possible = this.#runners.filter((it) =>
+    const candidates = this.#runners.filter((it) =>
       it.state === "live" && !ask.excluded.includes(it.name) &&
       this.state(it.name).report?.leaving !== true
     );
-    if (possible.length === 0) return { _tag: "None" };
-    const probe = this.#probe(possible, at.now);
+    if (candidates.length === 0) return { _tag: "None" };
+    const probe = this.#chooseProbe(candidates, at.now);
     if (probe !== undefined) return probe;
-    const sound = possible.filter((it) => this.#inUse(it));
-    const open = (sound.length > 0 ? sound : possible).filter((it) =>
-      this.#hasRoom(it, at) && this.state(it.name).ejection.admits(at.now)
+    const inService = candidates.filter((it) => this.#isInService(it));
+    const open = (inService.length > 0 ? inService : candidates).filter((it) =>
+      this.#hasFreeSlot(it, at) && this.state(it.name).ejection.admits(at.now)
     );
     if (open.length === 0) return { _tag: "Busy" };
     if (!at.highest && !this.#leavesHeadroom(at.now)) return { _tag: "Busy" };
-    return this.#best(ask, { open, now: at.now });
+    return this.#chooseBest(ask, { open, now: at.now });
   }
 
-  #best(
+  #chooseBest(
     ask: AskMessage,
     at: { readonly open: readonly Runner[]; readonly now: number },
   ): Choice {
@@ -130,41 +134,41 @@
       }))
       .sort((left, right) => left.occupancy - right.occupancy);
     const least = ranked[0]!;
-    const home = this.#switches.affinity
-      ? this.#homes.find(ask.prefixDigest)
+    const preferred = this.#switches.affinity
+      ? this.#affinity.find(ask.prefixDigest)
       : undefined;
-    const warm = ranked.find((it) => it.runner.name === home);
-    const chosen =
-      warm !== undefined && warm.occupancy <= least.occupancy + AFFINITY_BOUND
-        ? warm
-        : least;
+    const affine = ranked.find((it) => it.runner.name === preferred);
+    const chosen = affine !== undefined &&
+        affine.occupancy <= least.occupancy + AFFINITY_MARGIN
+      ? affine
+      : least;
     if (this.#switches.affinity) {
-      this.#homes.set(ask.prefixDigest, chosen.runner.name);
+      this.#affinity.set(ask.prefixDigest, chosen.runner.name);
     }
     return {
       _tag: "Choice",
       runner: chosen.runner,
-      why: chosen === warm ? "affinity" : "least_occupied",
-      runnersUp: ranked.filter((it) => it !== chosen).slice(0, RUNNERS_UP)
+      why: chosen === affine ? "affinity" : "least_occupied",
+      runnersUp: ranked.filter((it) => it !== chosen).slice(0, MAX_RUNNERS_UP)
         .map((it) => it.runner.name),
     };
   }
 
   /** An ejected runner whose time has come gets one request as a probe. */
-  #probe(possible: readonly Runner[], now: number): Choice | undefined {
+  #chooseProbe(possible: readonly Runner[], now: number): Choice | undefined {
     if (!this.#switches.ejection) return undefined;
     const due = possible.find((it) =>
-      !this.#inUse(it) && this.state(it.name).ejection.admits(now)
+      !this.#isInService(it) && this.state(it.name).ejection.admits(now)
     );
     if (due === undefined) return undefined;
     return { _tag: "Choice", runner: due, why: "probe", runnersUp: [] };
   }
 
-  #inUse(runner: Runner): boolean {
+  #isInService(runner: Runner): boolean {
     return this.state(runner.name).ejection.cause === undefined;
   }
 
-  #hasRoom(
+  #hasFreeSlot(
     runner: Runner,
     at: { readonly now: number; readonly share?: number },
   ): boolean {
@@ -177,31 +181,31 @@
   #leavesHeadroom(now: number): boolean {
     if (!this.#switches.headroom) return true;
     let free = 0;
-    let all = 0;
+    let total = 0;
     for (const runner of this.#runners) {
-      if (runner.state !== "live" || !this.#inUse(runner)) continue;
+      if (runner.state !== "live" || !this.#isInService(runner)) continue;
       const state = this.state(runner.name);
       free += Math.max(0, state.freeSlots(now));
-      all += state.limit.slots;
+      total += state.limit.slots;
     }
-    return free > Math.floor(all * HEADROOM);
+    return free > Math.floor(total * HEADROOM_SHARE);
   }
 
   /** Takes a slot. */
-  hold(held: Held): void {
+  hold(held: GrantedSlot): void {
     const state = this.state(held.runner);
     state.hold(held);
-    state.ejection.started(held.askId);
+    state.ejection.requestStarted(held.askId);
   }
 
   /** Gives a slot back without learning anything from it. */
-  abandon(held: Held): void {
+  abandon(held: GrantedSlot): void {
     const state = this.state(held.runner);
     state.free(held.askId);
-    state.ejection.ended(held.askId);
+    state.ejection.requestEnded(held.askId);
   }
 
-  get #base(): number {
+  get #baseSlots(): number {
     return this.#service?.slotsPerRunner ?? DEFAULT_SLOTS;
   }
 }
--- a/packages/daemon/src/process/scheduling/runner_state.ts
+++ b/packages/daemon/src/process/scheduling/runner_state.ts
@@ -9,7 +9,7 @@
 import { SlotLimit } from "./slot_limit.ts";
 
 /** A slot that is in use. */
-export interface Held extends HeldSlot {
+export interface GrantedSlot extends HeldSlot {
   /** Daemon that uses it. */
   readonly entry: string;
   /** Charged cost, in tokens of output. */
@@ -21,19 +21,19 @@
 }
 
 /** A report older than this says nothing of other brokers' work. */
-const REPORT_FRESH_MS = 2_000;
+const REPORT_MAX_AGE_MS = 2_000;
 /** Own requests are remembered this long, as reports lag. */
 const LAG_WINDOW_MS = 1_500;
-const STEP_WEIGHT = 0.3;
+const STEP_SMOOTHING = 0.3;
 
 /** Slots in use at one runner, and what was observed of it. */
 export class RunnerState {
   readonly limit: SlotLimit;
   readonly ejection = new Ejection();
-  readonly #held = new Map<string, Held>();
+  readonly #held = new Map<string, GrantedSlot>();
   readonly #byClass = new Map<string, number>();
   #peak = 0;
-  #formerPeak = 0;
+  #previousPeak = 0;
   #peakSince = 0;
   #stepMs: number | undefined;
   #report: LoadReport | undefined;
@@ -56,7 +56,7 @@
     return this.#report;
   }
 
-  get held(): ReadonlyMap<string, Held> {
+  get held(): ReadonlyMap<string, GrantedSlot> {
     return this.#held;
   }
 
@@ -65,19 +65,19 @@
     return [...this.#byClass.keys()];
   }
 
-  hold(held: Held): void {
+  hold(held: GrantedSlot): void {
     if (this.#held.has(held.askId)) return;
     this.#held.set(held.askId, held);
     this.#byClass.set(held.class, (this.#byClass.get(held.class) ?? 0) + 1);
     this.#peak = Math.max(this.#peak, this.inFlight);
   }
 
-  free(askId: string): Held | undefined {
+  free(askId: string): GrantedSlot | undefined {
     const held = this.#held.get(askId);
     if (held === undefined) return undefined;
     this.#held.delete(askId);
-    const left = (this.#byClass.get(held.class) ?? 1) - 1;
-    if (left > 0) this.#byClass.set(held.class, left);
+    const remaining = (this.#byClass.get(held.class) ?? 1) - 1;
+    if (remaining > 0) this.#byClass.set(held.class, remaining);
     else this.#byClass.delete(held.class);
     return held;
   }
@@ -90,14 +90,14 @@
   }
 
   /** Forgets the times between tokens. */
-  forgetSteps(): void {
+  resetStep(): void {
     this.#stepMs = undefined;
   }
 
   /** Learns one time between tokens. */
   observeStep(stepMs: number): void {
     const known = this.#stepMs ?? stepMs;
-    this.#stepMs = known + (stepMs - known) * STEP_WEIGHT;
+    this.#stepMs = known + (stepMs - known) * STEP_SMOOTHING;
   }
 
   /**
@@ -105,30 +105,30 @@
    * most that this broker had here while the report may have been made. Never
    * so many that no slot is left, so that a wrong report cannot close a runner.
    */
-  foreign(now: number): number {
-    this.#turnWindow(now);
+  foreignRequests(now: number): number {
+    this.#rotatePeakWindow(now);
     const report = this.#report;
     if (report === undefined) return 0;
-    if (now - report.receivedAt > REPORT_FRESH_MS) return 0;
-    const ownPeak = Math.max(this.#peak, this.#formerPeak);
-    const beyond = report.running + report.waiting - ownPeak;
-    return Math.max(0, Math.min(beyond, this.limit.slots - 1));
+    if (now - report.receivedAt > REPORT_MAX_AGE_MS) return 0;
+    const ownPeak = Math.max(this.#peak, this.#previousPeak);
+    const excess = report.running + report.waiting - ownPeak;
+    return Math.max(0, Math.min(excess, this.limit.slots - 1));
   }
 
   /** Slots that may still be given. */
   freeSlots(now: number): number {
-    return this.limit.slots - this.inFlight - this.foreign(now);
+    return this.limit.slots - this.inFlight - this.foreignRequests(now);
   }
 
   /** Slots in use in proportion to the limit. */
   occupancy(now: number): number {
-    return (this.inFlight + this.foreign(now)) / this.limit.slots;
+    return (this.inFlight + this.foreignRequests(now)) / this.limit.slots;
   }
 
-  #turnWindow(now: number): void {
+  #rotatePeakWindow(now: number): void {
     if (now - this.#peakSince < LAG_WINDOW_MS) return;
     this.#peakSince = now;
-    this.#formerPeak = this.#peak;
+    this.#previousPeak = this.#peak;
     this.#peak = this.inFlight;
   }
 }
--- a/packages/daemon/src/process/scheduling/service_rate.ts
+++ b/packages/daemon/src/process/scheduling/service_rate.ts
@@ -5,8 +5,8 @@
  */
 
 const WINDOW_MS = 1_000;
-const WEIGHT = 0.3;
-const SECOND_MS = 1_000;
+const SMOOTHING = 0.3;
+const MS_PER_SECOND = 1_000;
 
 /** A smoothed rate over windows in which something waited throughout. */
 export class ServiceRate {
@@ -20,7 +20,7 @@
   }
 
   /** Counts served cost. `backlogged`: something waits still. */
-  served(
+  record(
     cost: number,
     at: { readonly now: number; readonly backlogged: boolean },
   ): void {
@@ -36,9 +36,9 @@
     this.#served += cost;
     const elapsed = at.now - this.#since;
     if (elapsed < WINDOW_MS) return;
-    const rate = this.#served / elapsed * SECOND_MS;
-    const known = this.#perSecond ?? rate;
-    this.#perSecond = known + (rate - known) * WEIGHT;
+    const rate = this.#served / elapsed * MS_PER_SECOND;
+    const previous = this.#perSecond ?? rate;
+    this.#perSecond = previous + (rate - previous) * SMOOTHING;
     this.#since = at.now;
     this.#served = 0;
   }
--- a/packages/daemon/src/process/scheduling/slot_ledger.ts
+++ b/packages/daemon/src/process/scheduling/slot_ledger.ts
@@ -5,12 +5,12 @@
  * @module
  */
 import type { Row, Table } from "@umbermast/table";
-import type { BrokerBooks } from "./broker_state.ts";
+import type { BrokerState } from "./broker_state.ts";
 import { RowIndex } from "./row_index.ts";
 import { RowLimits } from "./row_limits.ts";
 import type { RunnerPool } from "./runner_pool.ts";
-import type { Held } from "./runner_state.ts";
-import type { Waiting } from "./waiting_ask.ts";
+import type { GrantedSlot } from "./runner_state.ts";
+import type { WaitingAsk } from "./waiting_ask.ts";
 
 interface RowKey {
   readonly workspace: string;
@@ -20,17 +20,17 @@
 /** Books slots at runners and under the limits of rows. */
 export class SlotLedger {
   readonly #pool: RunnerPool;
-  readonly #books: BrokerBooks;
+  readonly #state: BrokerState;
   readonly #limits = new RowLimits();
   #rows: RowIndex;
 
   constructor(parts: {
     readonly pool: RunnerPool;
-    readonly books: BrokerBooks;
+    readonly state: BrokerState;
     readonly table: Table;
   }) {
     this.#pool = parts.pool;
-    this.#books = parts.books;
+    this.#state = parts.state;
     this.#rows = new RowIndex(parts.table);
   }
 
@@ -51,11 +51,11 @@
 
   /** Takes a slot for an ask. */
   take(
-    waiting: Waiting,
+    waiting: WaitingAsk,
     at: { readonly runner: string; readonly now: number },
-  ): Held {
+  ): GrantedSlot {
     const { ask, entry, cost } = waiting;
-    const held: Held = {
+    const held: GrantedSlot = {
       askId: ask.askId,
       runner: at.runner,
       workspace: ask.workspace,
@@ -66,34 +66,34 @@
       grantedAt: at.now,
       epoch: ask.epoch,
     };
-    this.#books.addHeld(held);
+    this.#state.addHeld(held);
     this.#pool.hold(held);
     this.#limits.start(this.rowOf(ask), { cost, now: at.now });
     return held;
   }
 
   /** Books a slot that another broker granted; known ones stay as they are. */
-  adopt(held: Held): void {
-    if (this.#books.findHeld(held.askId) !== undefined) return;
-    this.#books.addHeld(held);
+  adopt(held: GrantedSlot): void {
+    if (this.#state.findHeld(held.askId) !== undefined) return;
+    this.#state.addHeld(held);
     this.#pool.hold(held);
     this.#limits.adopt(this.rowOf(held), held.grantedAt);
   }
 
   /** An attempt has ended; its slot is free at the runner already. */
-  settle(held: Held, excess: number): void {
-    this.#limits.end(held, excess);
-    this.#books.removeHeld(held);
+  settle(held: GrantedSlot, excessCost: number): void {
+    this.#limits.end(held, excessCost);
+    this.#state.removeHeld(held);
   }
 
   /** Frees a slot without learning anything from it. */
-  abandon(held: Held): void {
+  abandon(held: GrantedSlot): void {
     this.#pool.abandon(held);
     this.settle(held, 0);
   }
 
   /** The runner is gone, and the slot with it. */
-  lose(held: Held): void {
+  runnerLost(held: GrantedSlot): void {
     this.settle(held, 0);
   }
 }
--- a/packages/daemon/src/process/scheduling/slot_limit.ts
+++ b/packages/daemon/src/process/scheduling/slot_limit.ts
@@ -6,16 +6,16 @@
  */
 
 /** Latency in proportion to its target above which slots are taken away. */
-const TOO_SLOW = 1;
+const DECREASE_THRESHOLD = 1;
 /** Latency in proportion to its target below which slots may be added. */
-const COMFORTABLE = 0.85;
-const DECREASE = 0.85;
+const INCREASE_THRESHOLD = 0.85;
+const DECREASE_FACTOR = 0.85;
 /** Observations of one congested moment must count once. */
 const DECREASE_INTERVAL_MS = 500;
 /** Bounds in multiples of the table's number of slots. */
-const LEAST = 0.25;
-const MOST = 4;
-const LEAST_REPORTED = 0.5;
+const MIN_FACTOR = 0.25;
+const MAX_FACTOR = 4;
+const MIN_REPORTED_FACTOR = 0.5;
 
 /** Observed latencies over their targets; absent ones were not observed. */
 export interface LatencyRatios {
@@ -37,7 +37,7 @@
   constructor(base: number) {
     this.#base = Math.max(1, base);
     this.#value = this.#base;
-    this.#ceiling = this.#base * MOST;
+    this.#ceiling = this.#base * MAX_FACTOR;
     this.#capacity = this.#base;
   }
 
@@ -53,8 +53,8 @@
    */
   setCapacity(slots: number): void {
     if (slots <= 0) return;
-    const least = Math.max(1, this.#base * LEAST_REPORTED);
-    this.#ceiling = Math.min(this.#base * MOST, Math.max(least, slots));
+    const least = Math.max(1, this.#base * MIN_REPORTED_FACTOR);
+    this.#ceiling = Math.min(this.#base * MAX_FACTOR, Math.max(least, slots));
     this.#capacity = Math.min(this.#base, Math.max(least, slots));
     this.#value = Math.min(this.#value, this.#ceiling);
   }
@@ -64,7 +64,7 @@
     if (base === this.#base) return;
     this.#value = this.#value / this.#base * Math.max(1, base);
     this.#base = Math.max(1, base);
-    this.#ceiling = this.#base * MOST;
+    this.#ceiling = this.#base * MAX_FACTOR;
     this.#capacity = this.#base;
   }
 
@@ -80,13 +80,17 @@
     at: { readonly now: number; readonly saturated: boolean },
   ): void {
     const { between = 0, first = 0 } = ratios;
-    if (between > TOO_SLOW) return this.#decrease(at.now, this.#base * LEAST);
+    if (between > DECREASE_THRESHOLD) {
+      return this.#decrease(at.now, this.#base * MIN_FACTOR);
+    }
     // Late first tokens come from a queue inside the runner, or from a burst of
     // long prompts, which fewer slots do not cure: taking slots away below what
     // the runner runs at once would leave it idle for nothing.
-    if (first > TOO_SLOW) return this.#decrease(at.now, this.#capacity);
+    if (first > DECREASE_THRESHOLD) {
+      return this.#decrease(at.now, this.#capacity);
+    }
     const worst = Math.max(between, first);
-    if (worst > COMFORTABLE || !at.saturated) return;
+    if (worst > INCREASE_THRESHOLD || !at.saturated) return;
     this.#value = Math.min(this.#ceiling, this.#value + 1 / this.#value);
   }
 
@@ -94,6 +98,6 @@
     if (now - this.#decreasedAt < DECREASE_INTERVAL_MS) return;
     if (this.#value <= least) return;
     this.#decreasedAt = now;
-    this.#value = Math.max(1, least, this.#value * DECREASE);
+    this.#value = Math.max(1, least, this.#value * DECREASE_FACTOR);
   }
 }
--- a/packages/daemon/src/process/scheduling/waiting_ask.ts
+++ b/packages/daemon/src/process/scheduling/waiting_ask.ts
@@ -6,7 +6,7 @@
 import type { AskMessage } from "./messages.ts";
 
 /** A waiting ask with what its order depends on. Times are monotonic. */
-export interface Waiting {
+export interface WaitingAsk {
   readonly ask: AskMessage;
   /** Daemon that asked. */
   readonly entry: string;
