--- a/packages/coordination/src/connection/handshake.ts
+++ b/packages/coordination/src/connection/handshake.ts
@@ -66,8 +66,8 @@
 
 /** The hellos of both ends, and the version agreed on. */
 interface Transcript {
-  readonly dialler: Buffer;
-  readonly accepter: Buffer;
+  readonly diallerHello: Buffer;
+  readonly accepterHello: Buffer;
   readonly version: number;
 }
 
@@ -132,10 +132,13 @@
 function deriveSessionKey(
   key: Uint8Array,
   from: Role,
-  link: Transcript,
+  transcript: Transcript,
 ): Buffer {
-  const salt = Buffer.concat([link.dialler, link.accepter]);
-  const info = `umbermast link v${link.version} from ${from}`;
+  const salt = Buffer.concat([
+    transcript.diallerHello,
+    transcript.accepterHello,
+  ]);
+  const info = `umbermast link v${transcript.version} from ${from}`;
   return Buffer.from(hkdfSync("sha256", key, salt, info, KEY_BYTES));
 }
 
@@ -150,18 +153,28 @@
   expected: string,
 ): Effect.fn.Return<Session, LinkClosed> {
   const { socket, reader, key } = options;
-  const dialler = makeHello();
-  socket.write(encodeFrame([dialler]));
-  const accepter = yield* reader.next();
-  const version = yield* checkHello(accepter);
-  const link: Transcript = { dialler, accepter, version };
-  const own = encodeItem(options.self);
-  const proof = computeProof(key, "dialler", [dialler, accepter, own]);
-  socket.write(encodeFrame([proof, own]));
-  const answer = yield* reader.next();
+  const diallerHello = makeHello();
+  socket.write(encodeFrame([diallerHello]));
+  const accepterHello = yield* reader.next();
+  const version = yield* checkHello(accepterHello);
+  const transcript: Transcript = { diallerHello, accepterHello, version };
+  const ownIdentity = encodeItem(options.self);
+  const proof = computeProof(key, "dialler", [
+    diallerHello,
+    accepterHello,
+    ownIdentity,
+  ]);
+  socket.write(encodeFrame([proof, ownIdentity]));
+  const peerProof = yield* reader.next();
   const peer = yield* checkProof(
-    answer,
-    (theirs) => computeProof(key, "accepter", [dialler, accepter, own, theirs]),
+    peerProof,
+    (peerIdentity) =>
+      computeProof(key, "accepter", [
+        diallerHello,
+        accepterHello,
+        ownIdentity,
+        peerIdentity,
+      ]),
   );
   if (peer.name !== expected) {
     return yield* Effect.fail(
@@ -172,8 +185,8 @@
     peer: peer.name,
     incarnation: peer.incarnation,
     version,
-    sealer: new Sealer(deriveSessionKey(key, "dialler", link)),
-    opener: new Opener(deriveSessionKey(key, "accepter", link)),
+    sealer: new Sealer(deriveSessionKey(key, "dialler", transcript)),
+    opener: new Opener(deriveSessionKey(key, "accepter", transcript)),
   };
 });
 
@@ -182,30 +195,31 @@
   options: HandshakeOptions,
 ): Effect.fn.Return<Session, LinkClosed> {
   const { socket, reader, key } = options;
-  const dialler = yield* reader.next();
-  const version = yield* checkHello(dialler);
-  const accepter = makeHello();
-  socket.write(encodeFrame([accepter]));
-  const link: Transcript = { dialler, accepter, version };
-  const proof = yield* reader.next();
-  const theirs = proof.subarray(PROOF_BYTES);
+  const diallerHello = yield* reader.next();
+  const version = yield* checkHello(diallerHello);
+  const accepterHello = makeHello();
+  socket.write(encodeFrame([accepterHello]));
+  const transcript: Transcript = { diallerHello, accepterHello, version };
+  const peerProof = yield* reader.next();
+  const peerIdentity = peerProof.subarray(PROOF_BYTES);
   const peer = yield* checkProof(
-    proof,
-    (identity) => computeProof(key, "dialler", [dialler, accepter, identity]),
+    peerProof,
+    (identity) =>
+      computeProof(key, "dialler", [diallerHello, accepterHello, identity]),
   );
-  const own = encodeItem(options.self);
-  const answer = computeProof(key, "accepter", [
-    dialler,
-    accepter,
-    theirs,
-    own,
+  const ownIdentity = encodeItem(options.self);
+  const proof = computeProof(key, "accepter", [
+    diallerHello,
+    accepterHello,
+    peerIdentity,
+    ownIdentity,
   ]);
-  socket.write(encodeFrame([answer, own]));
+  socket.write(encodeFrame([proof, ownIdentity]));
   return {
     peer: peer.name,
     incarnation: peer.incarnation,
     version,
-    sealer: new Sealer(deriveSessionKey(key, "accepter", link)),
-    opener: new Opener(deriveSessionKey(key, "dialler", link)),
+    sealer: new Sealer(deriveSessionKey(key, "accepter", transcript)),
+    opener: new Opener(deriveSessionKey(key, "dialler", transcript)),
   };
 });
--- a/packages/coordination/src/connection/link.ts
+++ b/packages/coordination/src/connection/link.ts
@@ -1,6 +1,6 @@
 /**
  * One authenticated TCP connection to another member: sends and dispatches
- * messages, matches answers to requests, and handles heartbeats and closing.
+ * messages, matches responses to requests, and handles heartbeats and closing.
  *
  * @module
  */
@@ -127,7 +127,7 @@
     return true;
   }
 
-  /** Sends a request and waits for its answer, without a time-out. */
+  /** Sends a request and waits for its response, without a time-out. */
   request(
     channel: string,
     body: unknown,
@@ -275,7 +275,7 @@
     return Effect.void;
   }
 
-  /** Whether either end is waiting for an answer. */
+  /** Whether either end is waiting for a response. */
   get #hasRequestsInProgress(): boolean {
     return this.#pendingRequests.size > 0 || this.#handlers.hasRunningRequests;
   }
@@ -285,8 +285,8 @@
   }
 
   /**
-   * Sends a control message or an answer. These are exempt from the bound of
-   * the send queue, since a lost answer would cost the requester its whole
+   * Sends a control message or a response. These are exempt from the bound of
+   * the send queue, since a lost response would cost the requester its whole
    * time-out. If the queue reaches twice the bound, the peer is not reading and
    * the link is closed.
    */
--- a/packages/coordination/src/connection/link_handlers.ts
+++ b/packages/coordination/src/connection/link_handlers.ts
@@ -18,7 +18,7 @@
   readonly limit: number;
   /** Scope of the handlers of one-way messages, which outlive the link. */
   readonly scope: Scope.Scope;
-  /** Sends the answer or the failure of a request. */
+  /** Sends the response or the failure of a request. */
   readonly reply: (message: Answer | Failure) => void;
 }
 
@@ -33,7 +33,7 @@
     this.#options = options;
   }
 
-  /** Whether the peer is waiting for an answer. */
+  /** Whether the peer is waiting for a response. */
   get hasRunningRequests(): boolean {
     return this.#running.size > 0;
   }
@@ -68,7 +68,7 @@
     }
     // Refusing avoids a deadlock that backpressure could cause: if both ends
     // stopped reading until their handlers were done, and those handlers waited
-    // for answers on this same link, neither end would read again.
+    // for responses on this same link, neither end would read again.
     if (this.#isAtLimit()) {
       reply({ kind: "failure", id, reason: "busy" });
       return Effect.void;
--- a/packages/coordination/src/connection/linked_peers.ts
+++ b/packages/coordination/src/connection/linked_peers.ts
@@ -109,7 +109,7 @@
     return this.#peer(to).send({ kind: "send", channel, body: message });
   }
 
-  /** Sends a request and waits for the answer of the peer's handler. */
+  /** Sends a request and waits for the response of the peer's handler. */
   request(
     to: string,
     message: { readonly channel: string; readonly body: unknown },
--- a/packages/coordination/src/connection/peer.ts
+++ b/packages/coordination/src/connection/peer.ts
@@ -123,7 +123,7 @@
   /**
    * Returns the link to use. Both ends must prefer the same one of two links,
    * or neither becomes idle. Of two links dialled at the same time they prefer
-   * the one whose dialler has the lesser name; otherwise the newer one, since
+   * the one whose dialler has the lower name; otherwise the newer one, since
    * the end that dialled again has abandoned the older one.
    */
   #preferredLink(): Link | undefined {
--- a/packages/coordination/src/version/published_value.ts
+++ b/packages/coordination/src/version/published_value.ts
@@ -195,7 +195,7 @@
   #sync(): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       while (true) {
-        const [stored, { reached }] = yield* Effect.all([
+        const [storeRead, { reached }] = yield* Effect.all([
           Effect.match(this.#follower.read(), {
             onFailure: () => false,
             onSuccess: () => true,
@@ -205,7 +205,7 @@
         const hasValue = this.#current !== undefined;
         // A daemon that had a value before a pause keeps using it if it reaches
         // neither store nor peers: refusing all callers would make it no newer.
-        if (stored || reached > 0 || hasValue) break;
+        if (storeRead || reached > 0 || hasValue) break;
         yield* Effect.sleep(SYNC_RETRY_MS);
       }
       this.#isSynced = true;
@@ -229,8 +229,8 @@
     source: VersionSource,
   ): boolean {
     const { version, value } = candidate;
-    const before = this.#history.version;
-    if (version <= Math.max(before, this.#rejectedVersion)) return false;
+    const previous = this.#history.version;
+    if (version <= Math.max(previous, this.#rejectedVersion)) return false;
     let decoded: T;
     try {
       decoded = this.#options.decode(value);
@@ -241,7 +241,7 @@
     }
     this.#current = { version, value: decoded };
     this.#history.add(version, value);
-    this.#exchange.broadcast(source, { before });
+    this.#exchange.broadcast(source, { previous });
     for (const listener of [...this.#listeners]) listener(this.#current);
     this.#completeReady();
     return true;
--- a/packages/coordination/src/version/version_exchange.ts
+++ b/packages/coordination/src/version/version_exchange.ts
@@ -71,9 +71,12 @@
   /**
    * Sends the newest version to the members that this process forwards it to.
    */
-  broadcast(source: VersionSource, options: { readonly before: number }): void {
+  broadcast(
+    source: VersionSource,
+    options: { readonly previous: number },
+  ): void {
     const { peers, channel, history } = this.#options;
-    const update = history.updateFor(options.before);
+    const update = history.updateFor(options.previous);
     for (const name of this.#recipients(source)) {
       peers.send(name, channel, update);
     }
@@ -192,10 +195,10 @@
 
   #query(name: string, body: Query): Effect.Effect<VersionUpdate | undefined> {
     const { peers, channel } = this.#options;
-    const answer = peers.request(name, { channel, body }, {
+    const response = peers.request(name, { channel, body }, {
       timeoutMs: QUERY_TIMEOUT_MS,
     });
-    return Effect.match(answer, {
+    return Effect.match(response, {
       onFailure: () => undefined,
       onSuccess: (message) => {
         this.#recordContact();
--- a/packages/coordination/tests/lease_test.ts
+++ b/packages/coordination/tests/lease_test.ts
@@ -66,19 +66,19 @@
 
 test("each term has a higher fencing token than all earlier ones", async (t) => {
   const store = new MemoryStore();
-  const numbers: number[] = [];
+  const tokens: number[] = [];
   for (let term = 0; term < 4; term += 1) {
     const held = lease(store);
     await Effect.runPromise(held.hold((tenure) =>
       Effect.sync(() => {
-        numbers.push(tenure.fencing);
+        tokens.push(tenure.fencing);
       })
     ));
   }
   const last = await holdUntilTestEnd(t, lease(store));
-  const rising = [...numbers, last.fencing];
-  assert.deepEqual(rising, rising.toSorted((a, b) => a - b));
-  assert.equal(new Set(rising).size, 5);
+  const allTokens = [...tokens, last.fencing];
+  assert.deepEqual(allTokens, allTokens.toSorted((a, b) => a - b));
+  assert.equal(new Set(allTokens).size, 5);
 });
 
 test("a released lease can be acquired at once", async () => {
@@ -98,13 +98,13 @@
   const clock = new FakeClock();
   const a = leaseObject(store, { holderId: "a", clock });
   // Its wall clock is far off: only the time for which it observed counts.
-  const other = new FakeClock({ at: 1e12, skew: 1e12 });
-  const b = leaseObject(store, { holderId: "b", clock: other });
+  const otherClock = new FakeClock({ at: 1e12, skew: 1e12 });
+  const b = leaseObject(store, { holderId: "b", clock: otherClock });
   const term = await tryAcquire(a);
   assert.equal(await tryAcquire(b), undefined);
-  other.advance(DURATION_MS - 1);
+  otherClock.advance(DURATION_MS - 1);
   assert.equal(await tryAcquire(b), undefined);
-  other.advance(1);
+  otherClock.advance(1);
   const next = await tryAcquire(b);
   assert.ok(term && next && next.fencing > term.fencing);
 });
@@ -240,16 +240,16 @@
 test("a process that is not wanted does not acquire the lease", async () => {
   const store = new MemoryStore();
   let wanted = false;
-  const asked = Deferred.makeUnsafe<void>();
+  const wantedCalled = Deferred.makeUnsafe<void>();
   const held = lease(store, {
     durationMs: 50,
     wanted: () => {
-      Deferred.doneUnsafe(asked, Effect.void);
+      Deferred.doneUnsafe(wantedCalled, Effect.void);
       return wanted;
     },
   });
   const done = Effect.runPromise(held.hold(() => Effect.void));
-  await Effect.runPromise(Deferred.await(asked));
+  await Effect.runPromise(Deferred.await(wantedCalled));
   assert.equal(store.calls.length, 0);
   wanted = true;
   await done;
--- a/packages/coordination/tests/shares_property_test.ts
+++ b/packages/coordination/tests/shares_property_test.ts
@@ -33,7 +33,7 @@
     readonly index: number;
     readonly again: boolean;
   }
-  /** Delivers a report and its answer, without loss or delay. */
+  /** Delivers a report and its response, without loss or delay. */
   | {
     readonly type: "exchange";
     readonly holder: number;
@@ -98,9 +98,9 @@
   readonly body: ShareReport;
 }
 
-interface AnswerInFlight extends Omit<ReportInFlight, "kind" | "body"> {
-  readonly kind: "answer";
-  readonly answer: GrantResponse;
+interface ResponseInFlight extends Omit<ReportInFlight, "kind" | "body"> {
+  readonly kind: "response";
+  readonly response: GrantResponse;
 }
 
 /**
@@ -114,7 +114,7 @@
   );
   readonly #owners = new Map<string, ShareOwner>();
   readonly #stamps = new Map<string, OwnerTimestamp>();
-  readonly #inFlight: (ReportInFlight | AnswerInFlight)[] = [];
+  readonly #inFlight: (ReportInFlight | ResponseInFlight)[] = [];
   #reports = 0;
 
   constructor() {
@@ -183,16 +183,16 @@
     if (!again) this.#inFlight.splice(index, 1);
     const { holder, owner, report, sentAt } = message;
     if (message.kind === "report") {
-      const answer = decodeResponse(
+      const response = decodeResponse(
         this.#owners.get(owner)?.handleReport(message.body),
       );
-      assert.ok(answer);
+      assert.ok(response);
       const { body: _, ...rest } = message;
-      this.#inFlight.push({ ...rest, kind: "answer", answer });
+      this.#inFlight.push({ ...rest, kind: "response", response });
       return;
     }
-    this.#stamps.set(`${holder}/${owner}`, message.answer.stamp);
-    const granted = message.answer.grants[0] ?? 0;
+    this.#stamps.set(`${holder}/${owner}`, message.response.stamp);
+    const granted = message.response.grants[0] ?? 0;
     this.#holdings[holder]?.applyGrant(owner, { report, sentAt, granted });
   }
 
