--- a/packages/coordination/src/connection/link.ts
+++ b/packages/coordination/src/connection/link.ts
@@ -152,14 +152,14 @@
     const context = this.#context;
     reader.setMaxFrameBytes(context.settings.maxFrameBytes);
     const run = Effect.gen({ self: this }, function* () {
-      const requests = yield* Effect.scope;
+      const requestScope = yield* Effect.scope;
       while (true) {
         const frame = yield* reader.next();
         context.traffic.addReceived(frame.length + LENGTH_BYTES);
         const payload = yield* fromResult(this.#session.opener.open(frame));
         const message = yield* fromResult(decodeLinkMessage(payload));
         this.#activity.recordReceived();
-        yield* this.#dispatch(message, requests);
+        yield* this.#dispatch(message, requestScope);
       }
     });
     return Effect.scoped(run).pipe(
@@ -211,7 +211,7 @@
   tick(): void {
     if (this.#closed !== undefined) return;
     if (this.#drainingSince !== undefined) return this.#tickDraining();
-    if (this.#activity.heartbeatDue(this.#hasRequestsInProgress)) {
+    if (this.#activity.isHeartbeatDue(this.#hasRequestsInProgress)) {
       this.#sendControl({ kind: "heartbeat", digest: this.#context.digest() });
     }
     const liveness = this.#activity.liveness(this.#hasRequestsInProgress);
@@ -232,7 +232,7 @@
 
   #dispatch(
     message: LinkMessage,
-    requests: Scope.Scope,
+    requestScope: Scope.Scope,
   ): Effect.Effect<void> {
     switch (message.kind) {
       case "send":
@@ -240,7 +240,7 @@
         return this.#handlers.handleSend(message);
       case "request":
         this.#recordMessage();
-        return this.#handlers.handleRequest(message, requests);
+        return this.#handlers.handleRequest(message, requestScope);
       case "answer":
         return this.#settle(message.id, Effect.succeed(message.body));
       case "failure": {
@@ -251,7 +251,7 @@
         return this.#settle(message.id, Effect.fail(failure));
       }
       case "cancel":
-        return this.#handlers.cancel(message.id, requests);
+        return this.#handlers.cancel(message.id, requestScope);
       case "heartbeat":
         return Effect.sync(() =>
           this.#context.receiveDigest(this.peer, message.digest)
--- a/packages/coordination/src/connection/link_liveness.ts
+++ b/packages/coordination/src/connection/link_liveness.ts
@@ -63,7 +63,7 @@
   }
 
   /** Whether a heartbeat should be sent. */
-  heartbeatDue(hasRequests: boolean): boolean {
+  isHeartbeatDue(hasRequests: boolean): boolean {
     const { heartbeatMs, idleHeartbeatMs } = this.#settings;
     const intervalMs = this.isActive(hasRequests)
       ? heartbeatMs
