--- a/packages/coordination/src/process/claim_objects.ts
+++ b/packages/coordination/src/process/claim_objects.ts
@@ -181,8 +181,8 @@
     if (object === undefined) return this.#missingSegment(name);
     const records = decodeRecords(object.value);
     if ("_tag" in records) return records;
-    const learntAt = this.#options.clock.monotonic();
-    return { records, version: object.version, knownSince: learntAt };
+    const knownSince = this.#options.clock.monotonic();
+    return { records, version: object.version, knownSince };
   }
 
   #missingSegment(name: number): UnreadableClaims {
--- a/packages/coordination/src/process/http_client.ts
+++ b/packages/coordination/src/process/http_client.ts
@@ -162,13 +162,11 @@
   incoming.on("error", (error) => done(error.message));
   incoming.on("aborted", () => done("The response was cut off"));
   incoming.on("end", () => {
-    if (incoming.complete) {
-      done(toStoreResponse(incoming, Buffer.concat(chunks)));
-    }
+    if (incoming.complete) done(parseResponse(incoming, Buffer.concat(chunks)));
   });
 }
 
-function toStoreResponse(
+function parseResponse(
   incoming: IncomingMessage,
   bytes: Buffer,
 ): StoreResponse | string {
--- a/packages/coordination/src/process/share_message.ts
+++ b/packages/coordination/src/process/share_message.ts
@@ -48,9 +48,9 @@
 
 /** Decodes a response; returns undefined if it is not valid. */
 export function decodeResponse(value: unknown): GrantResponse | undefined {
-  const answer = value as Partial<Record<string, unknown>> | null | undefined;
-  const stamp = decodeTimestamp(answer?.["stamp"]);
-  const grants = answer?.["grants"];
+  const response = value as Partial<Record<string, unknown>> | null | undefined;
+  const stamp = decodeTimestamp(response?.["stamp"]);
+  const grants = response?.["grants"];
   if (stamp === undefined || !Array.isArray(grants)) return undefined;
   return grants.every(isAmount) ? { stamp, grants } : undefined;
 }
--- a/packages/coordination/src/process/share_owner.ts
+++ b/packages/coordination/src/process/share_owner.ts
@@ -50,7 +50,10 @@
     return { stamp: { owner: this.#id, at: now }, grants };
   }
 
-  /** Only a timestamp issued by this process refers to its clock. */
+  /**
+   * Returns a time before which the report cannot have been sent. Only a
+   * timestamp issued by this process refers to its clock.
+   */
   #sentAfter(
     stamp: OwnerTimestamp | undefined,
     now: number,
--- a/packages/coordination/src/process/write_rate_limiter_test.ts
+++ b/packages/coordination/src/process/write_rate_limiter_test.ts
@@ -9,7 +9,7 @@
   const clock = new FakeClock({ at: 1_000 });
   return {
     clock,
-    writes: new WriteRateLimiter(clock, { writesPerSecond: PER_SECOND }),
+    limiter: new WriteRateLimiter(clock, { writesPerSecond: PER_SECOND }),
   };
 }
 
@@ -18,19 +18,19 @@
  * possible.
  */
 function writesWithin(ms: number, setup = rateLimiter()): number {
-  const { clock, writes } = setup;
+  const { clock, limiter } = setup;
   const end = clock.monotonic() + ms;
   for (let count = 0;; count += 1) {
-    clock.advance(writes.reserve());
+    clock.advance(limiter.reserve());
     if (clock.monotonic() >= end) return count;
   }
 }
 
 test("writes after an idle period start without delay", () => {
-  const { writes } = rateLimiter();
-  assert.equal(writes.reserve(), 0);
-  assert.equal(writes.reserve(), 0);
-  assert.notEqual(writes.reserve(), 0);
+  const { limiter } = rateLimiter();
+  assert.equal(limiter.reserve(), 0);
+  assert.equal(limiter.reserve(), 0);
+  assert.notEqual(limiter.reserve(), 0);
 });
 
 test("writes under load stay within the rate", () => {
@@ -40,27 +40,23 @@
 });
 
 test("the write rate drops while the store fails, and recovers afterwards", () => {
-  const { writes } = rateLimiter();
-  const usual = writes.intervalMs;
-  for (let failures = 0; failures < 20; failures += 1) writes.recordFailure();
-  assert.equal(writes.intervalMs, 1_000);
-  for (let successes = 0; successes < 20; successes += 1) {
-    writes.recordSuccess();
-  }
-  assert.equal(writes.intervalMs, usual);
+  const { limiter } = rateLimiter();
+  const usual = limiter.intervalMs;
+  for (let count = 0; count < 20; count += 1) limiter.recordFailure();
+  assert.equal(limiter.intervalMs, 1_000);
+  for (let count = 0; count < 20; count += 1) limiter.recordSuccess();
+  assert.equal(limiter.intervalMs, usual);
 });
 
 test("no write starts before the retry-after time of the store", () => {
-  const { writes } = rateLimiter();
-  writes.recordFailure(5_000);
-  assert.ok(writes.reserve() >= 5_000);
+  const { limiter } = rateLimiter();
+  limiter.recordFailure(5_000);
+  assert.ok(limiter.reserve() >= 5_000);
 });
 
 test("conflicts reduce a writer to half its rate at most", () => {
-  const { writes } = rateLimiter();
-  const usual = writes.intervalMs;
-  for (let conflicts = 0; conflicts < 20; conflicts += 1) {
-    writes.recordConflict();
-  }
-  assert.equal(writes.intervalMs, 2 * usual);
+  const { limiter } = rateLimiter();
+  const usual = limiter.intervalMs;
+  for (let count = 0; count < 20; count += 1) limiter.recordConflict();
+  assert.equal(limiter.intervalMs, 2 * usual);
 });
