--- a/packages/router/src/process/leader_lease.ts
+++ b/packages/router/src/process/leader_lease.ts
@@ -91,7 +91,7 @@
   readonly #leaseMs: number;
   readonly #clock: Clock;
   readonly #log: EventLog;
-  readonly #sight: LeaseObserver;
+  readonly #observer: LeaseObserver;
   readonly #startedAt: Timestamp;
   #holderId = "";
   #ownWrite = false;
@@ -109,7 +109,7 @@
     this.#leaseMs = leaseMs;
     this.#clock = clock;
     this.#log = log;
-    this.#sight = new LeaseObserver(own.incarnation);
+    this.#observer = new LeaseObserver(own.incarnation);
     this.#startedAt = timestampOf(clock);
     this.#actedAt = this.#startedAt;
   }
@@ -137,7 +137,7 @@
 
   /** The latest observation; undefined before the first one. */
   get observation(): LeaseObservation | undefined {
-    const { version: revision, unchangedSince: at } = this.#sight;
+    const { version: revision, unchangedSince: at } = this.#observer;
     if (revision === 0) return undefined;
     return { revision, holderId: this.#holderId, at };
   }
@@ -149,18 +149,18 @@
 
   /** Milliseconds for which the revision that was observed last is unchanged. */
   get unchangedMs(): number {
-    return this.#clock.monotonic() - this.#sight.unchangedSince;
+    return this.#clock.monotonic() - this.#observer.unchangedSince;
   }
 
   /** Whether the lease was released, according to the latest observation. */
   get isReleased(): boolean {
-    return this.#sight.version > 0 && this.#holderId === "";
+    return this.#observer.version > 0 && this.#holderId === "";
   }
 
   /** Records an observation of a neighbour; older revisions are ignored. */
   observe({ revision, holderId, at }: LeaseObservation): void {
-    if (revision <= this.#sight.version) return;
-    this.#sight.observe(revision, at);
+    if (revision <= this.#observer.version) return;
+    this.#observer.observe(revision, at);
     this.#holderId = holderId;
     this.#ownWrite = false;
   }
@@ -184,7 +184,7 @@
       version: found.revision,
       holding: found.record.holding,
     };
-    const free = this.#sight.isFree(seen, this.#clock.monotonic());
+    const free = this.#observer.isFree(seen, this.#clock.monotonic());
     this.#holderId = found?.record.holding.holderId ?? "";
     this.#ownWrite = false;
     if (free) await this.#take(found);
@@ -342,7 +342,7 @@
   }
 
   #recordOwnWrite(revision: number, at: number): void {
-    this.#sight.observe(revision, at);
+    this.#observer.observe(revision, at);
     this.#holderId = this.#own.incarnation;
     this.#ownWrite = true;
   }
