--- a/packages/coordination/src/process/claims.ts
+++ b/packages/coordination/src/process/claims.ts
@@ -20,7 +20,7 @@
 export type ClaimSettlement =
   /** A complete answer was received; it is kept if it is small enough. */
   | { readonly _tag: "Answered"; readonly answer?: KeptAnswer }
-  /** Part of the request was sent, and no complete answer was received. */
+  /** At least part was sent, and no complete answer was received. */
   | { readonly _tag: "MayHaveRun" }
   /** The request was certainly not run; the key is free again. */
   | { readonly _tag: "NotRun" };
