--- a/packages/coordination/src/version/watchers.ts
+++ b/packages/coordination/src/version/watchers.ts
@@ -7,8 +7,8 @@
 import { rendezvous } from "../process/rendezvous.ts";
 
 /**
- * One watcher may fail, and seem alive until that is detected, without any
- * delay.
+ * With two watchers, one may fail, and be considered alive until its failure is
+ * detected, without delaying updates.
  */
 const WATCHERS_PER_DOMAIN = 2;
 
