--- a/packages/daemon/src/process/placement/placement_memory.ts
+++ b/packages/daemon/src/process/placement/placement_memory.ts
@@ -9,7 +9,7 @@
 import type { EngineState } from "./placement_plan.ts";
 
 /** How long a refused model is not tried again at the same engine. */
-const REFUSED_MS = 120_000;
+const REFUSAL_RETENTION_MS = 120_000;
 
 /** What an engine reports of itself. */
 export interface EngineReport {
@@ -18,7 +18,7 @@
   readonly leaving: boolean;
 }
 
-interface Given {
+interface RecentOrder {
   readonly effect: "loading" | "unloaded" | "refused";
   readonly until: number;
 }
@@ -28,10 +28,10 @@
  * which was just unloaded would count as another copy, and the last true copy
  * would be unloaded on its word.
  */
-export class PlacementMemory {
+export class OrderHistory {
   readonly #clock: Clock;
   readonly #reportLagMs: number;
-  readonly #given = new Map<string, Map<string, Given>>();
+  readonly #recentOrders = new Map<string, Map<string, RecentOrder>>();
 
   constructor(
     clock: Clock,
@@ -45,36 +45,40 @@
   }
 
   /** Notes an order and what came of it. */
-  note(runner: Runner, order: EngineOrder, outcome: OrderOutcome): void {
+  record(runner: Runner, order: EngineOrder, outcome: OrderOutcome): void {
     const effect = effectOf(order, outcome);
     if (effect === undefined) return;
     const key = keyOf(runner);
-    const orders = this.#given.get(key) ?? new Map<string, Given>();
-    const lastsMs = effect === "refused" ? REFUSED_MS : this.#reportLagMs;
-    const until = this.#clock.monotonic() + lastsMs;
+    const orders = this.#recentOrders.get(key) ??
+      new Map<string, RecentOrder>();
+    const retentionMs = effect === "refused"
+      ? REFUSAL_RETENTION_MS
+      : this.#reportLagMs;
+    const until = this.#clock.monotonic() + retentionMs;
     orders.set(order.model, { effect, until });
-    this.#given.set(key, orders);
+    this.#recentOrders.set(key, orders);
   }
 
   /** The engine's state: its report, corrected. */
   stateOf(runner: Runner, report: EngineReport): EngineState {
     const now = this.#clock.monotonic();
-    const orders = this.#given.get(keyOf(runner)) ?? new Map<string, Given>();
-    const lately = (effect: Given["effect"]) =>
+    const orders = this.#recentOrders.get(keyOf(runner)) ??
+      new Map<string, RecentOrder>();
+    const recentModels = (effect: RecentOrder["effect"]) =>
       new Set(
         [...orders].filter(([, given]) =>
           given.effect === effect && given.until > now
         ).map(([model]) => model),
       );
-    const unloaded = lately("unloaded");
+    const unloaded = recentModels("unloaded");
     const reported = new Set(report.models);
     return {
       runner: runner.name,
       models: new Set(report.models.filter((model) => !unloaded.has(model))),
       loading: new Set(
-        [...lately("loading")].filter((model) => !reported.has(model)),
+        [...recentModels("loading")].filter((model) => !reported.has(model)),
       ),
-      refused: lately("refused"),
+      refused: recentModels("refused"),
       requests: report.requests,
     };
   }
@@ -88,7 +92,7 @@
 function effectOf(
   { order }: EngineOrder,
   { _tag }: OrderOutcome,
-): Given["effect"] | undefined {
+): RecentOrder["effect"] | undefined {
   if (_tag === "NotSent" || _tag === "Stale") return undefined;
   if (_tag === "Refused") return order === "load" ? "refused" : undefined;
   // An unload of unknown outcome may have been taken: the copy is not counted.
--- a/packages/daemon/src/process/placement/placement_order.ts
+++ b/packages/daemon/src/process/placement/placement_order.ts
@@ -19,7 +19,7 @@
    * Waits for the lease and runs the effect while it is held; interrupts the
    * effect when the lease is lost, and gives the lease up when it ends.
    */
-  hold(during: (tenure: Tenure) => Effect.Effect<void>): Effect.Effect<void>;
+  hold(effect: (tenure: Tenure) => Effect.Effect<void>): Effect.Effect<void>;
 }
 
 /** What came of an order. */
@@ -37,7 +37,7 @@
 
 /** Gives orders to engines. */
 export interface EngineOrders {
-  give(
+  send(
     runner: Runner,
     order: EngineOrder,
     options: { readonly tenure: Tenure },
@@ -51,4 +51,4 @@
 export const NETWORK_MARGIN_MS = 500;
 
 /** The longest time from the first byte of an order to its last effect. */
-export const LONGEST_SEND_MS = ORDER_TIMEOUT_MS + NETWORK_MARGIN_MS;
+export const MAX_SEND_MS = ORDER_TIMEOUT_MS + NETWORK_MARGIN_MS;
--- a/packages/daemon/src/process/placement/placement_orders_http.ts
+++ b/packages/daemon/src/process/placement/placement_orders_http.ts
@@ -10,7 +10,7 @@
 import type { Socket } from "node:net";
 import * as Effect from "effect/Effect";
 import type { Runner } from "../runner.ts";
-import { LONGEST_SEND_MS, ORDER_TIMEOUT_MS } from "./placement_order.ts";
+import { MAX_SEND_MS, ORDER_TIMEOUT_MS } from "./placement_order.ts";
 import type {
   EngineOrder,
   EngineOrders,
@@ -33,7 +33,7 @@
  * process that was paused while it connected finds its tenure over.
  */
 export class HttpEngineOrders implements EngineOrders {
-  give(
+  send(
     runner: Runner,
     order: EngineOrder,
     options: { readonly tenure: Tenure },
@@ -86,7 +86,7 @@
   });
   // The request is written right after this event, in the same turn.
   call.once("socket", () => {
-    if (tenure.remainingMs() >= LONGEST_SEND_MS) return;
+    if (tenure.remainingMs() >= MAX_SEND_MS) return;
     finish({ _tag: "NotSent", reason: "Too little of the lease is left" });
     socket.destroy();
   });
--- a/packages/daemon/src/process/placement/placement_orders_http_test.ts
+++ b/packages/daemon/src/process/placement/placement_orders_http_test.ts
@@ -30,7 +30,7 @@
 
 function give(port: number, tenure: Tenure): Promise<OrderOutcome> {
   return Effect.runPromise(
-    new HttpEngineOrders().give(
+    new HttpEngineOrders().send(
       runnerOf({ port }),
       { order: "load", model: "a" },
       { tenure },
--- a/packages/daemon/src/process/placement/placement_plan.ts
+++ b/packages/daemon/src/process/placement/placement_plan.ts
@@ -19,7 +19,7 @@
 }
 
 /** Copies wanted of a model. */
-export interface CopiesWanted {
+export interface DesiredCopies {
   readonly model: string;
   readonly copies: number;
 }
@@ -41,23 +41,26 @@
  * leaving or silent is no copy to rely on.
  */
 export function planPlacement(
-  wanted: readonly CopiesWanted[],
+  desired: readonly DesiredCopies[],
   engines: readonly EngineState[],
 ): readonly PlacementDecision[] {
   const decisions: PlacementDecision[] = [];
   let states = engines;
-  for (const each of wanted) {
-    const decision = decide(each, states);
+  for (const target of desired) {
+    const decision = decide(target, states);
     if (decision === undefined) continue;
     decisions.push(decision);
     // Two models' decisions must not empty one engine between them.
-    states = states.map((state) => after(state, decision));
+    states = states.map((state) => applyDecision(state, decision));
   }
   return decisions;
 }
 
 /** The state to decide from once an order is given. */
-function after(state: EngineState, decision: PlacementDecision): EngineState {
+function applyDecision(
+  state: EngineState,
+  decision: PlacementDecision,
+): EngineState {
   if (state.runner !== decision.runner) return state;
   const { model, order } = decision;
   if (order === "load") {
@@ -68,50 +71,58 @@
 }
 
 function decide(
-  { model, copies }: CopiesWanted,
+  { model, copies }: DesiredCopies,
   engines: readonly EngineState[],
 ): PlacementDecision | undefined {
-  const holding = engines.filter(({ models }) => models.has(model));
+  const holders = engines.filter(({ models }) => models.has(model));
   const loading = engines.filter(({ loading }) => loading.has(model));
-  const present = holding.length + loading.length;
+  const present = holders.length + loading.length;
   const figures =
-    `wanted=${copies} holding=${holding.length} loading=${loading.length}`;
+    `wanted=${copies} holding=${holders.length} loading=${loading.length}`;
   if (present < copies) {
-    const free = engines.filter((engine) => canLoad(engine, model));
-    return chosen({ order: "load", model }, free.sort(byRoom), figures);
+    const eligible = engines.filter((engine) => canLoad(engine, model));
+    return toDecision(
+      { order: "load", model },
+      eligible.sort(byFewestModels),
+      figures,
+    );
   }
   // A copy that is still loading may fail, so it is none to rely on.
-  const spare = holding.length > copies && holding.length > 1;
-  if (!spare) return undefined;
-  const able = holding.filter(({ models }) => models.size > 1);
-  return chosen({ order: "unload", model }, able.sort(byCrowding), figures);
+  const hasSurplus = holders.length > copies && holders.length > 1;
+  if (!hasSurplus) return undefined;
+  const removable = holders.filter(({ models }) => models.size > 1);
+  return toDecision(
+    { order: "unload", model },
+    removable.sort(byMostModels),
+    figures,
+  );
 }
 
-function chosen(
+function toDecision(
   order: EngineOrder,
   candidates: readonly EngineState[],
   reason: string,
 ): PlacementDecision | undefined {
   const [first, ...others] = candidates.map(({ runner }) => runner);
   if (first === undefined) return undefined;
-  const runnersUp = others.slice(0, RUNNERS_UP);
+  const runnersUp = others.slice(0, MAX_RUNNERS_UP);
   return { ...order, runner: first, runnersUp, reason };
 }
 
 /** Runners-up named in a decision's log line. */
-const RUNNERS_UP = 3;
+const MAX_RUNNERS_UP = 3;
 
 function canLoad(engine: EngineState, model: string): boolean {
   return !engine.models.has(model) && !engine.loading.has(model) &&
     !engine.refused.has(model);
 }
 
-function byRoom(one: EngineState, other: EngineState): number {
+function byFewestModels(one: EngineState, other: EngineState): number {
   return modelCount(one) - modelCount(other) ||
     one.requests - other.requests || byName(one, other);
 }
 
-function byCrowding(one: EngineState, other: EngineState): number {
+function byMostModels(one: EngineState, other: EngineState): number {
   return modelCount(other) - modelCount(one) ||
     one.requests - other.requests || byName(one, other);
 }
--- a/packages/daemon/src/process/placement/placement_task.ts
+++ b/packages/daemon/src/process/placement/placement_task.ts
@@ -9,8 +9,8 @@
 import type { Log } from "../log.ts";
 import type { Runner } from "../runner.ts";
 import type { DemandReader } from "./placement_demand.ts";
-import { PlacementMemory } from "./placement_memory.ts";
-import { LONGEST_SEND_MS } from "./placement_order.ts";
+import { OrderHistory } from "./placement_memory.ts";
+import { MAX_SEND_MS } from "./placement_order.ts";
 import type { EngineOrders, OrderLease } from "./placement_order.ts";
 import { planPlacement } from "./placement_plan.ts";
 import type { EngineState, PlacementDecision } from "./placement_plan.ts";
@@ -22,7 +22,7 @@
 const REPORT_CONCURRENCY = 16;
 
 /** What a placement task works with. */
-export interface PlacementParts {
+export interface PlacementDependencies {
   readonly service: string;
   readonly lease: OrderLease;
   readonly orders: EngineOrders;
@@ -41,9 +41,9 @@
 }
 
 /** What one holder remembers, for as long as it holds the lease. */
-interface Term {
+interface LeaseTerm {
   readonly tenure: Tenure;
-  readonly memory: PlacementMemory;
+  readonly orderHistory: OrderHistory;
   readonly targets: CopyTargets;
 }
 
@@ -61,33 +61,33 @@
  * that a former holder's network delivered late, is made good by the next one.
  */
 export class PlacementTask {
-  readonly #parts: PlacementParts;
+  readonly #dependencies: PlacementDependencies;
 
-  constructor(parts: PlacementParts) {
-    this.#parts = parts;
+  constructor(dependencies: PlacementDependencies) {
+    this.#dependencies = dependencies;
   }
 
   /** Runs for as long as the process. */
   run(): Effect.Effect<never> {
-    const { lease } = this.#parts;
-    return Effect.forever(lease.hold((tenure) => this.#serve(tenure)));
+    const { lease } = this.#dependencies;
+    return Effect.forever(lease.hold((tenure) => this.#runTerm(tenure)));
   }
 
-  #serve(tenure: Tenure): Effect.Effect<void> {
-    const { clock, log, service, intervalMs } = this.#parts;
-    const reportLagMs = this.#parts.reportLagMs ?? DEFAULT_REPORT_LAG_MS;
+  #runTerm(tenure: Tenure): Effect.Effect<void> {
+    const { clock, log, service, intervalMs } = this.#dependencies;
+    const reportLagMs = this.#dependencies.reportLagMs ?? DEFAULT_REPORT_LAG_MS;
     const { fencing } = tenure;
-    const term: Term = {
+    const term: LeaseTerm = {
       tenure,
-      memory: new PlacementMemory(clock, { reportLagMs }),
+      orderHistory: new OrderHistory(clock, { reportLagMs }),
       targets: new CopyTargets(),
     };
     return Effect.gen({ self: this }, function* () {
       log.event("placement_lease_held", { service, fencing });
-      yield* Effect.sleep(LONGEST_SEND_MS + reportLagMs);
+      yield* Effect.sleep(MAX_SEND_MS + reportLagMs);
       while (tenure.remainingMs() > 0) {
-        const last = yield* this.#round(term);
-        if (last) break;
+        const isLast = yield* this.#runRound(term);
+        if (isLast) break;
         yield* Effect.sleep(intervalMs ?? DEFAULT_INTERVAL_MS);
       }
     }).pipe(
@@ -101,55 +101,55 @@
   }
 
   /** One round; true when it must be the last. */
-  #round(term: Term): Effect.Effect<boolean> {
+  #runRound(term: LeaseTerm): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
-      const definition = this.#parts.definition();
+      const definition = this.#dependencies.definition();
       // The service has left the table: give the lease up.
       if (definition?.kind !== "model") return true;
-      const engines = yield* this.#engines(term);
-      const wanted = yield* this.#wanted(term, { definition, engines });
-      for (const decision of planPlacement(wanted, engines)) {
-        const superseded = yield* this.#order(term, decision);
+      const engines = yield* this.#readEngines(term);
+      const desired = yield* this.#desiredCopies(term, { definition, engines });
+      for (const decision of planPlacement(desired, engines)) {
+        const superseded = yield* this.#sendOrder(term, decision);
         if (superseded) return true;
       }
       return false;
     });
   }
 
-  #engines(term: Term): Effect.Effect<readonly EngineState[]> {
-    const { reports, runners } = this.#parts;
+  #readEngines(term: LeaseTerm): Effect.Effect<readonly EngineState[]> {
+    const { reports, runners } = this.#dependencies;
     const live = runners().filter(({ state }) => state === "live");
     const states = Effect.forEach(
       live,
       (runner) =>
         Effect.map(reports.read(runner), (report) => {
           if (report === undefined || report.leaving) return [];
-          return [term.memory.stateOf(runner, report)];
+          return [term.orderHistory.stateOf(runner, report)];
         }),
       { concurrency: REPORT_CONCURRENCY },
     );
-    return Effect.map(states, (found) => found.flat());
+    return Effect.map(states, (engines) => engines.flat());
   }
 
-  #wanted(
-    term: Term,
-    seen: {
+  #desiredCopies(
+    term: LeaseTerm,
+    round: {
       readonly definition: Service;
       readonly engines: readonly EngineState[];
     },
   ) {
-    const { slotsPerRunner, models } = seen.definition;
+    const { slotsPerRunner, models } = round.definition;
     return Effect.map(
-      this.#parts.demand.read(),
+      this.#dependencies.demand.read(),
       ({ requests, complete }) =>
         models.map((model) => {
-          const holding = seen.engines.filter((engine) =>
+          const holders = round.engines.filter((engine) =>
             engine.models.has(model)
           );
           const copies = term.targets.update({
             model,
             requests: requests.get(model) ?? 0,
-            copies: holding.length,
+            copies: holders.length,
             complete,
           }, { slotsPerRunner });
           return { model, copies };
@@ -157,16 +157,19 @@
     );
   }
 
-  #order(term: Term, decision: PlacementDecision): Effect.Effect<boolean> {
-    const { log, orders, runners, service } = this.#parts;
+  #sendOrder(
+    term: LeaseTerm,
+    decision: PlacementDecision,
+  ): Effect.Effect<boolean> {
+    const { log, orders, runners, service } = this.#dependencies;
     const { model, order, reason, runnersUp } = decision;
     const runner = runners().find(({ name }) => name === decision.runner);
     if (runner === undefined) return Effect.succeed(false);
-    const { memory, tenure } = term;
+    const { orderHistory: memory, tenure } = term;
     return Effect.map(
-      orders.give(runner, { order, model }, { tenure }),
+      orders.send(runner, { order, model }, { tenure }),
       (outcome) => {
-        memory.note(runner, decision, outcome);
+        memory.record(runner, decision, outcome);
         log.event("placement_decision", {
           service,
           order,
--- a/packages/daemon/src/process/placement/placement_task_test.ts
+++ b/packages/daemon/src/process/placement/placement_task_test.ts
@@ -6,7 +6,7 @@
 import type { DemandReader } from "./placement_demand.ts";
 import { JumpingClock, runnerOf } from "./placement_fixtures.ts";
 import type { EngineReport } from "./placement_memory.ts";
-import { LONGEST_SEND_MS } from "./placement_order.ts";
+import { MAX_SEND_MS } from "./placement_order.ts";
 import type {
   EngineOrders,
   OrderLease,
@@ -74,10 +74,10 @@
   }
 
   readonly orders: EngineOrders = {
-    give: (runner, order, { tenure }) =>
+    send: (runner, order, { tenure }) =>
       Effect.sync((): OrderOutcome => {
         this.beforeSend();
-        if (tenure.remainingMs() < LONGEST_SEND_MS) {
+        if (tenure.remainingMs() < MAX_SEND_MS) {
           return { _tag: "NotSent", reason: "over" };
         }
         const engine = this.engines.get(runner.name);
@@ -187,7 +187,7 @@
 test("a new holder waits out the former one's longest send and report lag", async () => {
   const pool = new Pool({ r1: new FakeEngine(["a"]) });
   await pool.serve(1, ["a", "b"]);
-  assert.equal(pool.given[0]?.at, LONGEST_SEND_MS + REPORT_LAG_MS);
+  assert.equal(pool.given[0]?.at, MAX_SEND_MS + REPORT_LAG_MS);
 });
 
 // Reports lag: after an unload they still list the model. Counting that copy
--- a/packages/daemon/src/process/scheduling/admission_control.ts
+++ b/packages/daemon/src/process/scheduling/admission_control.ts
@@ -33,7 +33,7 @@
 export interface AdmissionDependencies {
   readonly queue: FairQueue;
   readonly pool: RunnerPool;
-  readonly learning: RunnerFeedback;
+  readonly feedback: RunnerFeedback;
   readonly switches: SchedulerSwitches;
 }
 
@@ -136,7 +136,7 @@
 
   /** When the ask must start for its answer to meet the class's target. */
   #startBy(ask: AskMessage, arrivedAt: number): number {
-    const { pool, learning } = this.#dependencies;
+    const { pool, feedback: learning } = this.#dependencies;
     const target = pool.classOf(ask.class)?.target;
     const bounds: number[] = [];
     if (target?.firstTokenMs !== undefined) {
--- a/packages/daemon/src/process/scheduling/broker.ts
+++ b/packages/daemon/src/process/scheduling/broker.ts
@@ -65,11 +65,16 @@
     });
     const queue = this.#queue;
     const pool = new RunnerPool(service, { table, switches });
-    const learning = new RunnerFeedback(pool, switches);
+    const feedback = new RunnerFeedback(pool, switches);
     pool.setRunners(dependencies.directory.runners(service));
     this.#pool = pool;
-    this.#feedback = learning;
-    this.#admission = new AdmissionControl({ queue, pool, learning, switches });
+    this.#feedback = feedback;
+    this.#admission = new AdmissionControl({
+      queue,
+      pool,
+      feedback: feedback,
+      switches,
+    });
     this.#replies = new BrokerReplies(service, dependencies);
     this.#slots = new SlotLedger({ pool, state: this.#state, table });
     this.#dispatcher = new GrantDispatcher({
@@ -119,8 +124,8 @@
       this.#state.addHeld(regrant);
       return this.#replies.sendGrant(regrant);
     }
-    const former = this.#state.findWaiting(ask.askId);
-    if (former !== undefined) this.#dispatcher.remove(former);
+    const previous = this.#state.findWaiting(ask.askId);
+    if (previous !== undefined) this.#dispatcher.remove(previous);
     this.#admit(this.#admission.estimate(entry, { ask, now }), now);
     this.#drain();
   }
@@ -266,8 +271,8 @@
       return this.#replies.refuse(entry, ask, { code: "deadline_passed" });
     }
     const row = this.#slots.rowOf(ask);
-    const verdict = this.#admission.earlyRefusal(waiting, { now, row });
-    if (verdict !== undefined) return this.#replies.refuse(entry, ask, verdict);
+    const refusal = this.#admission.earlyRefusal(waiting, { now, row });
+    if (refusal !== undefined) return this.#replies.refuse(entry, ask, refusal);
     const { shed } = this.#queue.offer(waiting);
     this.#state.addWaiting(waiting);
     for (const victim of shed) {
--- a/packages/daemon/src/process/scheduling/broker_registry.ts
+++ b/packages/daemon/src/process/scheduling/broker_registry.ts
@@ -116,7 +116,7 @@
       }
       yield* Effect.addFinalizer(() =>
         Effect.sync(() => {
-          for (const end of unsubscribers) end();
+          for (const unsubscribe of unsubscribers) unsubscribe();
         })
       );
       yield* Effect.forkScoped(this.#tickLoop());
--- a/packages/daemon/src/process/scheduling/broker_replies.ts
+++ b/packages/daemon/src/process/scheduling/broker_replies.ts
@@ -40,8 +40,8 @@
   }
 
   /** Grants a slot. */
-  grant(held: GrantedSlot, ask: AskMessage, reason: GrantDetails): void {
-    const { choice, order, waitedMs, stillWaiting } = reason;
+  grant(held: GrantedSlot, ask: AskMessage, details: GrantDetails): void {
+    const { choice, order, waitedMs, stillWaiting } = details;
     this.#log.decision("slot_granted", {
       ...askFields(ask),
       entry: held.entry,
@@ -87,9 +87,9 @@
   refuse(
     entry: string,
     ask: AskMessage,
-    verdict: Pick<Refusal, "code"> & Partial<Refusal>,
+    refusal: Pick<Refusal, "code"> & Partial<Refusal>,
   ): void {
-    const { code, retryAfterMs = DEFAULT_RETRY_AFTER_MS } = verdict;
+    const { code, retryAfterMs = DEFAULT_RETRY_AFTER_MS } = refusal;
     this.#log.decision("ask_refused", {
       ...askFields(ask),
       why: code,
@@ -104,9 +104,9 @@
     this.#send(entry, { type: "beat_reply", service, ...reply });
   }
 
-  #sendRefusal(entry: string, ask: AskMessage, verdict: Refusal): void {
+  #sendRefusal(entry: string, ask: AskMessage, refusal: Refusal): void {
     const { askId, epoch } = ask;
-    this.#send(entry, { type: "refuse", askId, epoch, ...verdict });
+    this.#send(entry, { type: "refuse", askId, epoch, ...refusal });
   }
 }
 
--- a/packages/daemon/src/process/scheduling/fair_queue.ts
+++ b/packages/daemon/src/process/scheduling/fair_queue.ts
@@ -222,8 +222,8 @@
   #compare(left: Flow, right: Flow): number {
     const deficits = this.#deficit(right.class) - this.#deficit(left.class);
     if (deficits !== 0) return deficits;
-    const tiers = this.tierOf(left.class) - this.tierOf(right.class);
-    if (tiers !== 0) return tiers;
+    const tierDifference = this.tierOf(left.class) - this.tierOf(right.class);
+    if (tierDifference !== 0) return tierDifference;
     if (this.#switches.fairQueueing && left.startTag !== right.startTag) {
       return left.startTag - right.startTag;
     }
--- a/packages/daemon/src/process/scheduling/grant_dispatcher.ts
+++ b/packages/daemon/src/process/scheduling/grant_dispatcher.ts
@@ -94,13 +94,13 @@
 
   #grant(
     waiting: WaitingAsk,
-    given: {
+    grant: {
       readonly choice: Choice;
       readonly now: number;
       readonly order: "tier" | "minimum_share";
     },
   ): void {
-    const { choice, now, order } = given;
+    const { choice, now, order } = grant;
     const { state: books, slots, replies: answers, queue } = this.#dependencies;
     books.removeWaiting(waiting);
     const held = slots.take(waiting, { runner: choice.runner.name, now });
--- a/packages/daemon/src/process/scheduling/load_reports.ts
+++ b/packages/daemon/src/process/scheduling/load_reports.ts
@@ -102,10 +102,10 @@
         }
       };
       this.#updatePolls();
-      const end = directory.subscribe(() => this.#updatePolls());
+      const unsubscribe = directory.subscribe(() => this.#updatePolls());
       yield* Effect.addFinalizer(() =>
         Effect.sync(() => {
-          end();
+          unsubscribe();
           this.#updatePolls = () => {};
           this.#agent.destroy();
         })
--- a/packages/daemon/src/process/scheduling/reply_tracker.ts
+++ b/packages/daemon/src/process/scheduling/reply_tracker.ts
@@ -32,9 +32,9 @@
   }
 
   /** Whether a daemon has owed an answer for longer than that. */
-  isOverdue(name: string, patienceMs: number): boolean {
+  isOverdue(name: string, timeoutMs: number): boolean {
     const since = this.#awaitingSince.get(name);
-    return since !== undefined && this.#clock.monotonic() - since > patienceMs;
+    return since !== undefined && this.#clock.monotonic() - since > timeoutMs;
   }
 
   /** Forgets all others: one that has left the view would be asked for ever. */
--- a/packages/daemon/src/process/scheduling/runner_state.ts
+++ b/packages/daemon/src/process/scheduling/runner_state.ts
@@ -96,8 +96,8 @@
 
   /** Learns one time between tokens. */
   observeStep(stepMs: number): void {
-    const known = this.#stepMs ?? stepMs;
-    this.#stepMs = known + (stepMs - known) * STEP_SMOOTHING;
+    const smoothed = this.#stepMs ?? stepMs;
+    this.#stepMs = smoothed + (stepMs - smoothed) * STEP_SMOOTHING;
   }
 
   /**
