--- a/packages/daemon/src/process/placement/placement_demand.ts
+++ b/packages/daemon/src/process/placement/placement_demand.ts
@@ -34,7 +34,7 @@
    *
    * @returns a function that counts it out; later calls have no effect.
    */
-  enter(model: string): () => void {
+  requestStarted(model: string): () => void {
     this.#add(model, 1);
     let counted = true;
     return () => {
--- a/packages/daemon/src/request/placement_demand.ts
+++ b/packages/daemon/src/request/placement_demand.ts
@@ -21,7 +21,7 @@
     const { model } = call;
     if (model === undefined) return this.#inner.run(call, reply);
     return Effect.acquireUseRelease(
-      Effect.sync(() => this.#counter.enter(model)),
+      Effect.sync(() => this.#counter.requestStarted(model)),
       () => this.#inner.run(call, reply),
       (leave) => Effect.sync(leave),
     );
