--- a/packages/daemon/src/placement.ts
+++ b/packages/daemon/src/placement.ts
@@ -9,7 +9,7 @@
 import type { Fleet } from "./fleet.ts";
 import type { Log } from "./process/log.ts";
 import {
-  DemandCounter,
+  LocalDemand,
   PeerDemand,
 } from "./process/placement/placement_demand.ts";
 import { HttpEngineOrders } from "./process/placement/placement_orders_http.ts";
@@ -23,7 +23,7 @@
 /** Placement at this daemon. */
 export interface Placement {
   /** Counts this daemon's calls. */
-  readonly counter: DemandCounter;
+  readonly counter: LocalDemand;
 }
 
 /** Starts a task for each model service, also for those added later. */
@@ -32,7 +32,7 @@
   options: { readonly settings: Settings; readonly log: Log },
 ): Effect.Effect<Placement, never, Scope.Scope> {
   return Effect.gen(function* () {
-    const counter = new DemandCounter();
+    const counter = new LocalDemand();
     const { membership, peers } = fleet.node;
     const demand = new PeerDemand({ counter, membership, peers });
     const { placement } = options.settings;
--- a/packages/daemon/src/process/placement/placement_demand.ts
+++ b/packages/daemon/src/process/placement/placement_demand.ts
@@ -26,7 +26,7 @@
 }
 
 /** Counts this daemon's requests by model. */
-export class DemandCounter {
+export class LocalDemand {
   readonly #counts = new Map<string, number>();
 
   /**
@@ -60,12 +60,12 @@
  * once a round, so the cost stays with one daemon.
  */
 export class PeerDemand implements DemandReader {
-  readonly #counter: DemandCounter;
+  readonly #counter: LocalDemand;
   readonly #membership: Membership;
   readonly #peers: Peers;
 
   constructor(parts: {
-    readonly counter: DemandCounter;
+    readonly counter: LocalDemand;
     readonly membership: Membership;
     readonly peers: Peers;
   }) {
--- a/packages/daemon/src/request/placement_demand.ts
+++ b/packages/daemon/src/request/placement_demand.ts
@@ -4,15 +4,15 @@
  * @module
  */
 import * as Effect from "effect/Effect";
-import type { DemandCounter } from "../process/placement/placement_demand.ts";
+import type { LocalDemand } from "../process/placement/placement_demand.ts";
 import type { Call, CallRunner, Ending, Reply } from "./call.ts";
 
 /** Counts each call as demand for its model, from its arrival to its end. */
 export class CountedCallRunner implements CallRunner {
   readonly #inner: CallRunner;
-  readonly #counter: DemandCounter;
+  readonly #counter: LocalDemand;
 
-  constructor(inner: CallRunner, counter: DemandCounter) {
+  constructor(inner: CallRunner, counter: LocalDemand) {
     this.#inner = inner;
     this.#counter = counter;
   }
--- a/packages/daemon/src/request/placement_demand_test.ts
+++ b/packages/daemon/src/request/placement_demand_test.ts
@@ -3,7 +3,7 @@
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
-import { DemandCounter } from "../process/placement/placement_demand.ts";
+import { LocalDemand } from "../process/placement/placement_demand.ts";
 import type { Call, CallRunner, Ending, Reply } from "./call.ts";
 import { CountedCallRunner } from "./placement_demand.ts";
 
@@ -15,7 +15,7 @@
 }
 
 test("a call counts from its arrival to its end, also when its caller leaves", async () => {
-  const counter = new DemandCounter();
+  const counter = new LocalDemand();
   const end = Deferred.makeUnsafe<Ending>();
   const inner: CallRunner = { run: () => Deferred.await(end) };
   const runner = new CountedCallRunner(inner, counter);
