--- a/packages/daemon/src/placement.ts
+++ b/packages/daemon/src/placement.ts
@@ -9,8 +9,8 @@
 import type { Fleet } from "./fleet.ts";
 import type { Log } from "./process/log.ts";
 import {
+  FleetDemand,
   LocalDemand,
-  PeerDemand,
 } from "./process/placement/placement_demand.ts";
 import { HttpEngineOrders } from "./process/placement/placement_orders_http.ts";
 import { HttpEngineReports } from "./process/placement/placement_reports.ts";
@@ -34,7 +34,7 @@
   return Effect.gen(function* () {
     const counter = new LocalDemand();
     const { membership, peers } = fleet.node;
-    const demand = new PeerDemand({ counter, membership, peers });
+    const demand = new FleetDemand({ counter, membership, peers });
     const { placement } = options.settings;
     if (!placement.enabled) return { counter };
     const scope = yield* Effect.scope;
@@ -62,7 +62,7 @@
   options: {
     readonly settings: Settings;
     readonly log: Log;
-    readonly demand: PeerDemand;
+    readonly demand: FleetDemand;
   },
 ): PlacementTask {
   const { settings, log, demand } = options;
--- a/packages/daemon/src/process/placement/placement_demand.ts
+++ b/packages/daemon/src/process/placement/placement_demand.ts
@@ -59,7 +59,7 @@
  * Asks every member for its counts. Only the holder of a placement lease asks,
  * once a round, so the cost stays with one daemon.
  */
-export class PeerDemand implements DemandReader {
+export class FleetDemand implements DemandReader {
   readonly #counter: LocalDemand;
   readonly #membership: Membership;
   readonly #peers: Peers;
