--- a/packages/daemon/src/process/placement/placement_demand.ts
+++ b/packages/daemon/src/process/placement/placement_demand.ts
@@ -8,7 +8,7 @@
 import * as Result from "effect/Result";
 
 const CHANNEL = "placement-demand";
-const TIMEOUT_MS = 1_000;
+const REQUEST_TIMEOUT_MS = 1_000;
 const CONCURRENCY = 16;
 /** Share of the daemons that must answer for a low figure to be believed. */
 const QUORUM = 0.5;
@@ -17,7 +17,7 @@
 export interface Demand {
   readonly requests: ReadonlyMap<string, number>;
   /** Whether enough daemons were heard to believe that demand is low. */
-  readonly complete: boolean;
+  readonly hasQuorum: boolean;
 }
 
 /** Reads the demand. */
@@ -60,7 +60,7 @@
  * once a round, so the cost stays with one daemon.
  */
 export class FleetDemand implements DemandReader {
-  readonly #counter: LocalDemand;
+  readonly #local: LocalDemand;
   readonly #membership: Membership;
   readonly #peers: Peers;
 
@@ -69,12 +69,12 @@
     readonly membership: Membership;
     readonly peers: Peers;
   }) {
-    this.#counter = parts.counter;
+    this.#local = parts.counter;
     this.#membership = parts.membership;
     this.#peers = parts.peers;
     this.#peers.handle(
       CHANNEL,
-      () => Effect.sync(() => [...this.#counter.counts()]),
+      () => Effect.sync(() => [...this.#local.counts()]),
     );
   }
 
@@ -83,32 +83,38 @@
     const others = this.#membership.view().members
       .map(({ member }) => member.name)
       .filter((name) => name !== own);
-    const asked = Effect.forEach(others, (name) => this.#ask(name), {
-      concurrency: CONCURRENCY,
-    });
-    return Effect.map(asked, (answers) => {
-      const heard = answers.filter((answer) => answer !== undefined);
+    const responses = Effect.forEach(
+      others,
+      (name) => this.#fetchCounts(name),
+      {
+        concurrency: CONCURRENCY,
+      },
+    );
+    return Effect.map(responses, (answers) => {
+      const received = answers.filter((answer) => answer !== undefined);
       return {
-        requests: summed([this.#counter.counts(), ...heard]),
-        complete: heard.length >= others.length * QUORUM,
+        requests: sumCounts([this.#local.counts(), ...received]),
+        hasQuorum: received.length >= others.length * QUORUM,
       };
     });
   }
 
-  #ask(name: string): Effect.Effect<ReadonlyMap<string, number> | undefined> {
+  #fetchCounts(
+    name: string,
+  ): Effect.Effect<ReadonlyMap<string, number> | undefined> {
     const message = { channel: CHANNEL, body: null };
-    const options = { timeoutMs: TIMEOUT_MS };
+    const options = { timeoutMs: REQUEST_TIMEOUT_MS };
     return Effect.map(
       Effect.result(this.#peers.request(name, message, options)),
       (answer) => {
         if (Result.isFailure(answer)) return undefined;
-        return countsIn(answer.success);
+        return parseCounts(answer.success);
       },
     );
   }
 }
 
-function countsIn(body: unknown): ReadonlyMap<string, number> {
+function parseCounts(body: unknown): ReadonlyMap<string, number> {
   const pairs: readonly unknown[] = Array.isArray(body) ? body : [];
   const counts = new Map<string, number>();
   for (const pair of pairs) {
@@ -120,7 +126,7 @@
   return counts;
 }
 
-function summed(
+function sumCounts(
   all: readonly ReadonlyMap<string, number>[],
 ): ReadonlyMap<string, number> {
   const sum = new Map<string, number>();
--- a/packages/daemon/src/process/placement/placement_orders_http.ts
+++ b/packages/daemon/src/process/placement/placement_orders_http.ts
@@ -18,7 +18,7 @@
 } from "./placement_order.ts";
 
 const CONNECT_TIMEOUT_MS = 1_000;
-const MAX_ANSWER_BYTES = 64_000;
+const MAX_RESPONSE_BYTES = 64_000;
 const PRECONDITION_FAILED = 412;
 
 /**
@@ -63,7 +63,7 @@
   }
 }
 
-interface Send {
+interface SendContext {
   readonly socket: Socket;
   readonly runner: Runner;
   readonly order: EngineOrder;
@@ -71,9 +71,9 @@
   readonly finish: (outcome: OrderOutcome) => void;
 }
 
-function send({ socket, runner, order, tenure, finish }: Send): void {
+function send({ socket, runner, order, tenure, finish }: SendContext): void {
   const body = JSON.stringify({ ...order, fencing: tenure.fencing });
-  const call = request({
+  const clientRequest = request({
     createConnection: () => socket,
     host: runner.address,
     port: runner.port,
@@ -85,7 +85,7 @@
     },
   });
   // The request is written right after this event, in the same turn.
-  call.once("socket", () => {
+  clientRequest.once("socket", () => {
     if (tenure.remainingMs() >= MAX_SEND_MS) return;
     finish({ _tag: "NotSent", reason: "Too little of the lease is left" });
     socket.destroy();
@@ -94,18 +94,18 @@
     finish({ _tag: "Unknown", reason: "No answer in time" });
     socket.resetAndDestroy();
   }, ORDER_TIMEOUT_MS);
-  call.on("error", (error) => {
+  clientRequest.on("error", (error) => {
     clearTimeout(timer);
     finish({ _tag: "Unknown", reason: error.message });
   });
-  call.on("response", (response) => {
-    readOutcome(response, call).then((outcome) => {
+  clientRequest.on("response", (response) => {
+    readOutcome(response, clientRequest).then((outcome) => {
       clearTimeout(timer);
       finish(outcome);
       socket.destroy();
     });
   });
-  call.end(body);
+  clientRequest.end(body);
 }
 
 async function readOutcome(
@@ -130,7 +130,7 @@
   try {
     for await (const chunk of response) {
       bytes += chunk.length;
-      if (bytes > MAX_ANSWER_BYTES) call.destroy();
+      if (bytes > MAX_RESPONSE_BYTES) call.destroy();
       chunks.push(chunk);
     }
     const value: unknown = JSON.parse(Buffer.concat(chunks).toString("utf8"));
--- a/packages/daemon/src/process/placement/placement_reports.ts
+++ b/packages/daemon/src/process/placement/placement_reports.ts
@@ -6,10 +6,10 @@
 import { get } from "node:http";
 import * as Effect from "effect/Effect";
 import type { Runner } from "../runner.ts";
-import type { EngineReport } from "./placement_memory.ts";
+import type { EngineReport } from "./order_history.ts";
 
-const TIMEOUT_MS = 1_000;
-const MAX_BYTES = 64_000;
+const REPORT_TIMEOUT_MS = 1_000;
+const MAX_BODY_BYTES = 64_000;
 
 /** Reads engines' reports. */
 export interface EngineReports {
@@ -27,13 +27,13 @@
         port: runner.port,
         path: "/load",
         agent: false,
-        signal: AbortSignal.timeout(TIMEOUT_MS),
+        signal: AbortSignal.timeout(REPORT_TIMEOUT_MS),
       }, (response) => {
         const chunks: Uint8Array[] = [];
         let bytes = 0;
         response.on("data", (chunk: Uint8Array) => {
           bytes += chunk.length;
-          if (bytes > MAX_BYTES) call.destroy();
+          if (bytes > MAX_BODY_BYTES) call.destroy();
           chunks.push(chunk);
         });
         response.on("error", () => finish());
--- a/packages/daemon/src/process/placement/placement_targets.ts
+++ b/packages/daemon/src/process/placement/placement_targets.ts
@@ -9,12 +9,12 @@
 /** Rounds in a row in which fewer are wanted before there is one fewer. */
 const LOWER_ROUNDS = 6;
 /** Share of a runner's slots that a copy is planned to fill. */
-const PLANNED_USE = 0.7;
+const PLANNED_UTILIZATION = 0.7;
 
 interface Target {
   copies: number;
-  above: number;
-  below: number;
+  roundsAbove: number;
+  roundsBelow: number;
 }
 
 /** What a round knows of one model. */
@@ -25,7 +25,7 @@
   /** Copies there are now. */
   readonly copies: number;
   /** Whether enough of the daemons were heard to believe a low figure. */
-  readonly complete: boolean;
+  readonly hasQuorum: boolean;
 }
 
 /**
@@ -40,34 +40,34 @@
     demand: ModelDemand,
     options: { readonly slotsPerRunner: number },
   ): number {
-    const perCopy = options.slotsPerRunner * PLANNED_USE;
-    const wanted = Math.max(1, Math.ceil(demand.requests / perCopy));
-    const target = this.#targetOf(demand, wanted);
-    target.above = wanted > target.copies ? target.above + 1 : 0;
-    const lower = wanted < target.copies && demand.complete;
-    target.below = lower ? target.below + 1 : 0;
-    if (target.above >= RAISE_ROUNDS) {
-      target.copies = wanted;
-      target.above = 0;
+    const perCopy = options.slotsPerRunner * PLANNED_UTILIZATION;
+    const desired = Math.max(1, Math.ceil(demand.requests / perCopy));
+    const target = this.#targetOf(demand, desired);
+    target.roundsAbove = desired > target.copies ? target.roundsAbove + 1 : 0;
+    const isBelow = desired < target.copies && demand.hasQuorum;
+    target.roundsBelow = isBelow ? target.roundsBelow + 1 : 0;
+    if (target.roundsAbove >= RAISE_ROUNDS) {
+      target.copies = desired;
+      target.roundsAbove = 0;
     }
-    if (target.below >= LOWER_ROUNDS) {
+    if (target.roundsBelow >= LOWER_ROUNDS) {
       target.copies -= 1;
-      target.below = 0;
+      target.roundsBelow = 0;
     }
     return target.copies;
   }
 
   /** A new holder starts from what is there, so that taking over moves nothing. */
   #targetOf(demand: ModelDemand, wanted: number): Target {
-    const known = this.#targets.get(demand.model);
-    if (known !== undefined) return known;
+    const existing = this.#targets.get(demand.model);
+    if (existing !== undefined) return existing;
     const copies = Math.max(1, demand.copies);
-    const first = {
+    const created = {
       copies,
-      above: wanted > copies ? RAISE_ROUNDS : 0,
-      below: 0,
+      roundsAbove: wanted > copies ? RAISE_ROUNDS : 0,
+      roundsBelow: 0,
     };
-    this.#targets.set(demand.model, first);
-    return first;
+    this.#targets.set(demand.model, created);
+    return created;
   }
 }
--- a/packages/daemon/src/process/placement/placement_targets_test.ts
+++ b/packages/daemon/src/process/placement/placement_targets_test.ts
@@ -5,12 +5,12 @@
 /** Targets of one model over rounds of requests, with 10 slots a runner. */
 function targetsOver(
   rounds: readonly number[],
-  options: { readonly copies: number; readonly complete?: boolean },
+  options: { readonly copies: number; readonly hasQuorum?: boolean },
 ): readonly number[] {
   const targets = new CopyTargets();
-  const { copies, complete = true } = options;
+  const { copies, hasQuorum = true } = options;
   return rounds.map((requests) =>
-    targets.update({ model: "a", requests, copies, complete }, {
+    targets.update({ model: "a", requests, copies, hasQuorum }, {
       slotsPerRunner: 10,
     })
   );
@@ -54,6 +54,6 @@
 
 test("a figure from too few daemons lowers nothing", () => {
   const rounds = new Array(12).fill(0);
-  const targets = targetsOver(rounds, { copies: 3, complete: false });
+  const targets = targetsOver(rounds, { copies: 3, hasQuorum: false });
   assert.deepEqual(new Set(targets), new Set([3]));
 });
--- a/packages/daemon/src/process/placement/placement_task.ts
+++ b/packages/daemon/src/process/placement/placement_task.ts
@@ -9,7 +9,7 @@
 import type { Log } from "../log.ts";
 import type { Runner } from "../runner.ts";
 import type { DemandReader } from "./placement_demand.ts";
-import { OrderHistory } from "./placement_memory.ts";
+import { OrderHistory } from "./order_history.ts";
 import { MAX_SEND_MS } from "./placement_order.ts";
 import type { EngineOrders, OrderLease } from "./placement_order.ts";
 import { planPlacement } from "./placement_plan.ts";
@@ -141,7 +141,7 @@
     const { slotsPerRunner, models } = round.definition;
     return Effect.map(
       this.#dependencies.demand.read(),
-      ({ requests, complete }) =>
+      ({ requests, hasQuorum }) =>
         models.map((model) => {
           const holders = round.engines.filter((engine) =>
             engine.models.has(model)
@@ -150,7 +150,7 @@
             model,
             requests: requests.get(model) ?? 0,
             copies: holders.length,
-            complete,
+            hasQuorum,
           }, { slotsPerRunner });
           return { model, copies };
         }),
--- a/packages/daemon/src/process/placement/placement_task_test.ts
+++ b/packages/daemon/src/process/placement/placement_task_test.ts
@@ -5,7 +5,7 @@
 import type { Log } from "../log.ts";
 import type { DemandReader } from "./placement_demand.ts";
 import { JumpingClock, runnerOf } from "./placement_fixtures.ts";
-import type { EngineReport } from "./placement_memory.ts";
+import type { EngineReport } from "./order_history.ts";
 import { MAX_SEND_MS } from "./placement_order.ts";
 import type {
   EngineOrders,
@@ -109,7 +109,7 @@
 
   readonly demand: DemandReader = {
     read: () =>
-      Effect.sync(() => ({ requests: this.requests, complete: true })),
+      Effect.sync(() => ({ requests: this.requests, hasQuorum: true })),
   };
 
   readonly log: Log = {
