--- a/packages/daemon/src/process/scheduling/broker.ts
+++ b/packages/daemon/src/process/scheduling/broker.ts
@@ -1,12 +1,12 @@
 /**
- * The broker of one service: orders the asks of all entry daemons and grants
- * them slots at the runners.
+ * The broker of one service. It queues the asks (requests for a slot) of all
+ * entry daemons and grants them slots at the runners.
  *
- * Its state is soft. The entries hold the truth and present it to whichever
- * daemon they take for the broker, so a broker may vanish, or two may act at
- * once, without a grant being lost or doubled: an ask is known by its id, a
- * grant names the ask's epoch, and an entry takes only the one of the epoch in
- * which it last asked.
+ * The broker's state is soft. Entry daemons are authoritative and send snapshots
+ * of their asks and slots to the daemon that they consider the broker. A broker
+ * may therefore fail, or two may be active at once, without a grant being lost or
+ * duplicated: an ask is identified by its id, a grant carries the ask's epoch,
+ * and an entry accepts only a grant with the epoch of its latest ask.
  *
  * @module
  */
@@ -16,7 +16,6 @@
 import { BrokerState } from "./broker_state.ts";
 import type { BrokerDependencies } from "./broker_dependencies.ts";
 import { FairQueue } from "./fair_queue.ts";
-
 import { GrantDispatcher } from "./grant_dispatcher.ts";
 import type {
   AskMessage,
@@ -31,10 +30,11 @@
 import { SlotLedger } from "./slot_ledger.ts";
 import type { WaitingAsk } from "./waiting_ask.ts";
 
-/** An entry that says nothing for this long is granted nothing. */
+/** An entry that sends nothing for this long gets no grants. */
 const ENTRY_IDLE_MS = 2_000;
-/** An entry that says nothing for this long has lost what it asked and held. */
+/** An entry that sends nothing for this long loses its asks and its slots. */
 const ENTRY_TIMEOUT_MS = 6_000;
+/** Consecutive mismatching heartbeats after which a snapshot is requested. */
 const MISMATCHES_BEFORE_RESYNC = 2;
 
 /** Grants the slots of one service's runners to the asks of all entry daemons. */
@@ -89,37 +89,37 @@
     this.#lastActivityAt = this.#now;
   }
 
-  /** Milliseconds since an entry was last heard. */
+  /** Milliseconds since the last message from any entry. */
   get idleMs(): number {
     return this.#now - this.#lastActivityAt;
   }
 
-  /** Asks that wait here. */
+  /** Number of waiting asks. */
   get waitingCount(): number {
     return this.#state.waitingCount;
   }
 
-  /** Slots in use through this broker. */
+  /** Number of slots granted by this broker and still in use. */
   get inFlight(): number {
     return this.#state.inFlight;
   }
 
   /**
-   * Grants nothing for a while. A broker that has just begun knows only the
-   * slots of the entries that have presented theirs; granting at once would
-   * give the others' slots a second time.
+   * Suspends granting for a period. A new broker has the slots only of those
+   * entries that have sent a snapshot; granting immediately would grant the
+   * other entries' slots a second time.
    */
   pauseGranting(ms: number): void {
     this.#grantsFrom = this.#now + ms;
   }
 
-  /** Takes an ask. One that is known already changes nothing but its epoch. */
+  /** Handles an ask. For a known ask, only the epoch is updated. */
   ask(entry: string, ask: AskMessage): void {
     const now = this.#recordActivity(entry);
     const held = this.#state.findHeld(ask.askId);
     if (held !== undefined) {
-      // The entry asks again since it did not get the grant: the link dropped
-      // it. The same slot is granted again, so none is lost and none doubled.
+      // The link dropped the grant, so the entry repeats its ask. Granting the
+      // same slot again neither loses nor duplicates one.
       const regrant = { ...held, entry, epoch: ask.epoch };
       this.#state.addHeld(regrant);
       return this.#replies.sendGrant(regrant);
@@ -130,7 +130,7 @@
     this.#drain();
   }
 
-  /** Forgets an ask, or frees the slot that was granted to it meanwhile. */
+  /** Removes an ask, or frees the slot that was granted to it in the meantime. */
   withdraw(entry: string, askId: string): void {
     this.#recordActivity(entry);
     const waiting = this.#state.findWaiting(askId);
@@ -140,7 +140,7 @@
     this.#drain();
   }
 
-  /** Frees a slot and settles what it cost. */
+  /** Frees a slot and corrects its charge to the actual cost. */
   release(entry: string, message: ReleaseMessage): void {
     const now = this.#recordActivity(entry);
     const held = this.#state.findHeld(message.askId);
@@ -155,7 +155,7 @@
     this.#drain();
   }
 
-  /** Takes all that an entry has in place of what was known of it. */
+  /** Replaces the state of an entry with the entry's own snapshot. */
   applySnapshot(entry: string, message: EntrySnapshotMessage): void {
     const now = this.#recordActivity(entry);
     this.#state.resetMismatches(entry);
@@ -165,8 +165,8 @@
       if (!waiting.has(known.ask.askId)) this.#dispatcher.remove(known);
     }
     for (const known of this.#state.heldSlots(entry)) {
-      // One that the entry still waits for is on its way to it, or was lost on
-      // the way: the ask that follows gets the same grant again.
+      // If the entry still waits for this slot, the grant is in transit or was
+      // lost; the entry's next ask gets the same grant again.
       if (held.has(known.askId) || waiting.has(known.askId)) continue;
       this.#slots.abandon(known);
     }
@@ -174,7 +174,7 @@
     this.#drain();
   }
 
-  /** Answers a sign of life, and asks for a presentation when books differ. */
+  /** Replies to a heartbeat; requests a snapshot if the counts keep differing. */
   heartbeat(entry: string, message: HeartbeatMessage): void {
     this.#recordActivity(entry);
     const mismatches = this.#state.compareCounts(entry, message);
@@ -182,7 +182,7 @@
     this.#replies.replyToHeartbeat(entry, { resync });
   }
 
-  /** Takes the runners that the directory has now; slots at others are lost. */
+  /** Applies the directory's current runners; slots at removed ones are lost. */
   runnersChanged(): void {
     const runners = this.#dependencies.directory.runners(this.#service);
     for (const held of this.#pool.setRunners(runners)) {
@@ -191,7 +191,7 @@
     this.#drain();
   }
 
-  /** The table has changed; what waits is ordered and limited by it at once. */
+  /** Applies a new table, which also orders and limits asks that already wait. */
   tableChanged(table: Table): void {
     this.#slots.setTable(table);
     this.#queue.setTable(table);
@@ -199,7 +199,7 @@
     this.#drain();
   }
 
-  /** Learns from a runner's newest report, and grants what it makes room for. */
+  /** Applies a runner's latest load report and grants the slots that it frees. */
   reportReceived(runner: string): void {
     const report = this.#dependencies.reports.get(runner);
     if (report === undefined) return;
@@ -207,7 +207,10 @@
     this.#drain();
   }
 
-  /** An entry has left or died: its asks go, and its slots after a while. */
+  /**
+   * Removes the asks of an entry that has left or failed. Its slots are freed
+   * after {@linkcode ENTRY_TIMEOUT_MS}.
+   */
   entryGone(entry: string): void {
     for (const waiting of this.#state.waitingAsks(entry)) {
       this.#dispatcher.remove(waiting);
@@ -215,7 +218,7 @@
     this.#drain();
   }
 
-  /** To be called several times a second. */
+  /** Expires entries and asks; must be called several times a second. */
   tick(): void {
     const now = this.#detectPause();
     for (const entry of this.#state.entries) {
@@ -241,10 +244,10 @@
   }
 
   /**
-   * The present moment, after a check that this process was not paused. A
-   * broker that wakes from a pause believes in asks that its entries have long
-   * taken elsewhere; granting them would fill runners with work that nobody
-   * sends. All is forgotten; the entries that still hold to it present anew.
+   * Returns the current time and resets the broker if this process was paused.
+   * After a pause, entries have moved their asks to another broker; granting
+   * those asks would occupy slots for requests that nobody sends. The broker
+   * drops all its state and requests a snapshot from every entry.
    */
   #detectPause(): number {
     const now = this.#now;
@@ -289,7 +292,7 @@
     if (now >= this.#grantsFrom) this.#dispatcher.drain(now);
   }
 
-  /** Takes in a slot that another broker granted. */
+  /** Registers a slot that another broker granted. */
   #adopt(entry: string, slot: HeldSlot, now: number): void {
     const waiting = this.#state.findWaiting(slot.askId);
     if (waiting !== undefined) this.#dispatcher.remove(waiting);
--- a/packages/daemon/src/process/scheduling/broker_assignment.ts
+++ b/packages/daemon/src/process/scheduling/broker_assignment.ts
@@ -1,16 +1,17 @@
 /**
- * Which daemon brokers a service: rendezvous hashing with bounded load.
+ * Assignment of services to broker daemons by rendezvous hashing with bounded
+ * loads.
  *
  * @module
  */
 import { Rendezvous, type View } from "@umbermast/coordination";
 
-/** A daemon brokers at most this many times the mean number of services. */
+/** Maximum number of services of a broker, as a multiple of the mean. */
 const LOAD_BOUND = 1.25;
 
 /**
- * Orders the members for each service, its broker first, then its successors.
- * Every daemon with the same view gets the same answer.
+ * Orders the members for each service: the broker first, then its successors.
+ * Daemons with the same view compute the same order.
  */
 export function assignBrokers(
   names: readonly string[],
@@ -27,9 +28,10 @@
 }
 
 /**
- * Names that may broker in a view. Suspects stay: a suspicion that proves wrong
- * would otherwise move every ask twice, and a dead one is noticed sooner by its
- * missing answers. Leaving members are passed over.
+ * Names of the members of a view that may be brokers. Suspected members are
+ * included: a false suspicion would otherwise move every ask twice, and a failed
+ * broker is detected sooner by its missing replies. Leaving members are excluded
+ * unless all members are leaving.
  */
 export function brokerCandidates(view: View): readonly string[] {
   const staying = view.members.filter((it) => it.state !== "leaving");
--- a/packages/daemon/src/process/scheduling/broker_dependencies.ts
+++ b/packages/daemon/src/process/scheduling/broker_dependencies.ts
@@ -1,5 +1,5 @@
 /**
- * What the scheduler's broker stands on.
+ * Dependencies of the scheduler's broker.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 import type { EntryMessage } from "./messages.ts";
 import type { SchedulerSwitches } from "./switches.ts";
 
-/** What a broker works with. */
+/** Collaborators and options of a broker. */
 export interface BrokerDependencies {
   readonly directory: RunnerDirectory;
   readonly reports: LoadReports;
@@ -21,8 +21,11 @@
   readonly log: Log;
   readonly switches: SchedulerSwitches;
   readonly bounds?: QueueBounds;
-  /** Sends to an entry; this daemon's own entry too. */
+  /** Sends a message to an entry, including this daemon's own. */
   readonly send: (entry: string, message: EntryMessage) => void;
-  /** Daemons that take part; a lone one gets its share of the slots. */
+  /**
+   * Number of member daemons. An entry that reaches no broker may use only the
+   * slots divided by this number.
+   */
   readonly members: () => number;
 }
--- a/packages/daemon/src/process/scheduling/broker_finder.ts
+++ b/packages/daemon/src/process/scheduling/broker_finder.ts
@@ -1,6 +1,5 @@
 /**
- * Which daemon this one takes for the broker of a service, in view of which
- * members answer.
+ * Lookup of the broker of a service in this daemon's current view.
  *
  * @module
  */
@@ -8,7 +7,7 @@
 import type { RunnerDirectory } from "../runner_directory.ts";
 import { assignBrokers, brokerCandidates } from "./broker_assignment.ts";
 
-/** Orders the daemons for each service by the present view. */
+/** Orders the daemons for each service by the current view; caches the result. */
 export class BrokerFinder {
   readonly #membership: Membership | undefined;
   readonly #directory: RunnerDirectory;
@@ -28,7 +27,7 @@
     return this.#membership?.self.name ?? "";
   }
 
-  /** The daemons for a service, the broker first, then its successors. */
+  /** Daemons for a service: the broker first, then its successors. */
   rank(service: string): readonly string[] {
     if (this.#membership === undefined) return [this.self];
     this.#refresh(this.#membership);
--- a/packages/daemon/src/process/scheduling/broker_registry.ts
+++ b/packages/daemon/src/process/scheduling/broker_registry.ts
@@ -1,9 +1,10 @@
 /**
- * The brokers that run at this daemon, one for each service it is asked for.
+ * The brokers that run in this daemon, one for each service that it receives
+ * asks for.
  *
- * A daemon brokers for whoever takes it for the broker, whatever its own view
- * says: views differ for moments, and a refusal would leave the asker without
- * any broker just then.
+ * A daemon acts as the broker for any entry that addresses it, even if its own
+ * view names another daemon. Views differ briefly, and a refusal would leave the
+ * entry without a broker in that time.
  *
  * @module
  */
@@ -22,14 +23,17 @@
 } from "./messages.ts";
 
 const TICK_MS = 50;
-/** Entries present what they hold within this time of a change of broker. */
+/** Time within which entries send their snapshots after a change of broker. */
 const HANDOVER_MS = 150;
-/** A daemon that no longer brokers a service stops polling its runners. */
+/**
+ * Time without messages after which a broker is removed, so that the daemon
+ * stops polling the service's runners.
+ */
 const IDLE_TIMEOUT_MS = 60_000;
-/** Services come from asks, so a faulty peer could name any number of them. */
+/** Service names come from asks; a faulty peer could send any number of them. */
 const MAX_BROKERS = 1_000;
 
-/** What a broker host works with. */
+/** Dependencies of a broker registry. */
 export interface BrokerRegistryDependencies
   extends Omit<BrokerDependencies, "send" | "members"> {
   /** Absent in a daemon without peers. */
@@ -37,15 +41,14 @@
   readonly membership?: Membership;
 }
 
-/** Runs brokers and passes messages between them and the entries. */
+/** Runs brokers and routes messages between them and the entries. */
 export class BrokerRegistry {
   readonly #dependencies: BrokerRegistryDependencies;
   readonly #brokers = new Map<string, Broker>();
   #deliverLocally: (message: EntryMessage) => void = () => {};
   #members: ReadonlySet<string> = new Set();
-
   readonly #finder: BrokerFinder;
-  /** Services that this daemon takes itself to be the broker of. */
+  /** Services whose broker is this daemon according to its own view. */
   readonly #ownedServices = new Set<string>();
 
   constructor(dependencies: BrokerRegistryDependencies) {
@@ -56,17 +59,22 @@
     });
   }
 
-  /** The broker of a service, if it was ever asked for here. */
+  /** The broker of a service, if one runs here. */
   find(service: string): Broker | undefined {
     return this.#brokers.get(service);
   }
 
-  /** Sets where grants and refusals for this daemon's own entry go. */
+  /** Sets the receiver of messages to this daemon's own entry. */
   connectLocalEntry(deliver: (message: EntryMessage) => void): void {
     this.#deliverLocally = deliver;
   }
 
-  /** Takes a message of an entry; `self` for this daemon's own. */
+  /**
+   * Handles a message from an entry.
+   *
+   * @param from name of the entry daemon; this daemon's own name for its own
+   * entry.
+   */
   receive(from: string, message: BrokerMessage): void {
     const broker = this.#brokerOf(message.service);
     if (broker === undefined) return;
@@ -84,7 +92,10 @@
     }
   }
 
-  /** Serves peers and follows runners, reports, table and view until the scope closes. */
+  /**
+   * Handles messages from peers and subscribes to runners, load reports, table
+   * and view until the scope closes.
+   */
   start(): Effect.Effect<void, never, Scope.Scope> {
     return Effect.gen({ self: this }, function* () {
       const { directory, reports, table, peers, membership } =
@@ -133,7 +144,7 @@
     }));
   }
 
-  /** Forgets a broker that nobody has asked for a while. */
+  /** Removes an idle broker. */
   #close(service: string): void {
     this.#brokers.delete(service);
     this.#ownedServices.delete(service);
@@ -183,12 +194,12 @@
 
   #send(entry: string, message: EntryMessage): void {
     if (entry === this.#self) {
-      // Delivered later, as over a link: an answer that came back within the
-      // broker's own step would change its books halfway through.
+      // Delivered asynchronously, as over a link: a reply that the entry handles
+      // synchronously would modify the broker's state in the middle of a step.
       return queueMicrotask(() => this.#deliverLocally(message));
     }
-    // A grant that no link takes is found by the entry's next beat, whose count
-    // differs from the broker's account of it.
+    // A grant that could not be sent is detected at the entry's next heartbeat,
+    // whose counts then differ from the broker's state.
     this.#dependencies.peers?.send(entry, TO_ENTRY, message);
   }
 
--- a/packages/daemon/src/process/scheduling/broker_replies.ts
+++ b/packages/daemon/src/process/scheduling/broker_replies.ts
@@ -1,5 +1,5 @@
 /**
- * What a broker answers to entries, with a log line for each decision.
+ * A broker's replies to entries, with a log line for each decision.
  *
  * @module
  */
@@ -10,17 +10,17 @@
 import type { GrantedSlot } from "./runner_state.ts";
 import type { WaitingAsk } from "./waiting_ask.ts";
 
-/** A grant that was not used by then is of no use. */
+/** Validity of a grant; an entry must use it within this time. */
 export const GRANT_VALIDITY_MS = 5_000;
 const DEFAULT_RETRY_AFTER_MS = 1_000;
 
-/** What is said of a grant. */
+/** Details of a grant, for the log. */
 export interface GrantDetails {
   readonly choice: Choice;
-  /** What put the ask first. */
+  /** Rule by which the ask was served before the others. */
   readonly order: "tier" | "minimum_share";
   readonly waitedMs: number;
-  /** Asks that wait on. */
+  /** Number of asks that still wait. */
   readonly stillWaiting: number;
 }
 
@@ -39,7 +39,7 @@
     this.#send = parts.send;
   }
 
-  /** Grants a slot. */
+  /** Logs and sends a new grant. */
   grant(held: GrantedSlot, ask: AskMessage, details: GrantDetails): void {
     const { choice, order, waitedMs, stillWaiting } = details;
     this.#log.decision("slot_granted", {
@@ -55,7 +55,7 @@
     this.sendGrant(held);
   }
 
-  /** Sends a grant, for the first time or again. */
+  /** Sends a grant; also used to resend one. */
   sendGrant(held: GrantedSlot): void {
     this.#send(held.entry, {
       type: "grant",
@@ -67,7 +67,7 @@
     });
   }
 
-  /** Sheds an ask to make room. */
+  /** Refuses a waiting ask that was shed because the queue is full. */
   shed(
     waiting: WaitingAsk,
     state: { readonly tier: number; readonly waiting: number },
@@ -98,7 +98,7 @@
     this.#sendRefusal(entry, ask, { code, retryAfterMs });
   }
 
-  /** Answers a beat; `resync` asks the entry to present all that it has. */
+  /** Replies to a heartbeat; `resync` requests a snapshot from the entry. */
   replyToHeartbeat(entry: string, reply: { readonly resync: boolean }): void {
     const service = this.#service;
     this.#send(entry, { type: "beat_reply", service, ...reply });
--- a/packages/daemon/src/process/scheduling/broker_state.ts
+++ b/packages/daemon/src/process/scheduling/broker_state.ts
@@ -1,54 +1,55 @@
 /**
- * What waits and what is held at a broker, by ask and by entry daemon.
+ * The soft state of a broker: waiting asks and granted slots, indexed by ask and
+ * by entry daemon.
  *
  * @module
  */
 import type { GrantedSlot } from "./runner_state.ts";
 import type { WaitingAsk } from "./waiting_ask.ts";
 
-/** What one entry has here. */
+/** The asks and slots of one entry. */
 interface EntryAccount {
   /** Monotonic milliseconds of its last message. */
   lastActivityAt: number;
   readonly waitingAsks: Set<string>;
   readonly heldSlots: Set<string>;
-  /** Beats in a row that did not match this account. */
+  /** Consecutive heartbeats whose counts did not match this account. */
   mismatches: number;
 }
 
-/** Waiting asks and held slots, and whose they are. */
+/** Waiting asks and granted slots, with the entries that own them. */
 export class BrokerState {
   readonly #waiting = new Map<string, WaitingAsk>();
   readonly #held = new Map<string, GrantedSlot>();
   readonly #accounts = new Map<string, EntryAccount>();
   readonly #heldByClass = new Map<string, number>();
 
-  /** Asks that wait. */
+  /** Number of waiting asks. */
   get waitingCount(): number {
     return this.#waiting.size;
   }
 
-  /** Slots in use. */
+  /** Number of slots in use. */
   get inFlight(): number {
     return this.#held.size;
   }
 
-  /** Slots in use by a class. */
+  /** Number of slots in use by a class. */
   inFlightOf(className: string): number {
     return this.#heldByClass.get(className) ?? 0;
   }
 
-  /** Entries that have been heard. */
+  /** Entries that have sent a message. */
   get entries(): readonly string[] {
     return [...this.#accounts.keys()];
   }
 
-  /** Notes a sign of life. */
+  /** Records that an entry has sent a message. */
   recordActivity(entry: string, now: number): void {
     this.#account(entry).lastActivityAt = now;
   }
 
-  /** Milliseconds since an entry was last heard. */
+  /** Milliseconds since the last message from an entry. */
   idleMs(entry: string, now: number): number {
     return now - (this.#accounts.get(entry)?.lastActivityAt ?? -Infinity);
   }
@@ -61,7 +62,7 @@
     return this.#held.get(askId);
   }
 
-  /** What waits, of one entry or of all. */
+  /** Waiting asks of one entry, or of all entries. */
   waitingAsks(entry?: string): readonly WaitingAsk[] {
     if (entry === undefined) return [...this.#waiting.values()];
     const ids = this.#accounts.get(entry)?.waitingAsks ?? [];
@@ -69,7 +70,7 @@
       .filter((it) => it !== undefined);
   }
 
-  /** What an entry holds. */
+  /** Slots that an entry holds. */
   heldSlots(entry: string): readonly GrantedSlot[] {
     const ids = this.#accounts.get(entry)?.heldSlots ?? [];
     return [...ids].map((id) => this.#held.get(id))
@@ -86,7 +87,7 @@
     this.#accounts.get(waiting.entry)?.waitingAsks.delete(waiting.ask.askId);
   }
 
-  /** Books a slot, in place of an earlier booking of the same ask. */
+  /** Adds a slot and replaces an earlier one of the same ask. */
   addHeld(held: GrantedSlot): void {
     const former = this.#held.get(held.askId);
     if (former !== undefined) this.removeHeld(former);
@@ -101,16 +102,16 @@
     this.#accounts.get(held.entry)?.heldSlots.delete(held.askId);
   }
 
-  /** Forgets an entry that has nothing here any more. */
+  /** Removes an entry that has neither asks nor slots left. */
   removeEntry(entry: string): void {
     this.#accounts.delete(entry);
   }
 
   /**
-   * Sets an entry's own counts against the books.
+   * Compares an entry's own counts with this state.
    *
-   * @returns how many times in a row they have differed. Messages under way make
-   * them differ for a moment; a difference that stays means that one was lost.
+   * @returns the number of consecutive mismatches. Messages in transit cause
+   * brief mismatches; a lasting mismatch means that a message was lost.
    */
   compareCounts(
     entry: string,
@@ -123,7 +124,7 @@
     return account.mismatches;
   }
 
-  /** An entry has presented all that it has. */
+  /** Resets the mismatches of an entry after its snapshot. */
   resetMismatches(entry: string): void {
     this.#account(entry).mismatches = 0;
   }
--- a/packages/daemon/src/process/scheduling/reply_tracker.ts
+++ b/packages/daemon/src/process/scheduling/reply_tracker.ts
@@ -1,43 +1,46 @@
 /**
- * Which other daemons owe this one an answer, and since when.
+ * Tracking of replies that this daemon awaits from other daemons.
  *
  * @module
  */
 import type { Clock } from "@umbermast/coordination";
 
-/** Notices daemons that have fallen silent by their missing answers. */
+/** Detects unresponsive daemons by overdue replies. */
 export class ReplyTracker {
   readonly #clock: Clock;
-  /** Monotonic milliseconds since when an answer is awaited, by daemon. */
+  /** Monotonic milliseconds of the first unanswered request, by daemon. */
   readonly #awaitingSince = new Map<string, number>();
 
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
-  /** Daemons that owe an answer. */
+  /** Daemons from which a reply is awaited. */
   get awaitingReply(): readonly string[] {
     return [...this.#awaitingSince.keys()];
   }
 
-  /** Something was sent that has to be answered. */
+  /** Records that a message that requires a reply was sent. */
   requestSent(name: string): void {
     if (this.#awaitingSince.has(name)) return;
     this.#awaitingSince.set(name, this.#clock.monotonic());
   }
 
-  /** Takes anything that a daemon sends for the answer that it owes. */
+  /** Records a message from a daemon; any message counts as the awaited reply. */
   replyReceived(name: string): void {
     this.#awaitingSince.delete(name);
   }
 
-  /** Whether a daemon has owed an answer for longer than that. */
+  /** Whether a reply from a daemon has been awaited for longer than a time-out. */
   isOverdue(name: string, timeoutMs: number): boolean {
     const since = this.#awaitingSince.get(name);
     return since !== undefined && this.#clock.monotonic() - since > timeoutMs;
   }
 
-  /** Forgets all others: one that has left the view would be asked for ever. */
+  /**
+   * Drops all other daemons: a daemon that has left the view would otherwise be
+   * queried forever.
+   */
   retain(names: ReadonlySet<string>): void {
     for (const name of this.#awaitingSince.keys()) {
       if (!names.has(name)) this.#awaitingSince.delete(name);
