--- a/packages/daemon/src/process/scheduling/admission_control.ts
+++ b/packages/daemon/src/process/scheduling/admission_control.ts
@@ -1,5 +1,6 @@
 /**
- * What an ask will cost, by when it must start, and whether it can.
+ * Admission control: estimates an ask's cost and latest start time and refuses
+ * early the asks that cannot start in time.
  *
  * @module
  */
@@ -15,21 +16,23 @@
 import type { SchedulerSwitches } from "./switches.ts";
 import type { WaitingAsk } from "./waiting_ask.ts";
 
+/** Cost of every ask when costs are not estimated, in tokens of output. */
 const DEFAULT_COST = 100;
+/** Size of an ask without its list of excluded runners. */
 const ASK_BASE_BYTES = 300;
-/** A refusal on arrival needs a wait this many times what is left. */
+/** An ask is refused early if its wait exceeds its remaining time this often. */
 const EARLY_REFUSAL_FACTOR = 1.25;
-/** First tokens come within the margin for this share of the requests. */
+/** Share of requests whose time to the first token is within the margin. */
 const FIRST_TOKEN_QUANTILE = 0.9;
 const FIRST_TOKEN_QUANTILE_STEP = 0.2;
-/** Bounds of the margin, as shares of the target. */
+/** Bounds of the margin, as fractions of the target. */
 const MIN_MARGIN = 0.2;
 const MAX_MARGIN = 0.9;
 const MIN_RETRY_AFTER_MS = 100;
 const MAX_RETRY_AFTER_MS = 30_000;
 const MS_PER_SECOND = 1_000;
 
-/** What an appraisal works with. */
+/** Dependencies of admission control. */
 export interface AdmissionDependencies {
   readonly queue: FairQueue;
   readonly pool: RunnerPool;
@@ -37,10 +40,10 @@
   readonly switches: SchedulerSwitches;
 }
 
-/** Why an ask is refused, and when to come back. */
+/** Why an ask is refused, and when to retry. */
 export type Refusal = Pick<RefuseMessage, "code" | "retryAfterMs">;
 
-/** Appraises asks by what earlier ones came to. */
+/** Estimates asks from the outcomes of earlier ones. */
 export class AdmissionControl {
   readonly #dependencies: AdmissionDependencies;
   readonly #costEstimator = new CostEstimator();
@@ -51,7 +54,7 @@
     this.#dependencies = dependencies;
   }
 
-  /** Describes an ask that comes from an entry now. */
+  /** Adds the estimates to an ask that an entry has just sent. */
   estimate(
     entry: string,
     asked: { readonly ask: AskMessage; readonly now: number },
@@ -69,7 +72,7 @@
     };
   }
 
-  /** Estimated cost, in tokens of output. */
+  /** Estimated cost of an ask, in tokens of output. */
   costOf(
     ask: Omit<HeldSlot, "runner"> & Pick<AskMessage, "maxTokens">,
   ): number {
@@ -85,9 +88,9 @@
   }
 
   /**
-   * Learns from an ended attempt.
+   * Updates the estimates from an attempt that has ended.
    *
-   * @returns its true cost.
+   * @returns the actual cost of the attempt.
    */
   recordSettlement(
     slot: HeldSlot,
@@ -107,7 +110,7 @@
     return cost;
   }
 
-  /** Why no slot will come in time, when that is known on arrival. */
+  /** The refusal of an ask that cannot get a slot in time; `undefined` if it may. */
   earlyRefusal(
     waiting: WaitingAsk,
     at: { readonly now: number; readonly row: Row | undefined },
@@ -122,7 +125,7 @@
         retryAfterMs: clampRetryAfter(limitWaitMs),
       };
     }
-    // A higher tier is never turned away while a lower one waits.
+    // A higher tier is never refused while a lower one waits.
     const { workspace, class: className } = waiting.ask;
     if (queue.length === 0 || queue.hasLowerTier(queue.tierOf(className))) {
       return undefined;
@@ -134,7 +137,7 @@
     return { code: "queue_full", retryAfterMs: clampRetryAfter(waitMs) };
   }
 
-  /** When the ask must start for its answer to meet the class's target. */
+  /** Latest start time at which the ask's response meets the class's target. */
   #startBy(ask: AskMessage, arrivedAt: number): number {
     const { pool, feedback: learning } = this.#dependencies;
     const target = pool.classOf(ask.class)?.target;
@@ -155,7 +158,7 @@
     return arrivedAt + Math.min(Infinity, ...bounds);
   }
 
-  /** Time from the grant to the first token, as lately observed. */
+  /** Time reserved for the first token, from recent observations. */
   #firstTokenMargin(className: string, targetMs: number): number {
     const observed = this.#firstTokenQuantiles.get(className)?.value ?? 0;
     return Math.min(
@@ -172,7 +175,7 @@
     this.#firstTokenQuantiles.set(className, quantile);
   }
 
-  /** Milliseconds that the row's own rates make the ask wait. */
+  /** Time that the ask must wait for the rate limits of its row. */
   #rateLimitWaitMs(waiting: WaitingAsk, row: Row | undefined): number {
     const { count, cost } = this.#dependencies.queue.backlog(waiting.ask);
     return Math.max(
--- a/packages/daemon/src/process/scheduling/cost_estimator.ts
+++ b/packages/daemon/src/process/scheduling/cost_estimator.ts
@@ -1,16 +1,15 @@
 /**
- * What a request will cost, before its output length is known.
+ * Estimation of a request's cost before its output length is known.
  *
  * @module
  */
-
 import { DecayedQuantile } from "./decayed_quantile.ts";
 
-/** Cost of a token of prompt, in tokens of output. */
+/** Cost of a prompt token, in tokens of output. */
 export const PROMPT_TOKEN_COST = 0.05;
 
 const DEFAULT_OUTPUT_TOKENS = 100;
-/** The estimate sits where this share of outputs is shorter. */
+/** Quantile of the output lengths that is the estimate. */
 const QUANTILE = 0.6;
 const STEP = 0.16;
 const MAX_ENTRIES = 10_000;
@@ -24,13 +23,13 @@
 export class CostEstimator {
   readonly #outputs = new Map<string, DecayedQuantile>();
 
-  /** Expected tokens of output. */
+  /** Expected number of output tokens. */
   expectedOutputTokens(workspace: string, className: string): number {
     return this.#outputs.get(keyOf(workspace, className))?.value ??
       this.#outputs.get(keyOf("", className))?.value ?? DEFAULT_OUTPUT_TOKENS;
   }
 
-  /** Learns from a whole answer. */
+  /** Records the output length of a complete response. */
   recordOutput(
     workspace: string,
     served: { readonly class: string; readonly outputTokens: number },
@@ -42,7 +41,7 @@
   #observe(key: string, tokens: number): void {
     let quantile = this.#outputs.get(key);
     if (quantile === undefined) {
-      // Names come from the table, but an edit may bring many in turn.
+      // Names come from the table, but successive edits may introduce many.
       if (this.#outputs.size >= MAX_ENTRIES) this.#outputs.clear();
       quantile = new DecayedQuantile(QUANTILE, STEP);
       this.#outputs.set(key, quantile);
--- a/packages/daemon/src/process/scheduling/fair_queue.ts
+++ b/packages/daemon/src/process/scheduling/fair_queue.ts
@@ -1,10 +1,10 @@
 /**
- * The order in which waiting asks are served and shed.
+ * A queue that orders waiting asks for service and for load shedding.
  *
- * Strict priority between tiers; a class that has received less than its
- * minimum share of the service given while it waited goes before the tiers.
- * Within a tier, workspaces share by weight (start-time fair queueing on
- * estimated cost, corrected when the true cost is known).
+ * Tiers have strict priority. A class that has received less than its minimum
+ * share of the service performed while it waited precedes all tiers. Within a
+ * tier, workspaces share by weight (start-time fair queueing on estimated cost,
+ * corrected when the actual cost is known).
  *
  * @module
  */
@@ -14,47 +14,48 @@
 import type { SchedulerSwitches } from "./switches.ts";
 import type { WaitingAsk } from "./waiting_ask.ts";
 
-/** Bounds of what may wait. */
+/** Capacity limits of a queue. */
 export interface QueueBounds {
   readonly count: number;
   readonly bytes: number;
-  /** Most that one workspace may have waiting in one class. */
+  /** Maximum number of waiting asks of one workspace in one class. */
   readonly perWorkspace: number;
 }
 
-/** Bounds that a small host can hold: about 4 MB of asks a broker. */
+/** Default limits, suited to a small host: about 4 MB of asks per broker. */
 export const DEFAULT_BOUNDS: QueueBounds = {
   count: 8_000,
   bytes: 4 * 1024 * 1024,
   perWorkspace: 1_000,
 };
 
-/** Tier of a class that the table does not name; served after all others. */
+/** Tier of a class that is not in the table; served after all others. */
 const UNKNOWN_TIER = 1_000;
-/** What an offer of an ask to the queue came to. */
+
+/** Result of offering an ask to the queue. */
 export interface Offer {
   readonly accepted: boolean;
-  /** Asks shed to make room, the offered one among them if not accepted. */
+  /** Asks that were shed, including the offered one if it was not accepted. */
   readonly shed: readonly WaitingAsk[];
 }
 
-/** What waits of one workspace and class. */
+/** Waiting asks of one workspace and class. */
 export interface Backlog {
   readonly count: number;
   readonly cost: number;
 }
 
-/** Waiting asks of one broker. */
+/** Queue of the waiting asks of one broker. */
 export class FairQueue {
   readonly #switches: SchedulerSwitches;
   readonly #bounds: QueueBounds;
   readonly #flows = new Map<string, Flow>();
   readonly #shares: MinimumShares;
-  /** Virtual time of each tier: the pass of the flow served last. */
+  /** Virtual time of each tier: the start tag of the flow served last. */
   readonly #virtualTime = new Map<number, number>();
   #classes: ReadonlyMap<string, Class> = new Map();
   #weights: ReadonlyMap<string, number> = new Map();
-  /** Tier of the class that is served first. */
+  /** Lowest tier number in the table, which is the highest priority. */
   #highestTier = 0;
   #count = 0;
   #bytes = 0;
@@ -64,7 +65,7 @@
     options: {
       readonly switches: SchedulerSwitches;
       readonly bounds?: QueueBounds;
-      /** Absent: minimum shares are kept by cost alone. */
+      /** If absent, minimum shares are accounted by cost only. */
       readonly usage?: SlotUsage;
     },
   ) {
@@ -78,7 +79,7 @@
     return this.#count;
   }
 
-  /** Takes a new table; it orders what already waits, too. */
+  /** Applies a new table, which also reorders asks that already wait. */
   setTable(table: Table): void {
     this.#classes = new Map(table.classes.map((it) => [it.name, it]));
     this.#shares.setClasses(this.#classes);
@@ -96,25 +97,25 @@
     return this.#classes.get(className)?.tier ?? UNKNOWN_TIER;
   }
 
-  /** Whether no class of the table comes before this one. */
+  /** Whether no class of the table has a higher priority. */
   isHighest(className: string): boolean {
     return this.tierOf(className) <= this.#highestTier;
   }
 
-  /** All that waits, in no order that matters. */
+  /** All waiting asks, in no particular order. */
   *all(): Generator<WaitingAsk> {
     for (const flow of this.#flows.values()) yield* flow.items;
   }
 
   /**
-   * Offers an ask. When a bound is passed, the newest ask of the lowest tier
-   * present goes, from the workspace that has the most waiting for its weight.
+   * Adds an ask. If a limit is exceeded, sheds the newest ask of the lowest tier
+   * present, from the workspace with the largest backlog relative to its weight.
    */
   offer(waiting: WaitingAsk): Offer {
     const flow = this.#flowOf(waiting);
-    // One workspace's burst would fill the queue for all; its own bound makes it
-    // lose its own newest asks first. While a lower tier waits the bound rests:
-    // shedding here would shed a higher tier before a lower one.
+    // The limit per workspace keeps the burst of one workspace from filling the
+    // queue for all. It is not applied while a lower tier waits, as that would
+    // shed a higher tier before a lower one.
     const full = flow.length >= this.#bounds.perWorkspace;
     if (full && !this.hasLowerTier(this.tierOf(flow.class))) {
       return { accepted: false, shed: [waiting] };
@@ -132,7 +133,7 @@
     return { accepted: !shed.includes(waiting), shed };
   }
 
-  /** Takes an ask out without serving it. */
+  /** Removes an ask without serving it. */
   remove(waiting: WaitingAsk): boolean {
     const { workspace, class: className } = waiting.ask;
     const key = flowKey(workspace, className);
@@ -144,7 +145,7 @@
     return true;
   }
 
-  /** Flows that wait, the one to serve first at the head. */
+  /** Flows with waiting asks, in order of service. */
   order(): readonly Flow[] {
     const waiting = [...this.#flows.values()].filter((it) => it.length > 0);
     return waiting.sort((left, right) => this.#compare(left, right));
@@ -155,7 +156,7 @@
     return flow.head(this.#switches.lateLast ? now : undefined);
   }
 
-  /** Takes an ask out to serve it, and charges its cost. */
+  /** Removes an ask to serve it and charges its cost to the flow. */
   dequeue(flow: Flow, waiting: WaitingAsk): void {
     const tier = this.tierOf(flow.class);
     this.#virtualTime.set(
@@ -166,7 +167,7 @@
     this.remove(waiting);
   }
 
-  /** Corrects a charge: what the answer cost beyond its estimate, or less. */
+  /** Corrects a charge by the difference between actual and estimated cost. */
   settle(
     served: { readonly workspace: string; readonly class: string },
     excessCost: number,
@@ -198,7 +199,7 @@
     return higher + Math.min(same, ownShare);
   }
 
-  /** Whether anything of a lower tier waits. */
+  /** Whether an ask of a lower tier waits. */
   hasLowerTier(tier: number): boolean {
     for (const flow of this.#flows.values()) {
       if (flow.length > 0 && this.tierOf(flow.class) > tier) return true;
@@ -206,7 +207,7 @@
     return false;
   }
 
-  /** Asks and cost of a workspace and class that wait. */
+  /** Number and cost of the waiting asks of a workspace and class. */
   backlog(
     key: { readonly workspace: string; readonly class: string },
   ): Backlog {
@@ -214,7 +215,7 @@
     return { count: flow?.length ?? 0, cost: flow?.cost ?? 0 };
   }
 
-  /** Whether a class is owed service under its minimum share. */
+  /** Whether a class has received less than its minimum share. */
   isBelowMinimumShare(className: string): boolean {
     return this.#deficit(className) > 0;
   }
@@ -230,14 +231,14 @@
     return left.items[0]!.arrivedAt - right.items[0]!.arrivedAt;
   }
 
-  /** What a class is owed; 0 when nothing. */
+  /** Deficit of a class against its minimum share; 0 if there is none. */
   #deficit(className: string): number {
     return this.#switches.minimumShare ? this.#shares.deficit(className) : 0;
   }
 
   #add(flow: Flow, waiting: WaitingAsk): void {
     if (flow.length === 0) {
-      // An idle flow must not save up service: it starts at the present.
+      // An idle flow earns no credit: it starts at the current virtual time.
       const tierTime = this.#virtualTime.get(this.tierOf(flow.class)) ?? 0;
       flow.startTag = Math.max(flow.startTag, tierTime);
     }
@@ -251,7 +252,7 @@
     this.#shares.charge(flow.class, cost, this.#waitingClasses());
   }
 
-  /** Classes that wait, with the cost of one of their next asks. */
+  /** Waiting classes, each with the highest cost at the head of its flows. */
   #waitingClasses(): ReadonlyMap<string, number> {
     const headCosts = new Map<string, number>();
     for (const flow of this.#flows.values()) {
--- a/packages/daemon/src/process/scheduling/flow.ts
+++ b/packages/daemon/src/process/scheduling/flow.ts
@@ -5,11 +5,11 @@
  */
 import type { WaitingAsk } from "./waiting_ask.ts";
 
-/** A first-in-first-out queue with its place in fair queueing. */
+/** A queue in order of arrival, with its start tag for fair queueing. */
 export class Flow {
   readonly workspace: string;
   readonly class: string;
-  /** Virtual time at which its next ask starts; the lowest is served first. */
+  /** Virtual start time of the next ask; the lowest is served first. */
   startTag = 0;
   #items: WaitingAsk[] = [];
   #cost = 0;
@@ -24,7 +24,7 @@
     return this.#items.length;
   }
 
-  /** Estimated cost of all that waits. */
+  /** Total estimated cost of the waiting asks. */
   get cost(): number {
     return this.#cost;
   }
@@ -41,7 +41,7 @@
     return this.#items.at(-1);
   }
 
-  /** Adds an ask at its place by time of arrival. */
+  /** Inserts an ask in order of arrival. */
   add(waiting: WaitingAsk): void {
     let index = this.#items.length;
     while (index > 0 && this.#items[index - 1]!.arrivedAt > waiting.arrivedAt) {
@@ -52,7 +52,7 @@
     this.#bytes += waiting.bytes;
   }
 
-  /** Removes an ask; false when it is not here. */
+  /** Removes an ask; false if the flow does not contain it. */
   remove(waiting: WaitingAsk): boolean {
     const index = this.#items.indexOf(waiting);
     if (index < 0) return false;
@@ -63,8 +63,8 @@
   }
 
   /**
-   * The ask to serve next: the oldest, or with `now` the oldest that can still
-   * meet its target, when there is one.
+   * The ask to serve next: the oldest one, or, if `now` is given, the oldest that
+   * can still meet its latency target, if there is one.
    */
   head(now?: number): WaitingAsk | undefined {
     if (now === undefined) return this.#items[0];
--- a/packages/daemon/src/process/scheduling/grant_dispatcher.ts
+++ b/packages/daemon/src/process/scheduling/grant_dispatcher.ts
@@ -1,5 +1,5 @@
 /**
- * Gives free slots to waiting asks, in the queue's order.
+ * Dispatch of free slots to waiting asks in the order of the queue.
  *
  * @module
  */
@@ -11,18 +11,21 @@
 import type { SlotLedger } from "./slot_ledger.ts";
 import type { WaitingAsk } from "./waiting_ask.ts";
 
-/** What granting works with. */
+/** Dependencies of a dispatcher. */
 export interface GrantDispatcherDependencies {
   readonly queue: FairQueue;
   readonly pool: RunnerPool;
   readonly state: BrokerState;
   readonly slots: SlotLedger;
   readonly replies: BrokerReplies;
-  /** Daemons that take part; a lone one gets its share of the slots. */
+  /**
+   * Number of member daemons. An entry that reaches no broker may use only the
+   * slots divided by this number.
+   */
   readonly members: () => number;
 }
 
-/** Grants, and refuses what can never be granted. */
+/** Grants slots to asks and refuses asks that can never be granted one. */
 export class GrantDispatcher {
   readonly #dependencies: GrantDispatcherDependencies;
 
@@ -30,25 +33,25 @@
     this.#dependencies = dependencies;
   }
 
-  /** Grants all that can be granted now. */
+  /** Grants slots until no waiting ask can be granted one now. */
   drain(now: number): void {
     while (this.#dependencies.queue.length > 0) {
       if (!this.#serveNext(now)) return;
     }
   }
 
-  /** Takes an ask out without an answer. */
+  /** Removes an ask without a reply. */
   remove(waiting: WaitingAsk): void {
     this.#dependencies.queue.remove(waiting);
     this.#dependencies.state.removeWaiting(waiting);
   }
 
-  /** Refuses an ask whose answer is of no use any more. */
+  /** Refuses an ask whose deadline has passed. */
   expire(waiting: WaitingAsk): void {
     this.#refuse(waiting, "deadline_passed");
   }
 
-  /** Grants or refuses one ask; false when nothing can be done now. */
+  /** Grants or refuses one ask; false if none can be served now. */
   #serveNext(now: number): boolean {
     const { queue, slots } = this.#dependencies;
     for (const flow of queue.order()) {
@@ -60,7 +63,7 @@
     return false;
   }
 
-  /** Grants or refuses the head of a flow; false when it has to wait. */
+  /** Grants or refuses the head of a flow; false if it must wait. */
   #serve(flow: Flow, waiting: WaitingAsk, now: number): boolean {
     if (waiting.deadlineAt <= now) {
       this.expire(waiting);
--- a/packages/daemon/src/process/scheduling/minimum_shares.ts
+++ b/packages/daemon/src/process/scheduling/minimum_shares.ts
@@ -1,46 +1,50 @@
 /**
- * Which waiting classes are below their minimum share of the service.
+ * Accounting of the minimum shares of service of waiting classes.
  *
  * @module
  */
 import type { Class } from "@umbermast/table";
 
-/** Slots in use now. */
+/** Slots currently in use. */
 export interface SlotUsage {
-  /** Of all classes. */
+  /** Number of slots in use by all classes. */
   readonly inFlight: number;
-  /** Of one class. */
+  /** Number of slots in use by one class. */
   inFlightOf(className: string): number;
 }
 
-/** Unpaid share that a class may save up, in multiples of its next cost. */
+/** Maximum credit of a class, as a multiple of its next cost. */
 const CREDIT_LIMIT = 4;
-/** A slot of long prompts does less work than others; its class gets more slots. */
+/**
+ * Factor on the slots of a minimum share. A slot with long prompts does less work
+ * than others, so a class with a minimum share gets more slots.
+ */
 const SLOT_SHARE_MARGIN = 1.2;
 
-/** Keeps account of what classes are owed. */
+/** Tracks by how much each class is below its minimum share. */
 export class MinimumShares {
   readonly #usage: SlotUsage | undefined;
-  /** Share owed to each class and not yet served, in cost. */
+  /** Minimum share of each class that has not been served yet, in cost. */
   readonly #credit = new Map<string, number>();
   #classes: ReadonlyMap<string, Class> = new Map();
 
-  /** @param usage absent: shares are kept by cost alone. */
+  /** @param usage slots in use; if absent, shares are accounted by cost only. */
   constructor(usage?: SlotUsage) {
     this.#usage = usage;
   }
 
-  /** Takes the classes of a new table. */
+  /** Applies the classes of a new table. */
   setClasses(classes: ReadonlyMap<string, Class>): void {
     this.#classes = classes;
   }
 
   /**
-   * What a class is owed in proportion to its share; 0 when nothing. Where its
-   * share makes whole slots, it is owed those at every moment: engines serve
-   * all that runs alike, and a debt counted by cost would be paid only when the
-   * long answers that it pays for end. A share of less than a slot is kept over
-   * time, by cost.
+   * Deficit of a class in proportion to its share; 0 if there is none.
+   *
+   * A share of at least one slot is enforced as slots in use at every moment:
+   * engines serve all running requests alike, so a deficit by cost would be
+   * compensated only when the long responses charged for it end. A share of less
+   * than one slot is enforced over time, by cost.
    */
   deficit(className: string): number {
     const share = this.#shareOf(className);
@@ -56,9 +60,9 @@
   }
 
   /**
-   * Accounts for service of a class.
+   * Records service of a class.
    *
-   * @param waiting classes that wait, with the cost of one of their next asks.
+   * @param waiting waiting classes, each with the cost of one of its next asks.
    */
   charge(
     className: string,
@@ -71,13 +75,14 @@
       const credit = (this.#credit.get(name) ?? 0) + share * cost;
       this.#credit.set(name, Math.min(credit, CREDIT_LIMIT * headCost));
     }
-    // A class pays for its service only down to one such cost: service beyond
-    // its share is the tiers' gift and must not be held against it later.
+    // Credit falls to no less than minus one such cost: service beyond the
+    // minimum share comes from tier priority and must not count against the
+    // class later.
     const remaining = (this.#credit.get(className) ?? 0) - cost;
     this.#credit.set(className, Math.max(remaining, -Math.abs(cost)));
   }
 
-  /** A class with nothing waiting has no claim left; its debts stay. */
+  /** Drops the credit of a class with nothing waiting; negative credit remains. */
   clearCredit(className: string): void {
     const credit = this.#credit.get(className) ?? 0;
     this.#credit.set(className, Math.min(0, credit));
--- a/packages/daemon/src/process/scheduling/row_limits.ts
+++ b/packages/daemon/src/process/scheduling/row_limits.ts
@@ -1,15 +1,16 @@
 /**
- * Limits of the table's rows: requests a second, tokens a second, in flight.
+ * Enforcement of the limits of the table's rows: requests per second, tokens per
+ * second and requests in flight.
  *
  * @module
  */
 import type { Row } from "@umbermast/table";
 
-/** Seconds of unused allowance that a row may save up. */
+/** Capacity of a row's token buckets, in seconds at the row's rate. */
 const BURST_SECONDS = 1;
 const MS_PER_SECOND = 1_000;
 
-/** What a row has used. */
+/** Token buckets and requests in flight of one row. */
 interface Usage {
   requests: number;
   tokens: number;
@@ -17,7 +18,7 @@
   inFlight: number;
 }
 
-/** Counts what each row has started and allows what its limits leave. */
+/** Applies each row's rate limits (token buckets) and limit of requests in flight. */
 export class RowLimits {
   readonly #usage = new Map<string, Usage>();
 
@@ -28,12 +29,12 @@
     if (row.inFlight !== undefined && usage.inFlight >= row.inFlight) {
       return false;
     }
-    // Tokens go into debt by the last request's cost, so that a request that
-    // costs more than the burst can start at all.
+    // Tokens may become negative by the cost of the last request, so that a
+    // request that costs more than the burst can start at all.
     return usage.requests >= 1 && usage.tokens > 0;
   }
 
-  /** Charges a start. */
+  /** Charges a request that starts. */
   start(
     row: Row | undefined,
     charge: { readonly cost: number; readonly now: number },
@@ -45,13 +46,13 @@
     usage.inFlight += 1;
   }
 
-  /** Counts a request that another broker started. */
+  /** Counts a request that another broker started, without charging it. */
   adopt(row: Row | undefined, now: number): void {
     if (row === undefined) return;
     this.#usageOf(row, now).inFlight += 1;
   }
 
-  /** Settles an end: the cost in excess of the charge, or less than it. */
+  /** Records the end of a request and charges the excess over its estimate. */
   end(
     key: { readonly workspace: string; readonly class: string },
     excessCost: number,
@@ -62,7 +63,7 @@
     usage.tokens -= excessCost;
   }
 
-  /** Requests of a row in flight. */
+  /** Number of a row's requests in flight. */
   inFlight(
     key: { readonly workspace: string; readonly class: string },
   ): number {
@@ -96,7 +97,10 @@
   return `${key.class}\n${key.workspace}`;
 }
 
-/** At least one, so that a row of less than one request a second can start. */
+/**
+ * Capacity of a bucket; at least 1, so that a row with a limit of less than one
+ * request per second can start requests.
+ */
 function burstOf(rate: number | undefined): number {
   return rate === undefined ? Infinity : Math.max(1, rate * BURST_SECONDS);
 }
@@ -107,7 +111,7 @@
   rate: number | undefined,
 ): number {
   if (rate === undefined) return Infinity;
-  // A row that had no limit so far starts with a full burst.
+  // A row that had no limit before starts with a full bucket.
   if (remaining === Infinity) return burstOf(rate);
   return Math.min(burstOf(rate), remaining + seconds * rate);
 }
--- a/packages/daemon/src/process/scheduling/runner_pool.ts
+++ b/packages/daemon/src/process/scheduling/runner_pool.ts
@@ -1,5 +1,5 @@
 /**
- * The runners of one service: which one a request is given to.
+ * The runners of one service and the choice of one for each request.
  *
  * @module
  */
@@ -11,10 +11,14 @@
 import type { SchedulerSwitches } from "./switches.ts";
 
 const DEFAULT_SLOTS = 16;
-/** A prefix draws a request to a runner this much fuller than the emptiest. */
+/**
+ * Highest occupancy of the runner with prefix affinity, above the least occupied
+ * one, at which it is still preferred.
+ */
 const AFFINITY_MARGIN = 0.25;
-/** Share of all slots that only the highest tier may use. */
+/** Share of all slots that is reserved for the highest tier. */
 const HEADROOM_SHARE = 0.05;
+/** Runners-up named in the log line of a grant. */
 const MAX_RUNNERS_UP = 2;
 
 /** A runner chosen for an ask. */
@@ -22,16 +26,16 @@
   readonly _tag: "Choice";
   readonly runner: Runner;
   readonly why: "affinity" | "least_occupied" | "probe";
-  /** The next best, for the log. */
+  /** The next best runners, for the log. */
   readonly runnersUp: readonly string[];
 }
 
-/** Every runner that may serve the ask is full. */
+/** No runner has a slot available for the ask at present. */
 export interface Busy {
   readonly _tag: "Busy";
 }
 
-/** No runner may serve the ask. */
+/** No live runner is eligible for the ask. */
 export interface None {
   readonly _tag: "None";
 }
@@ -53,7 +57,7 @@
     this.setTable(options.table, service);
   }
 
-  /** Takes a new table. */
+  /** Applies a new table. */
   setTable(table: Table, service: string): void {
     this.#classes = new Map(table.classes.map((it) => [it.name, it]));
     this.#service = table.services.find((it) => it.name === service);
@@ -62,7 +66,11 @@
     }
   }
 
-  /** Takes a new list of runners; those that are gone lose their slots. */
+  /**
+   * Applies a new list of runners.
+   *
+   * @returns the slots in use at removed and replaced runners.
+   */
   setRunners(runners: readonly Runner[]): readonly GrantedSlot[] {
     const lost: GrantedSlot[] = [];
     const incarnations = new Map(
@@ -70,7 +78,7 @@
     );
     for (const previous of this.#runners) {
       if (incarnations.get(previous.name) === previous.incarnation) continue;
-      // A replaced host shares nothing with the former one but its name.
+      // A replaced host has nothing in common with the previous one but its name.
       lost.push(...this.#states.get(previous.name)?.held.values() ?? []);
       this.#states.delete(previous.name);
     }
@@ -86,24 +94,24 @@
     return created;
   }
 
-  /** Runners that may be given something new. */
+  /** Runners that accept new requests. */
   live(): readonly Runner[] {
     return this.#runners.filter((it) => it.state === "live");
   }
 
-  /** A class of the table in force. */
+  /** A class of the current table. */
   classOf(name: string): Class | undefined {
     return this.#classes.get(name);
   }
 
-  /** Chooses a runner for an ask of the given tier. */
+  /** Chooses a runner for an ask. */
   choose(
     ask: AskMessage,
     at: {
       readonly now: number;
-      /** The ask is of the highest tier. */
+      /** Whether the ask may use the slots reserved for the highest tier. */
       readonly highest: boolean;
-      /** Share of each runner's slots that may be used; 1 by default. */
+      /** Usable share of each runner's slots; 1 by default. */
       readonly share?: number;
     },
   ): Choice | Busy | None {
@@ -154,7 +162,7 @@
     };
   }
 
-  /** An ejected runner whose time has come gets one request as a probe. */
+  /** Chooses an ejected runner whose backoff has elapsed for one probe request. */
   #chooseProbe(possible: readonly Runner[], now: number): Choice | undefined {
     if (!this.#switches.ejection) return undefined;
     const due = possible.find((it) =>
@@ -191,14 +199,14 @@
     return free > Math.floor(total * HEADROOM_SHARE);
   }
 
-  /** Takes a slot. */
+  /** Occupies a slot. */
   hold(held: GrantedSlot): void {
     const state = this.state(held.runner);
     state.hold(held);
     state.ejection.requestStarted(held.askId);
   }
 
-  /** Gives a slot back without learning anything from it. */
+  /** Frees a slot without an observation of the runner. */
   abandon(held: GrantedSlot): void {
     const state = this.state(held.runner);
     state.free(held.askId);
