--- a/packages/daemon/src/process/scheduling/admission_control.ts
+++ b/packages/daemon/src/process/scheduling/admission_control.ts
@@ -20,7 +20,7 @@
 const DEFAULT_COST = 100;
 /** Size of an ask without its list of excluded runners. */
 const ASK_BASE_BYTES = 300;
-/** An ask is refused early if its wait exceeds its remaining time this often. */
+/** An ask is refused early if its wait exceeds its remaining time by this factor. */
 const EARLY_REFUSAL_FACTOR = 1.25;
 /** Share of requests whose time to the first token is within the margin. */
 const FIRST_TOKEN_QUANTILE = 0.9;
--- a/packages/daemon/src/process/scheduling/broker_test.ts
+++ b/packages/daemon/src/process/scheduling/broker_test.ts
@@ -9,7 +9,7 @@
 import { runnerOf, SERVICE } from "../../../tests/scheduling/runner_fixture.ts";
 import { rowOf, tableOf } from "../../../tests/scheduling/table_fixture.ts";
 
-test("grants a higher tier first, whatever came first", () => {
+test("grants a higher tier first, regardless of arrival order", () => {
   const bench = brokerWith();
   for (let i = 0; i < 2; i++) bench.broker.ask("entry-1", askOf());
   const low = askOf({ class: "cut-sheet" });
@@ -27,7 +27,7 @@
   assert.equal(message?.type === "refuse" && message.code, "deadline_passed");
 });
 
-test("gives a leaving runner nothing new", () => {
+test("grants no slot at a leaving runner", () => {
   const bench = brokerWith({
     runners: [runnerOf("runner-1", { state: "leaving" }), runnerOf("runner-2")],
   });
@@ -36,7 +36,7 @@
   assert.equal(message?.type === "grant" && message.runner, "runner-2");
 });
 
-test("holds a row to its requests in flight, also after an edit", () => {
+test("applies a row's limit of requests in flight, also after a table edit", () => {
   const bench = brokerWith({ runners: [runnerOf("a"), runnerOf("b")] });
   const limited = tableOf({ rows: [rowOf({ inFlight: 1 })] });
   bench.table.edit(limited);
@@ -46,9 +46,9 @@
   assert.equal(granted(bench).length, 2);
 });
 
-test("answers a second ask of one id with the same slot", () => {
-  // The link drops a grant. The entry, which saw nothing, asks again; were the
-  // broker to give another slot, the first would be lost until the entry died.
+test("grants the same slot again to a repeated ask", () => {
+  // The link drops a grant, so the entry repeats its ask. With a second slot, the
+  // first one would be lost until the entry is removed.
   const bench = brokerWith();
   const ask = askOf();
   bench.broker.ask("entry-1", ask);
@@ -57,9 +57,9 @@
   assert.equal(bench.broker.inFlight, 1);
 });
 
-test("forgets all that it believed before a pause", () => {
-  // The broker's process is stopped and woken. Its entries have long asked
-  // elsewhere; a grant of theirs would hold a slot that nobody uses.
+test("drops its state after a pause of the process", () => {
+  // The broker's process is paused and resumed. Its entries have moved their asks
+  // to another broker in the meantime; grants would occupy slots nobody uses.
   const bench = brokerWith();
   for (let i = 0; i < 3; i++) bench.broker.ask("entry-1", askOf());
   bench.clock.advance(10_000);
@@ -70,9 +70,9 @@
   assert.equal(last?.type === "beat_reply" && last.resync, true);
 });
 
-test("keeps a slot open whatever a runner reports, and forgets old reports", () => {
-  // A load report is wrong, then its runner stops reporting. Were it believed,
-  // or believed for ever, the runner would stand idle while requests wait.
+test("keeps one slot available despite a wrong report, and ignores old reports", () => {
+  // A runner sends a wrong load report and then stops reporting. Trusting the
+  // report would leave the runner idle while requests wait.
   const bench = brokerWith();
   bench.reports.record("runner-1", {
     running: 1_000_000,
@@ -97,10 +97,10 @@
   assert.equal(granted(bench).length, 2);
 });
 
-test("takes a crashed runner out of use and lets it back by a probe", () => {
-  // A runner fails each request at once, so its slots are always the freest and
-  // every next request goes to it, and fails. Taken out of use it gets nothing,
-  // then one request, and after a good one it is like the others again.
+test("ejects a failing runner and restores it after a successful probe", () => {
+  // A runner that fails each request at once always has the most free slots and
+  // would attract every request. It must get none while it is ejected, then one
+  // probe, and requests as usual after the probe succeeds.
   const bench = brokerWith({ runners: [runnerOf("bad"), runnerOf("good")] });
   const ask = () => {
     const message = askOf();
--- a/packages/daemon/src/process/scheduling/ejection.ts
+++ b/packages/daemon/src/process/scheduling/ejection.ts
@@ -1,5 +1,5 @@
 /**
- * Takes a runner that fails or lags out of use, and lets it back by probing.
+ * Ejection of runners that fail or are slow, with probes to restore them.
  *
  * @module
  */
@@ -7,22 +7,22 @@
 const MIN_BACKOFF_MS = 500;
 const MAX_BACKOFF_MS = 8_000;
 
-/** Why a runner is out of use. */
+/** Why a runner is ejected. */
 export type EjectionCause = "failure" | "straggler";
 
-/** Whether one runner is in use; if not, when a probe may be sent to it. */
+/** Ejection state of one runner, with exponential backoff between probes. */
 export class Ejection {
   #cause: EjectionCause | undefined;
   #ejectionsInRow = 0;
   #probeAt = 0;
   #probing: string | undefined;
 
-  /** Why the runner is out of use; `undefined` when it is in use. */
+  /** Why the runner is ejected; `undefined` if it is not. */
   get cause(): EjectionCause | undefined {
     return this.#cause;
   }
 
-  /** Takes the runner out of use, longer with each time in a row. */
+  /** Ejects the runner; the backoff doubles with each consecutive ejection. */
   eject(cause: EjectionCause, now: number): void {
     this.#cause = cause;
     const backoff = MIN_BACKOFF_MS * 2 ** this.#ejectionsInRow;
@@ -31,23 +31,23 @@
     this.#probing = undefined;
   }
 
-  /** Whether it may be given a request now, be it as a probe. */
+  /** Whether a request may be sent to the runner now, possibly as a probe. */
   admits(now: number): boolean {
     if (this.#cause === undefined) return true;
     return this.#probing === undefined && now >= this.#probeAt;
   }
 
-  /** A request was given to it; while ejected, that one is the probe. */
+  /** Records a granted request; while the runner is ejected, it is the probe. */
   requestStarted(askId: string): void {
     if (this.#cause !== undefined) this.#probing = askId;
   }
 
-  /** A request ended without telling anything of the runner. */
+  /** Records the end of a request that gives no evidence of the runner's health. */
   requestEnded(askId: string): void {
     if (this.#probing === askId) this.#probing = undefined;
   }
 
-  /** The runner was observed to be well: back into use. */
+  /** Ends the ejection after a successful probe. */
   restore(): void {
     this.#cause = undefined;
     this.#ejectionsInRow = 0;
--- a/packages/daemon/src/process/scheduling/fair_queue_test.ts
+++ b/packages/daemon/src/process/scheduling/fair_queue_test.ts
@@ -59,7 +59,7 @@
   return head;
 }
 
-test("sheds the newest of the lowest tier present", () => {
+test("sheds the newest ask of the lowest tier present", () => {
   const queue = queueOf({ bounds: { ...WIDE, count: 2 } });
   const older = waitingOf({ class: "cut-sheet", arrivedAt: 1 });
   const newer = waitingOf({ class: "cut-sheet", arrivedAt: 2 });
@@ -69,7 +69,7 @@
   assert.deepEqual(offer, { accepted: true, shed: [newer] });
 });
 
-test("sheds from the workspace with the most waiting", () => {
+test("sheds from the workspace with the largest backlog", () => {
   const queue = queueOf({ bounds: { ...WIDE, count: 3 } });
   const lone = waitingOf({ class: "quote", workspace: "small" });
   queue.offer(waitingOf({ class: "quote", workspace: "large", arrivedAt: 1 }));
@@ -80,7 +80,7 @@
   assert.equal(offer.shed[0]?.ask.workspace, "large");
 });
 
-test("serves workspaces by weight, and by a new weight at once", () => {
+test("serves workspaces by weight, and applies new weights at once", () => {
   const rows = [
     rowOf({ workspace: "a", weight: 3 }),
     rowOf({ workspace: "b", weight: 1 }),
@@ -98,7 +98,7 @@
   assert.equal(countA(), 20);
 });
 
-test("serves first what can still meet its target", () => {
+test("serves asks first that can still meet their target", () => {
   const queue = queueOf();
   const late = waitingOf({ class: "quote", arrivedAt: 1, startBy: 5 });
   const timely = waitingOf({ class: "quote", arrivedAt: 2, startBy: 50 });
@@ -107,7 +107,7 @@
   assert.equal(queue.headOf(queue.order()[0]!, 10), timely);
 });
 
-test("owes a waiting class the whole slots of its share", () => {
+test("prefers a waiting class below the slots of its minimum share", () => {
   const inUse = new Map([["quote", 19], ["cut-sheet", 1]]);
   const usage = {
     inFlight: 20,
@@ -123,7 +123,7 @@
 
 const arbitraryClass = fc.constantFrom("quote", "query", "cut-sheet");
 
-test("never sheds a higher tier for a lower one, and keeps its bounds", () => {
+test("never sheds a higher tier before a lower one, and keeps its limits", () => {
   const offers = fc.array(
     fc.record({
       class: arbitraryClass,
@@ -153,9 +153,9 @@
 });
 
 test("gives every waiting class its minimum share within four of its costs", () => {
-  // All classes always wait. After any amount of service, a class has received
-  // its share of it, short of at most the credit bound and one request in turn
-  // for each other class.
+  // All classes always have waiting asks. At any time, a class has received its
+  // share of the service, short of at most the credit limit and one request for
+  // each other class.
   const shares = fc.record({
     low: fc.double({ min: 0.01, max: 0.3, noNaN: true }),
     middle: fc.double({ min: 0.01, max: 0.3, noNaN: true }),
--- a/packages/daemon/src/process/scheduling/load_reports.ts
+++ b/packages/daemon/src/process/scheduling/load_reports.ts
@@ -11,18 +11,19 @@
 import type { Runner } from "../runner.ts";
 import type { RunnerDirectory } from "../runner_directory.ts";
 
-/** What a runner last said of itself. It lags the truth and may be wrong. */
+/** The load that a runner reports. It is delayed and may be wrong. */
 export interface LoadReport {
-  /** Requests in its batch. */
+  /** Requests in the runner's batch. */
   readonly running: number;
   /** Requests queued inside the runner. */
   readonly waiting: number;
-  /** Requests that it says it can run at once; 0 when it does not say. */
+  /** Requests that the runner can run concurrently; 0 if not reported. */
   readonly slots: number;
-  /** Milliseconds of its last step; 0 when it has none. */
+  /** Duration of the last decode step in milliseconds; 0 if there is none. */
   readonly stepMs: number;
+  /** Whether the runner is shutting down. */
   readonly leaving: boolean;
-  /** Monotonic milliseconds of this process when the report came. */
+  /** Monotonic milliseconds of this process when the report was received. */
   readonly receivedAt: number;
 }
 
@@ -30,7 +31,7 @@
 const POLL_TIMEOUT_MS = 1_000;
 const MAX_BODY_BYTES = 64 * 1024;
 
-/** Polls runners and keeps the last report of each. */
+/** Polls runners and keeps the latest report of each. */
 export class LoadReports {
   readonly #clock: Clock;
   readonly #intervalMs: number;
@@ -49,27 +50,31 @@
     this.#intervalMs = options.intervalMs ?? DEFAULT_POLL_INTERVAL_MS;
   }
 
-  /** The last report of a runner, however old. */
+  /** The latest report of a runner, however old. */
   get(runner: string): LoadReport | undefined {
     return this.#reports.get(runner);
   }
 
-  /** Keeps a report that came by another way. */
+  /** Stores a report and notifies the listeners. */
   record(runner: string, report: LoadReport): void {
     this.#reports.set(runner, report);
     for (const listener of this.#listeners) listener(runner);
   }
 
-  /** Calls the listener after each report. Returns the end of the subscription. */
+  /**
+   * Calls the listener after each report.
+   *
+   * @returns a function that ends the subscription.
+   */
   subscribe(listener: (runner: string) => void): () => void {
     this.#listeners.add(listener);
     return () => this.#listeners.delete(listener);
   }
 
   /**
-   * Polls the runners of a service from now on. Only a daemon that brokers it
-   * has a use for them: polling all of them from all daemons would cost each
-   * runner hundreds of polls a second at full size.
+   * Starts polling the runners of a service. Only the daemon that is the
+   * service's broker needs their reports; polling all runners from all daemons
+   * would cost each runner hundreds of polls a second in a full-size deployment.
    */
   watch(service: string): void {
     if (this.#watched.has(service)) return;
@@ -77,12 +82,12 @@
     this.#updatePolls();
   }
 
-  /** Ends the polling of a service's runners. */
+  /** Stops polling the runners of a service. */
   stopWatching(service: string): void {
     if (this.#watched.delete(service)) this.#updatePolls();
   }
 
-  /** Polls the runners of watched services until the scope closes: one fibre each. */
+  /** Polls the runners of watched services, one fibre each, until the scope closes. */
   poll(directory: RunnerDirectory): Effect.Effect<void, never, Scope.Scope> {
     return Effect.gen({ self: this }, function* () {
       const scope = yield* Effect.scope;
@@ -129,7 +134,7 @@
     });
   }
 
-  /** The body of one report; empty when none came in time. */
+  /** The body of one report; empty if none arrives in time. */
   #fetch(runner: Runner): Effect.Effect<string> {
     return Effect.callback<string>((resume) => {
       const request = http.get({
@@ -152,8 +157,9 @@
         response.on("error", () => finish(""));
         response.on("close", () => finish(""));
       });
-      // A runner that accepts and then says nothing would hold its poll for
-      // good and freeze its report; the whole exchange is bounded instead.
+      // The whole exchange has a time-out: a runner that accepts the connection
+      // but never responds would otherwise block its poll forever, and its report
+      // would stay stale.
       const timer = setTimeout(() => request.destroy(), POLL_TIMEOUT_MS);
       const finish = (body: string) => {
         clearTimeout(timer);
@@ -173,7 +179,7 @@
   return `${runner.address}:${runner.port}/${runner.incarnation} ${runner.name}`;
 }
 
-/** Reads a report; `undefined` when it is not one. */
+/** Parses a report; `undefined` if the body is not a JSON object. */
 export function parseReport(
   body: string,
   receivedAt: number,
--- a/packages/daemon/src/process/scheduling/load_reports_test.ts
+++ b/packages/daemon/src/process/scheduling/load_reports_test.ts
@@ -11,7 +11,7 @@
 
 const REPORT = { running: 3, waiting: 1, slots: 16, stepMs: 4.5 };
 
-test("reads a report, and takes what is missing or wrong as nothing", () => {
+test("parses a report and replaces missing or invalid values by defaults", () => {
   const report = parseReport('{"running":3,"waiting":-1,"stepMs":"x"}', 7);
   assert.deepEqual(report, {
     running: 3,
@@ -27,8 +27,8 @@
 });
 
 test("polls the runners of watched services only", { timeout: 30_000 }, () => {
-  // A daemon that polled all runners would cost each of them hundreds of polls a
-  // second at full size; only the broker of a service has a use for its reports.
+  // Polling all runners from all daemons would cost each runner hundreds of polls
+  // a second in a full-size deployment; only a service's broker needs the reports.
   const paths: string[] = [];
   const server = http.createServer((request, response) => {
     paths.push(request.url ?? "");
--- a/packages/daemon/src/process/scheduling/messages.ts
+++ b/packages/daemon/src/process/scheduling/messages.ts
@@ -1,7 +1,8 @@
 /**
  * Messages between an entry daemon and the broker of a service.
  *
- * Times travel as durations, never as moments, because daemons' clocks differ.
+ * Times are sent as durations, never as timestamps, because the daemons' clocks
+ * differ.
  *
  * @module
  */
@@ -22,7 +23,7 @@
 const AskBody = Schema.Struct({
   type: Schema.Literal("ask"),
   askId: Name,
-  /** Grows when the entry asks anew elsewhere; a grant echoes it. */
+  /** Incremented when the entry sends the ask to another broker; echoed by a grant. */
   epoch: NonNegative,
   requestId: Name,
   service: Name,
@@ -32,12 +33,12 @@
   promptTokens: NonNegative,
   maxTokens: Schema.optionalKey(NonNegative),
   prefixDigest: Schema.optionalKey(Name),
-  /** Milliseconds until the answer is of no use. */
+  /** Milliseconds until the request's deadline. */
   remainingMs: NonNegative,
   /** Milliseconds since the request arrived. */
   waitedMs: NonNegative,
   excluded: Schema.Array(Name),
-  /** The entry reaches no broker and acts alone: grant within a small cap. */
+  /** The entry reaches no other broker: grant only its share of the slots. */
   alone: Schema.Boolean,
 });
 
@@ -116,7 +117,7 @@
 const HeartbeatReplyBody = Schema.Struct({
   type: Schema.Literal("beat_reply"),
   service: Name,
-  /** The broker's books differ from the beat: the entry presents all it has. */
+  /** The broker's counts differ from the heartbeat: the entry sends a snapshot. */
   resync: Schema.Boolean,
 });
 
@@ -129,23 +130,23 @@
 ]);
 const ToEntry = Schema.Union([GrantBody, RefuseBody, HeartbeatReplyBody]);
 
-/** An entry asks for a slot. A second one with the same id changes nothing. */
+/** An entry asks for a slot. Idempotent by the ask's id. */
 export type AskMessage = typeof AskBody.Type;
 /** An entry no longer wants the slot it asked for. */
 export type WithdrawMessage = typeof WithdrawBody.Type;
-/** An entry gives a slot back. */
+/** An entry releases a slot. */
 export type ReleaseMessage = typeof ReleaseBody.Type;
 /** A slot that an entry holds. */
 export type HeldSlot = typeof HeldBody.Type;
-/** All that an entry has at a broker; what is not listed is gone. */
+/** All asks and slots of an entry at a broker; unlisted ones no longer exist. */
 export type EntrySnapshotMessage = typeof EntrySnapshotBody.Type;
-/** Sign of life of an entry that has something at a broker. */
+/** Heartbeat of an entry that has asks or slots at a broker. */
 export type HeartbeatMessage = typeof HeartbeatBody.Type;
-/** A broker grants an ask a slot at a runner. */
+/** A broker grants a slot at a runner to an ask. */
 export type GrantMessage = typeof GrantBody.Type;
-/** No slot for an ask; it was not run. */
+/** A broker refuses an ask; the request was not run. */
 export type RefuseMessage = typeof RefuseBody.Type;
-/** Answer to a beat. */
+/** Reply to a heartbeat. */
 export type HeartbeatReplyMessage = typeof HeartbeatReplyBody.Type;
 /** Any message to a broker. */
 export type BrokerMessage = typeof ToBroker.Type;
@@ -155,13 +156,13 @@
 const decodeToBroker = Schema.decodeUnknownExit(ToBroker);
 const decodeToEntry = Schema.decodeUnknownExit(ToEntry);
 
-/** Checks a message to a broker; `undefined` when it is malformed. */
+/** Validates a message to a broker; `undefined` if it is malformed. */
 export function parseBrokerMessage(value: unknown): BrokerMessage | undefined {
   const exit = decodeToBroker(value);
   return Exit.isSuccess(exit) ? exit.value : undefined;
 }
 
-/** Checks a message to an entry; `undefined` when it is malformed. */
+/** Validates a message to an entry; `undefined` if it is malformed. */
 export function parseEntryMessage(value: unknown): EntryMessage | undefined {
   const exit = decodeToEntry(value);
   return Exit.isSuccess(exit) ? exit.value : undefined;
--- a/packages/daemon/src/process/scheduling/pause_detector.ts
+++ b/packages/daemon/src/process/scheduling/pause_detector.ts
@@ -1,14 +1,14 @@
 /**
- * Notices that this process was paused.
+ * Detection of pauses of this process.
  *
  * @module
  */
 import type { Clock } from "@umbermast/coordination";
 
-/** A longer gap between two looks means that this process was paused. */
+/** A longer interval between two checks means that this process was paused. */
 const PAUSE_THRESHOLD_MS = 1_500;
 
-/** Watches the time between looks, of which there must be several a second. */
+/** Measures the time between checks, which must be made several times a second. */
 export class PauseDetector {
   readonly #clock: Clock;
   #checkedAt: number;
@@ -18,7 +18,7 @@
     this.#checkedAt = clock.monotonic();
   }
 
-  /** Milliseconds that the process was paused before this look; 0 if it was not. */
+  /** Milliseconds for which the process was paused before this check, or 0. */
   check(): number {
     const now = this.#clock.monotonic();
     const gap = now - this.#checkedAt;
--- a/packages/daemon/src/process/scheduling/prefix_affinity.ts
+++ b/packages/daemon/src/process/scheduling/prefix_affinity.ts
@@ -1,13 +1,14 @@
 /**
- * Which runner was last given a prompt prefix, and so may have it cached.
+ * Prefix affinity: the runner that last received each prompt prefix and may have
+ * it in its KV cache.
  *
  * @module
  */
 
-/** Engines evict too, so older homes are worth nothing. */
+/** Engines evict prefixes too, so older entries have no value. */
 const MAX_PREFIXES = 4_096;
 
-/** A bounded map from prefix digest to runner, the least recently used out first. */
+/** A bounded map from prefix digest to runner with LRU eviction. */
 export class PrefixAffinity {
   readonly #runners = new Map<string, string>();
 
--- a/packages/daemon/src/process/scheduling/row_index.ts
+++ b/packages/daemon/src/process/scheduling/row_index.ts
@@ -1,5 +1,5 @@
 /**
- * The table's rows by workspace and class.
+ * Index of the table's rows by workspace and class.
  *
  * @module
  */
--- a/packages/daemon/src/process/scheduling/row_limits_test.ts
+++ b/packages/daemon/src/process/scheduling/row_limits_test.ts
@@ -28,7 +28,7 @@
   );
 });
 
-test("charges what an answer cost beyond its estimate", () => {
+test("charges the excess of the actual cost over the estimate", () => {
   const limits = new RowLimits();
   const row = rowOf({ tokensPerSecond: 100 });
   limits.start(row, { cost: 10, now: 0 });
@@ -37,7 +37,7 @@
   assert.equal(limits.admits(row, 2_010), true);
 });
 
-test("applies a lower limit to what is in flight already", () => {
+test("applies a lower limit to requests already in flight", () => {
   const limits = new RowLimits();
   const wide = rowOf({ inFlight: 5 });
   for (let i = 0; i < 3; i++) limits.start(wide, { cost: 1, now: 0 });
--- a/packages/daemon/src/process/scheduling/runner_feedback.ts
+++ b/packages/daemon/src/process/scheduling/runner_feedback.ts
@@ -1,6 +1,6 @@
 /**
- * What is learned of runners from reports and settled attempts: how many slots
- * they bear, and which of them fail or straggle.
+ * Feedback from load reports and settled attempts: adapts the number of slots of
+ * each runner and ejects runners that fail or are slow.
  *
  * @module
  */
@@ -11,24 +11,25 @@
 import type { LatencyRatios } from "./slot_limit.ts";
 import type { SchedulerSwitches } from "./switches.ts";
 
-/** A runner that takes this many times the median between tokens is ejected. */
+/** Multiple of the median time between tokens above which a runner is ejected. */
 const STRAGGLER_FACTOR = 2.5;
-/** Steps shorter than this are noise, whatever their proportion. */
+/** Steps shorter than this are noise, whatever their ratio to the median. */
 const STRAGGLER_MIN_STEP_MS = 6;
+/** Assumed time between tokens before the first observation. */
 const DEFAULT_STEP_MS = 10;
 /**
- * Share of the time to the first token that may pass at the runner; the rest is
- * for the queue, where waiting can still be put in another order.
+ * Share of the target for the time to the first token that is available to the
+ * runner. The rest is for the broker's queue, where asks can still be reordered.
  */
 const RUNNER_FIRST_TOKEN_SHARE = 0.4;
 
-/** How an attempt ended, and when. */
+/** Settlement of an attempt and the time of its end. */
 export interface AttemptEnd {
   readonly settlement: Settlement;
   readonly now: number;
 }
 
-/** Watches the runners of a pool. */
+/** Adapts and ejects the runners of a pool. */
 export class RunnerFeedback {
   readonly #pool: RunnerPool;
   readonly #switches: SchedulerSwitches;
@@ -38,7 +39,7 @@
     this.#switches = switches;
   }
 
-  /** Learns a report. */
+  /** Applies a load report. */
   recordReport(runner: string, report: LoadReport, now: number): void {
     const state = this.#pool.state(runner);
     state.setReport(report);
@@ -55,7 +56,7 @@
     this.#updateEjection(runner, now);
   }
 
-  /** Gives a slot back and learns from how its attempt went. */
+  /** Frees a slot and applies the settlement of its attempt. */
   recordSettlement(held: GrantedSlot, end: AttemptEnd): void {
     const state = this.#pool.state(held.runner);
     const saturated = state.freeSlots(end.now) <= 0;
@@ -63,8 +64,8 @@
     const { settlement, now } = end;
     const { outcome } = settlement;
     if (outcome === "failed" || outcome === "silent" || outcome === "refused") {
-      // A runner that crashed answers nothing; without ejection its slots free
-      // at once and it draws every following request in turn.
+      // Requests fail at once at a crashed runner. Without ejection its slots
+      // would be free again immediately and attract every following request.
       if (this.#switches.ejection && !this.#isLastInService(held.runner)) {
         state.ejection.eject("failure", now);
       }
@@ -80,7 +81,7 @@
     } else state.ejection.requestEnded(held.askId);
   }
 
-  /** The median time between tokens over the runners; a guess without any. */
+  /** Median time between tokens over the runners; a default without data. */
   medianStepMs(): number {
     return this.#median(this.#pool.live().map((it) => it.name)) ??
       DEFAULT_STEP_MS;
@@ -89,12 +90,12 @@
   #recordStep(state: RunnerState, settlement: Settlement): void {
     const { betweenTokensMs } = settlement;
     if (betweenTokensMs === undefined) return;
-    // What was smoothed before the ejection would condemn the probe as well.
+    // The average from before the ejection would make the probe fail as well.
     if (state.ejection.cause !== undefined) state.resetStep();
     state.observeStep(betweenTokensMs);
   }
 
-  /** Observed latencies over their targets. */
+  /** Ratios of the observed latencies to their targets. */
   #latencyRatios(
     state: RunnerState,
     end: { readonly held: GrantedSlot; readonly settlement: Settlement },
@@ -113,7 +114,7 @@
     };
   }
 
-  /** The tightest time between tokens promised to what runs there. */
+  /** Tightest target for the time between tokens of the runner's requests. */
   #tightestTarget(state: RunnerState): number | undefined {
     const targets = state.classes
       .map((name) => this.#pool.classOf(name)?.target.betweenTokensMs)
@@ -121,7 +122,7 @@
     return targets.length === 0 ? undefined : Math.min(...targets);
   }
 
-  /** Ejects a straggler, or lets back one whose probe went well. */
+  /** Ejects a straggler, or restores a runner whose probe succeeded. */
   #updateEjection(runner: string, now: number, probe?: string): void {
     if (!this.#switches.ejection) return;
     const { ejection } = this.#pool.state(runner);
@@ -154,8 +155,8 @@
   }
 
   /**
-   * Whether no other runner is in use. The last one stays: a service that has
-   * ejected all of its runners would refuse what one of them might serve.
+   * Whether all other live runners are ejected. The last one is never ejected: a
+   * service without runners would refuse requests that this one might serve.
    */
   #isLastInService(runner: string): boolean {
     return this.#pool.live().every((it) =>
@@ -164,7 +165,7 @@
     );
   }
 
-  /** At most half may be out: a slow median is congestion, not a straggler. */
+  /** At most half may be ejected: if most are slow, the cause is congestion. */
   #mayEject(): boolean {
     const live = this.#pool.live();
     const ejected = live.filter((it) =>
--- a/packages/daemon/src/process/scheduling/runner_state.ts
+++ b/packages/daemon/src/process/scheduling/runner_state.ts
@@ -1,5 +1,5 @@
 /**
- * What a broker knows of one runner.
+ * A broker's state of one runner.
  *
  * @module
  */
@@ -8,25 +8,26 @@
 import type { HeldSlot } from "./messages.ts";
 import { SlotLimit } from "./slot_limit.ts";
 
-/** A slot that is in use. */
+/** A granted slot that is in use. */
 export interface GrantedSlot extends HeldSlot {
-  /** Daemon that uses it. */
+  /** Name of the entry daemon that uses the slot. */
   readonly entry: string;
   /** Charged cost, in tokens of output. */
   readonly cost: number;
   /** Monotonic milliseconds of the grant. */
   readonly grantedAt: number;
-  /** Epoch of the ask, for sending the grant again; 0 for an adopted slot. */
+  /** Epoch of the ask, for resending the grant; 0 for an adopted slot. */
   readonly epoch: number;
 }
 
-/** A report older than this says nothing of other brokers' work. */
+/** Reports older than this are not used to estimate other brokers' requests. */
 const REPORT_MAX_AGE_MS = 2_000;
-/** Own requests are remembered this long, as reports lag. */
+/** Window over which the peak of own requests is kept, because reports lag. */
 const LAG_WINDOW_MS = 1_500;
+/** Weight of a new observation in the average time between tokens. */
 const STEP_SMOOTHING = 0.3;
 
-/** Slots in use at one runner, and what was observed of it. */
+/** Slots in use at one runner, its last load report and its observed latency. */
 export class RunnerState {
   readonly limit: SlotLimit;
   readonly ejection = new Ejection();
@@ -42,7 +43,7 @@
     this.limit = new SlotLimit(slots);
   }
 
-  /** Slots in use through this broker. */
+  /** Number of slots granted by this broker and in use. */
   get inFlight(): number {
     return this.#held.size;
   }
@@ -60,7 +61,7 @@
     return this.#held;
   }
 
-  /** Classes that have requests here. */
+  /** Classes of the requests at this runner. */
   get classes(): readonly string[] {
     return [...this.#byClass.keys()];
   }
@@ -89,21 +90,22 @@
     }
   }
 
-  /** Forgets the times between tokens. */
+  /** Discards the average time between tokens. */
   resetStep(): void {
     this.#stepMs = undefined;
   }
 
-  /** Learns one time between tokens. */
+  /** Adds one time between tokens to the average. */
   observeStep(stepMs: number): void {
     const smoothed = this.#stepMs ?? stepMs;
     this.#stepMs = smoothed + (stepMs - smoothed) * STEP_SMOOTHING;
   }
 
   /**
-   * Requests of other brokers here, by the report: what it tells beyond the
-   * most that this broker had here while the report may have been made. Never
-   * so many that no slot is left, so that a wrong report cannot close a runner.
+   * Estimated number of other brokers' requests: the reported requests in excess
+   * of this broker's own peak in the time in which the report may have been made.
+   * At least one slot is always left, so that a wrong report cannot block the
+   * runner.
    */
   foreignRequests(now: number): number {
     this.#rotatePeakWindow(now);
@@ -115,12 +117,12 @@
     return Math.max(0, Math.min(excess, this.limit.slots - 1));
   }
 
-  /** Slots that may still be given. */
+  /** Number of slots that can still be granted. */
   freeSlots(now: number): number {
     return this.limit.slots - this.inFlight - this.foreignRequests(now);
   }
 
-  /** Slots in use in proportion to the limit. */
+  /** Slots in use as a fraction of the limit. */
   occupancy(now: number): number {
     return (this.inFlight + this.foreignRequests(now)) / this.limit.slots;
   }
--- a/packages/daemon/src/process/scheduling/service_rate.ts
+++ b/packages/daemon/src/process/scheduling/service_rate.ts
@@ -1,5 +1,5 @@
 /**
- * Cost served a second, measured while work waits.
+ * Measurement of the cost served per second while asks wait.
  *
  * @module
  */
@@ -8,24 +8,28 @@
 const SMOOTHING = 0.3;
 const MS_PER_SECOND = 1_000;
 
-/** A smoothed rate over windows in which something waited throughout. */
+/** A smoothed rate over windows in which asks waited throughout. */
 export class ServiceRate {
   #served = 0;
   #since: number | undefined;
   #perSecond: number | undefined;
 
-  /** Cost a second; `undefined` before the first whole window. */
+  /** Cost per second; `undefined` before the first full window. */
   get perSecond(): number | undefined {
     return this.#perSecond;
   }
 
-  /** Counts served cost. `backlogged`: something waits still. */
+  /**
+   * Adds served cost.
+   *
+   * @param at `backlogged`: whether asks still wait.
+   */
   record(
     cost: number,
     at: { readonly now: number; readonly backlogged: boolean },
   ): void {
     if (!at.backlogged) {
-      // What an idle service serves tells nothing of what it could serve.
+      // The throughput of an idle service is no measure of its capacity.
       this.#since = undefined;
       return;
     }
--- a/packages/daemon/src/process/scheduling/slot_ledger.ts
+++ b/packages/daemon/src/process/scheduling/slot_ledger.ts
@@ -1,6 +1,6 @@
 /**
- * Slots in use at a broker: taken, adopted and given back in one place, so that
- * runners, rows and books never disagree.
+ * Bookkeeping of the slots in use at a broker. All changes are made here, so that
+ * the runner pool, the row limits and the broker's state stay consistent.
  *
  * @module
  */
@@ -17,7 +17,7 @@
   readonly class: string;
 }
 
-/** Books slots at runners and under the limits of rows. */
+/** Records slots at runners and against the limits of rows. */
 export class SlotLedger {
   readonly #pool: RunnerPool;
   readonly #state: BrokerState;
@@ -34,7 +34,7 @@
     this.#rows = new RowIndex(parts.table);
   }
 
-  /** Takes a new table; its limits count what is in flight already. */
+  /** Applies a new table; its limits include requests already in flight. */
   setTable(table: Table): void {
     this.#rows = new RowIndex(table);
   }
@@ -44,12 +44,12 @@
     return this.#rows.find(key);
   }
 
-  /** Whether the limits of a row allow one more request now. */
+  /** Whether the limits of a row admit another request now. */
   admits(key: RowKey, now: number): boolean {
     return this.#limits.admits(this.rowOf(key), now);
   }
 
-  /** Takes a slot for an ask. */
+  /** Occupies a slot for an ask. */
   take(
     waiting: WaitingAsk,
     at: { readonly runner: string; readonly now: number },
@@ -72,7 +72,7 @@
     return held;
   }
 
-  /** Books a slot that another broker granted; known ones stay as they are. */
+  /** Records a slot that another broker granted; a known one is unchanged. */
   adopt(held: GrantedSlot): void {
     if (this.#state.findHeld(held.askId) !== undefined) return;
     this.#state.addHeld(held);
@@ -80,19 +80,19 @@
     this.#limits.adopt(this.rowOf(held), held.grantedAt);
   }
 
-  /** An attempt has ended; its slot is free at the runner already. */
+  /** Settles an ended attempt whose slot at the runner is already free. */
   settle(held: GrantedSlot, excessCost: number): void {
     this.#limits.end(held, excessCost);
     this.#state.removeHeld(held);
   }
 
-  /** Frees a slot without learning anything from it. */
+  /** Frees a slot without an observation of the runner. */
   abandon(held: GrantedSlot): void {
     this.#pool.abandon(held);
     this.settle(held, 0);
   }
 
-  /** The runner is gone, and the slot with it. */
+  /** Settles a slot that was lost with its runner. */
   runnerLost(held: GrantedSlot): void {
     this.settle(held, 0);
   }
--- a/packages/daemon/src/process/scheduling/slot_limit.ts
+++ b/packages/daemon/src/process/scheduling/slot_limit.ts
@@ -1,36 +1,37 @@
 /**
- * How many requests a runner is given at once: additive increase,
- * multiplicative decrease on observed latency.
+ * Adaptive limit of a runner's concurrent requests: additive increase and
+ * multiplicative decrease (AIMD) on observed latency.
  *
  * @module
  */
 
-/** Latency in proportion to its target above which slots are taken away. */
+/** Ratio of latency to its target above which the limit decreases. */
 const DECREASE_THRESHOLD = 1;
-/** Latency in proportion to its target below which slots may be added. */
+/** Ratio of latency to its target up to which the limit may increase. */
 const INCREASE_THRESHOLD = 0.85;
 const DECREASE_FACTOR = 0.85;
-/** Observations of one congested moment must count once. */
+/** Minimum time between decreases, so that one congestion event counts once. */
 const DECREASE_INTERVAL_MS = 500;
-/** Bounds in multiples of the table's number of slots. */
+/** Bounds of the limit, as multiples of the table's number of slots. */
 const MIN_FACTOR = 0.25;
 const MAX_FACTOR = 4;
+/** Lower bound of a reported capacity, as a multiple of the table's number. */
 const MIN_REPORTED_FACTOR = 0.5;
 
-/** Observed latencies over their targets; absent ones were not observed. */
+/** Ratios of observed latencies to their targets; absent if not observed. */
 export interface LatencyRatios {
   /** Time between tokens. */
   readonly between?: number;
-  /** Time from the send to the first token. */
+  /** Time from sending the request to the first token. */
   readonly first?: number;
 }
 
-/** The adapted number of slots of one runner. */
+/** The adaptive number of slots of one runner. */
 export class SlotLimit {
   #base: number;
   #value: number;
   #ceiling: number;
-  /** What the runner runs at once, as far as is known. */
+  /** Number of requests that the runner is known to run concurrently. */
   #capacity: number;
   #decreasedAt = -Infinity;
 
@@ -47,9 +48,8 @@
   }
 
   /**
-   * Learns how many requests the runner says it can run at once. What it says
-   * can take away no more than half of the table's number, so that a wrong
-   * report costs little.
+   * Applies the number of concurrent requests that the runner reports. It reduces
+   * the table's number by at most half, to bound the effect of a wrong report.
    */
   setCapacity(slots: number): void {
     if (slots <= 0) return;
@@ -59,7 +59,7 @@
     this.#value = Math.min(this.#value, this.#ceiling);
   }
 
-  /** Takes another number from the table, keeping the adaptation's proportion. */
+  /** Applies a new number from the table and scales the limit in proportion. */
   setBase(base: number): void {
     if (base === this.#base) return;
     this.#value = this.#value / this.#base * Math.max(1, base);
@@ -69,11 +69,11 @@
   }
 
   /**
-   * Learns from one observation.
+   * Adapts the limit to one observation.
    *
-   * @param ratios observed latencies over the tightest targets being served.
-   * @param at the moment, and whether all slots were in use: a limit that is
-   * not reached shows nothing about a higher one.
+   * @param ratios ratios of observed latencies to the tightest targets served.
+   * @param at the time, and whether all slots were in use: the limit increases
+   * only if it was reached.
    */
   observe(
     ratios: LatencyRatios,
@@ -83,9 +83,9 @@
     if (between > DECREASE_THRESHOLD) {
       return this.#decrease(at.now, this.#base * MIN_FACTOR);
     }
-    // Late first tokens come from a queue inside the runner, or from a burst of
-    // long prompts, which fewer slots do not cure: taking slots away below what
-    // the runner runs at once would leave it idle for nothing.
+    // Late first tokens are caused by a queue inside the runner or by a burst of
+    // long prompts. Fewer slots do not help against such a burst, so the limit
+    // stays at or above the runner's capacity, to not leave it idle.
     if (first > DECREASE_THRESHOLD) {
       return this.#decrease(at.now, this.#capacity);
     }
--- a/packages/daemon/src/process/scheduling/slot_limit_test.ts
+++ b/packages/daemon/src/process/scheduling/slot_limit_test.ts
@@ -10,13 +10,13 @@
   }
 }
 
-test("gives back slots when latency passes its target", () => {
+test("decreases when latency exceeds its target", () => {
   const limit = new SlotLimit(16);
   observeAll(limit, [1.5, 1.5, 1.5]);
   assert.equal(limit.slots, 9);
 });
 
-test("takes slots away once for one congested moment", () => {
+test("decreases once per congestion event", () => {
   const limit = new SlotLimit(16);
   for (let i = 0; i < 20; i++) {
     limit.observe({ between: 2 }, { now: 0, ...BUSY });
@@ -24,7 +24,7 @@
   assert.equal(limit.slots, 13);
 });
 
-test("grows only while all slots are in use", () => {
+test("increases only while all slots are in use", () => {
   const limit = new SlotLimit(4);
   for (let i = 0; i < 50; i++) {
     limit.observe({ between: 0.1 }, { now: 0, saturated: false });
@@ -36,17 +36,17 @@
   assert.ok(limit.slots > 8);
 });
 
-test("loses at most half of its slots to a wrong report", () => {
-  // A runner reports one slot by mistake. Were it believed, the runner would
-  // stand idle while requests wait.
+test("decreases by at most half on a wrong report", () => {
+  // A runner reports one slot by mistake. Trusting the report would leave the
+  // runner mostly idle while requests wait.
   const limit = new SlotLimit(16);
   limit.setCapacity(1);
   assert.equal(limit.slots, 8);
 });
 
-test("keeps the slots that a runner runs at once when first tokens are late", () => {
-  // A burst of long prompts delays first tokens whatever the number of slots.
-  // Were slots taken away for it, the runner would stand half idle in a burst.
+test("does not fall below a runner's capacity when first tokens are late", () => {
+  // A burst of long prompts delays first tokens regardless of the number of
+  // slots. Fewer slots would leave the runner half idle during the burst.
   const limit = new SlotLimit(16);
   for (let now = 0; now < 20_000; now += 1_000) {
     limit.observe({ first: 3 }, { now, ...BUSY });
--- a/packages/daemon/src/process/scheduling/switches.ts
+++ b/packages/daemon/src/process/scheduling/switches.ts
@@ -1,28 +1,28 @@
 /**
- * Switches of the scheduler's mechanisms, so that the worth of each is measured.
+ * Switches of the scheduler's mechanisms, to measure the benefit of each.
  *
  * @module
  */
 
-/** One switch a mechanism; all are on in ordinary use. */
+/** One switch per mechanism; all are on in normal operation. */
 export interface SchedulerSwitches {
   /** Strict priority between tiers; off: all classes share one tier. */
   readonly tiers: boolean;
   /** Minimum share of service for each waiting class. */
   readonly minimumShare: boolean;
-  /** Weighted fair queueing between workspaces; off: order of arrival. */
+  /** Weighted fair queueing between workspaces; off: in order of arrival. */
   readonly fairQueueing: boolean;
-  /** Costs from observed output lengths; off: one constant for all. */
+  /** Costs from observed output lengths; off: the same cost for all. */
   readonly costEstimate: boolean;
-  /** Requests that cannot meet their target any more yield to those that can. */
+  /** Requests that can still meet their target precede those that cannot. */
   readonly lateLast: boolean;
-  /** Refusal on arrival of what the measured rate cannot start in time. */
+  /** Refusal on arrival of asks that cannot start in time at the measured rate. */
   readonly earlyRefusal: boolean;
-  /** Slots adapted to observed latency; off: the table's number. */
+  /** Number of slots adapted to observed latency; off: the table's number. */
   readonly adaptiveSlots: boolean;
-  /** Slots kept free for the tiers above. */
+  /** Slots reserved for the highest tier. */
   readonly headroom: boolean;
-  /** Prefix affinity within a load bound. */
+  /** Prefix affinity within a bound on the difference in load. */
   readonly affinity: boolean;
   /** Ejection of stragglers and crashed runners. */
   readonly ejection: boolean;
--- a/packages/daemon/src/process/scheduling/waiting_ask.ts
+++ b/packages/daemon/src/process/scheduling/waiting_ask.ts
@@ -5,19 +5,19 @@
  */
 import type { AskMessage } from "./messages.ts";
 
-/** A waiting ask with what its order depends on. Times are monotonic. */
+/** A waiting ask with the values that determine its order. Times are monotonic. */
 export interface WaitingAsk {
   readonly ask: AskMessage;
-  /** Daemon that asked. */
+  /** Name of the entry daemon that sent the ask. */
   readonly entry: string;
   /** Estimated cost, in tokens of output. */
   readonly cost: number;
-  /** Size of the ask, for the queue's bound. */
+  /** Size of the ask, for the queue's size limit. */
   readonly bytes: number;
   /** When the request reached its entry daemon. */
   readonly arrivedAt: number;
-  /** When its answer is of no use any more. */
+  /** Deadline of the request. */
   readonly deadlineAt: number;
-  /** When it must start to meet its class's target; infinite without one. */
+  /** Latest start to meet the class's target; `Infinity` without a target. */
   readonly startBy: number;
 }
