--- a/packages/daemon/src/process/placement/order_history.ts
+++ b/packages/daemon/src/process/placement/order_history.ts
@@ -1,5 +1,5 @@
 /**
- * Orders given lately, which load reports do not show yet.
+ * History of recent orders that load reports do not reflect yet.
  *
  * @module
  */
@@ -8,10 +8,10 @@
 import type { EngineOrder, OrderOutcome } from "./placement_order.ts";
 import type { EngineState } from "./placement_plan.ts";
 
-/** How long a refused model is not tried again at the same engine. */
+/** Time for which a refused model is not ordered again at the same engine. */
 const REFUSAL_RETENTION_MS = 120_000;
 
-/** What an engine reports of itself. */
+/** The models and load that an engine reports. */
 export interface EngineReport {
   readonly models: readonly string[];
   readonly requests: number;
@@ -24,9 +24,9 @@
 }
 
 /**
- * Corrects reports by the orders given since. A report that still lists a model
- * which was just unloaded would count as another copy, and the last true copy
- * would be unloaded on its word.
+ * Corrects reports by recent orders. A stale report may still list a model that
+ * was just unloaded; counting it as a copy would cause the last actual copy to be
+ * unloaded.
  */
 export class OrderHistory {
   readonly #clock: Clock;
@@ -36,7 +36,7 @@
   constructor(
     clock: Clock,
     options: {
-      /** Longest time until a report shows an order, a load included. */
+      /** Maximum time until a report reflects an order, including a load. */
       readonly reportLagMs: number;
     },
   ) {
@@ -44,7 +44,7 @@
     this.#reportLagMs = options.reportLagMs;
   }
 
-  /** Notes an order and what came of it. */
+  /** Records an order and its outcome. */
   record(runner: Runner, order: EngineOrder, outcome: OrderOutcome): void {
     const effect = effectOf(order, outcome);
     if (effect === undefined) return;
@@ -59,7 +59,7 @@
     this.#recentOrders.set(key, orders);
   }
 
-  /** The engine's state: its report, corrected. */
+  /** The state of an engine: its report, corrected by recent orders. */
   stateOf(runner: Runner, report: EngineReport): EngineState {
     const now = this.#clock.monotonic();
     const orders = this.#recentOrders.get(keyOf(runner)) ??
@@ -84,7 +84,7 @@
   }
 }
 
-/** A restarted engine has forgotten its orders, so they are kept by incarnation. */
+/** Orders are kept by incarnation, since a restarted engine has lost their effect. */
 function keyOf({ name, incarnation }: Runner): string {
   return `${name}/${incarnation}`;
 }
@@ -95,6 +95,6 @@
 ): RecentOrder["effect"] | undefined {
   if (_tag === "NotSent" || _tag === "Stale") return undefined;
   if (_tag === "Refused") return order === "load" ? "refused" : undefined;
-  // An unload of unknown outcome may have been taken: the copy is not counted.
+  // An unload with unknown outcome may have been accepted: the copy is not counted.
   return order === "load" ? "loading" : "unloaded";
 }
--- a/packages/daemon/src/process/placement/placement_demand.ts
+++ b/packages/daemon/src/process/placement/placement_demand.ts
@@ -1,5 +1,5 @@
 /**
- * Demand for each model over all daemons.
+ * Collection of the demand for each model over all daemons.
  *
  * @module
  */
@@ -10,17 +10,17 @@
 const CHANNEL = "placement-demand";
 const REQUEST_TIMEOUT_MS = 1_000;
 const CONCURRENCY = 16;
-/** Share of the daemons that must answer for a low figure to be believed. */
+/** Share of the other daemons that must respond for low demand to be trusted. */
 const QUORUM = 0.5;
 
 /** Requests waiting or being served, by model. */
 export interface Demand {
   readonly requests: ReadonlyMap<string, number>;
-  /** Whether enough daemons were heard to believe that demand is low. */
+  /** Whether enough daemons responded to trust a low number. */
   readonly hasQuorum: boolean;
 }
 
-/** Reads the demand. */
+/** Source of the current demand. */
 export interface DemandReader {
   read(): Effect.Effect<Demand>;
 }
@@ -30,9 +30,9 @@
   readonly #counts = new Map<string, number>();
 
   /**
-   * Counts one request in.
+   * Counts a request that starts.
    *
-   * @returns a function that counts it out; later calls have no effect.
+   * @returns a function that records its end; later calls have no effect.
    */
   requestStarted(model: string): () => void {
     this.#add(model, 1);
@@ -56,8 +56,8 @@
 }
 
 /**
- * Asks every member for its counts. Only the holder of a placement lease asks,
- * once a round, so the cost stays with one daemon.
+ * Sums the counts of all members. Only the holder of a placement lease requests
+ * them, once per round, so that only one daemon bears the cost.
  */
 export class FleetDemand implements DemandReader {
   readonly #local: LocalDemand;
--- a/packages/daemon/src/process/placement/placement_fixtures.ts
+++ b/packages/daemon/src/process/placement/placement_fixtures.ts
@@ -36,7 +36,7 @@
   };
 }
 
-/** A tenure that lasts, unless told otherwise. */
+/** A tenure that does not expire by default. */
 export function tenureOf(
   remainingMs: () => number = () => 60_000,
   fencing = 1,
@@ -44,9 +44,9 @@
   return { fencing, remainingMs };
 }
 
-/** Time that jumps over pauses, for effects and for a process's clock alike. */
+/** A fake clock that skips sleeps, for effects and as the clock of a process. */
 export class JumpingClock extends FakeClock {
-  /** Runs an effect whose pauses are over at once. */
+  /** Runs an effect whose sleeps end at once and advance this clock. */
   run<A>(effect: Effect.Effect<A>): Promise<A> {
     const nanos = () => BigInt(Math.round(this.now())) * NANOS_PER_MS;
     const clock: EffectClock.Clock = {
--- a/packages/daemon/src/process/placement/placement_order.ts
+++ b/packages/daemon/src/process/placement/placement_order.ts
@@ -1,5 +1,5 @@
 /**
- * Orders to engines and what came of them.
+ * Orders to engines and their outcomes.
  *
  * @module
  */
@@ -7,35 +7,35 @@
 import type * as Effect from "effect/Effect";
 import type { Runner } from "../runner.ts";
 
-/** What an engine is to hold. Idempotent: it names a state, not a step. */
+/** An order to load or unload a model. Idempotent: it states the desired state. */
 export interface EngineOrder {
   readonly order: "load" | "unload";
   readonly model: string;
 }
 
-/** Lets one holder at a time give orders for a service. */
+/** Lease that lets one holder at a time send orders for a service. */
 export interface OrderLease {
   /**
-   * Waits for the lease and runs the effect while it is held; interrupts the
-   * effect when the lease is lost, and gives the lease up when it ends.
+   * Waits for the lease and runs the effect while the lease is held. Interrupts
+   * the effect if the lease is lost; releases the lease when the effect ends.
    */
   hold(effect: (tenure: Tenure) => Effect.Effect<void>): Effect.Effect<void>;
 }
 
-/** What came of an order. */
+/** Outcome of an order. */
 export type OrderOutcome =
-  /** The engine took it. */
+  /** The engine accepted the order. */
   | { readonly _tag: "Taken" }
-  /** The engine refused it, such as for want of memory. */
+  /** The engine refused the order, for example for lack of memory. */
   | { readonly _tag: "Refused"; readonly status: number }
-  /** The engine has seen a higher fencing number: there is a newer holder. */
+  /** The engine has seen a higher fencing token: there is a newer holder. */
   | { readonly _tag: "Stale"; readonly fencing: number }
-  /** Nothing was sent: too little of the tenure is left, or no connection. */
+  /** Nothing was sent: the remaining tenure is too short, or there is no connection. */
   | { readonly _tag: "NotSent"; readonly reason: string }
-  /** It may have been taken. */
+  /** The engine may have accepted the order. */
   | { readonly _tag: "Unknown"; readonly reason: string };
 
-/** Gives orders to engines. */
+/** Sends orders to engines. */
 export interface EngineOrders {
   send(
     runner: Runner,
@@ -44,11 +44,11 @@
   ): Effect.Effect<OrderOutcome>;
 }
 
-/** Time from the first byte of an order until its connection is cut off. */
+/** Time from the first byte of an order until its connection is reset. */
 export const ORDER_TIMEOUT_MS = 1_000;
 
-/** How long bytes may travel once they have left, connections cut off included. */
+/** Maximum time that sent bytes are in transit, also after a connection reset. */
 export const NETWORK_MARGIN_MS = 500;
 
-/** The longest time from the first byte of an order to its last effect. */
+/** Maximum time from the first byte of an order to its last effect. */
 export const MAX_SEND_MS = ORDER_TIMEOUT_MS + NETWORK_MARGIN_MS;
--- a/packages/daemon/src/process/placement/placement_orders_http.ts
+++ b/packages/daemon/src/process/placement/placement_orders_http.ts
@@ -1,5 +1,5 @@
 /**
- * Orders to engines over HTTP, bounded in time.
+ * Sending of orders to engines over HTTP, with a strict time-out.
  *
  * @module
  */
@@ -24,13 +24,13 @@
 /**
  * {@linkcode EngineOrders} over HTTP.
  *
- * An engine that does not check fencing numbers takes an order of a holder
- * whose lease is over, and if a newer holder's order came before it, the older
- * one stands last. So an order's first byte leaves only while the whole of its
- * longest send fits in the remaining tenure, and a send that takes longer is
- * cut off with a reset, which also drops what the system still holds of it. The
- * tenure is looked at in the same turn of the event loop as the write: a
- * process that was paused while it connected finds its tenure over.
+ * An engine that does not check fencing tokens accepts an order of a holder whose
+ * lease has expired, and that order would override an earlier one of a newer
+ * holder. Therefore an order is sent only if its longest possible send fits in
+ * the remaining tenure. A send that takes longer is aborted with a connection
+ * reset, which also discards bytes buffered by the operating system. The tenure
+ * is checked in the same turn of the event loop as the write, so that a process
+ * that was paused while connecting detects the end of its tenure.
  */
 export class HttpEngineOrders implements EngineOrders {
   send(
@@ -41,10 +41,10 @@
     const { tenure } = options;
     return Effect.callback<OrderOutcome>((resume) => {
       const finish = (outcome: OrderOutcome) => resume(Effect.succeed(outcome));
-      // Each order has a connection of its own: a kept one may have gone silent.
+      // Each order uses a new connection: a kept-alive one may be unresponsive.
       const socket = connect({ host: runner.address, port: runner.port });
       const connecting = setTimeout(
-        () => socket.destroy(new Error("The connection took too long")),
+        () => socket.destroy(new Error("Connecting to the engine timed out")),
         CONNECT_TIMEOUT_MS,
       );
       const notSent = (error: Error) =>
@@ -87,11 +87,17 @@
   // The request is written right after this event, in the same turn.
   clientRequest.once("socket", () => {
     if (tenure.remainingMs() >= MAX_SEND_MS) return;
-    finish({ _tag: "NotSent", reason: "Too little of the lease is left" });
+    finish({
+      _tag: "NotSent",
+      reason: "The remaining tenure is shorter than the longest send",
+    });
     socket.destroy();
   });
   const timer = setTimeout(() => {
-    finish({ _tag: "Unknown", reason: "No answer in time" });
+    finish({
+      _tag: "Unknown",
+      reason: "No response within the order time-out",
+    });
     socket.resetAndDestroy();
   }, ORDER_TIMEOUT_MS);
   clientRequest.on("error", (error) => {
@@ -120,7 +126,7 @@
   return { _tag: "Stale", fencing: typeof fencing === "number" ? fencing : 0 };
 }
 
-/** The answer's JSON; an empty object when it is none. */
+/** The JSON object of a response; an empty object if there is none. */
 async function readBody(
   response: IncomingMessage,
   call: ClientRequest,
--- a/packages/daemon/src/process/placement/placement_orders_http_test.ts
+++ b/packages/daemon/src/process/placement/placement_orders_http_test.ts
@@ -38,7 +38,7 @@
   );
 }
 
-test("an order carries its fencing number and is taken", async (context) => {
+test("an order includes the fencing token and is accepted", async (context) => {
   const bodies: unknown[] = [];
   const port = await engine(context, async (request, response) => {
     const chunks: Uint8Array[] = [];
@@ -51,14 +51,14 @@
   assert.deepEqual(bodies, [{ order: "load", model: "a", fencing: 7 }]);
 });
 
-test("an engine that has seen a newer holder says so", async (context) => {
+test("a 412 response reports a newer holder", async (context) => {
   const port = await engine(context, (_, response) => {
     response.writeHead(412).end('{"fencing":9}');
   });
   assert.deepEqual(await give(port, tenureOf()), { _tag: "Stale", fencing: 9 });
 });
 
-test("any other answer is a refusal", async (context) => {
+test("any other status is a refusal", async (context) => {
   const port = await engine(context, (_, response) => {
     response.writeHead(507).end();
   });
@@ -68,10 +68,10 @@
   });
 });
 
-// A holder is paused after it has decided on an order and wakes when its lease
-// is over. The engine does not check fencing numbers and would take the order
-// after the newer holder's. Nothing of it may leave.
-test("an order of a holder whose tenure is over sends no byte", async (context) => {
+// A holder is paused after deciding on an order, until its lease has expired. The
+// engine does not check fencing tokens and would apply the order after a newer
+// holder's. No byte of the order may be sent.
+test("a holder whose tenure is too short sends no byte", async (context) => {
   const seen: string[] = [];
   const closed: Promise<unknown>[] = [];
   const server = createTcpServer((socket) => {
@@ -87,10 +87,10 @@
   assert.deepEqual(seen, []);
 });
 
-// The path to an engine accepts bytes and swallows them, and delivers them when
-// it heals. The send is cut off in time with a reset, so that nothing which the
-// system still holds can reach the engine under a newer holder.
-test("an order that is not answered is cut off and unknown", async (context) => {
+// The network path to an engine buffers bytes and delivers them when it recovers.
+// The connection is reset on time-out, so that no byte that the operating system
+// still buffers can reach the engine when there is a newer holder.
+test("an order without a response is aborted with unknown outcome", async (context) => {
   const ends: Promise<unknown>[] = [];
   const server = createTcpServer((socket: Socket) => {
     socket.on("data", () => {});
@@ -110,7 +110,7 @@
   assert.deepEqual(await Promise.all(ends), ["ECONNRESET"]);
 });
 
-test("an engine that is not there is sent nothing", async (context) => {
+test("nothing is sent to an unreachable engine", async (context) => {
   const server = createTcpServer();
   const port = await portOf(context, server);
   server.close();
--- a/packages/daemon/src/process/placement/placement_plan.ts
+++ b/packages/daemon/src/process/placement/placement_plan.ts
@@ -1,30 +1,30 @@
 /**
- * Which engine is to load or unload which model.
+ * Planning of the orders to engines to load and unload models.
  *
  * @module
  */
 import type { EngineOrder } from "./placement_order.ts";
 
-/** What is known of an engine in this round. */
+/** State of an engine in one round. */
 export interface EngineState {
   readonly runner: string;
-  /** Models that it holds for certain. */
+  /** Models that are certainly loaded. */
   readonly models: ReadonlySet<string>;
-  /** Models that it has been ordered to load. */
+  /** Models that the engine has been ordered to load. */
   readonly loading: ReadonlySet<string>;
-  /** Models that it refused a short while ago. */
+  /** Models that the engine refused recently. */
   readonly refused: ReadonlySet<string>;
-  /** Requests in it. */
+  /** Requests running or queued in the engine. */
   readonly requests: number;
 }
 
-/** Copies wanted of a model. */
+/** Desired number of copies of a model. */
 export interface DesiredCopies {
   readonly model: string;
   readonly copies: number;
 }
 
-/** A decision with what it was chosen from. */
+/** An order for an engine, with the reason and the runners-up. */
 export interface PlacementDecision extends EngineOrder {
   readonly runner: string;
   readonly runnersUp: readonly string[];
@@ -32,13 +32,14 @@
 }
 
 /**
- * Decides at most one order for each model.
+ * Plans at most one order for each model.
  *
- * A copy is unloaded only where another model stays, since an engine without a
- * model serves nobody, and only while another engine certainly holds it.
+ * A copy is unloaded only from an engine that keeps another model, since an
+ * engine without a model serves no requests, and only while another engine
+ * certainly holds the model.
  *
- * @param engines live engines whose state is known in this round; one that is
- * leaving or silent is no copy to rely on.
+ * @param engines live engines whose state is known in this round. Engines that
+ * are leaving or unresponsive are excluded, as their copies are not reliable.
  */
 export function planPlacement(
   desired: readonly DesiredCopies[],
@@ -50,13 +51,13 @@
     const decision = decide(target, states);
     if (decision === undefined) continue;
     decisions.push(decision);
-    // Two models' decisions must not empty one engine between them.
+    // Decisions for two models must not together unload all models of one engine.
     states = states.map((state) => applyDecision(state, decision));
   }
   return decisions;
 }
 
-/** The state to decide from once an order is given. */
+/** The state of an engine after a decision, for the following decisions. */
 function applyDecision(
   state: EngineState,
   decision: PlacementDecision,
@@ -87,7 +88,7 @@
       figures,
     );
   }
-  // A copy that is still loading may fail, so it is none to rely on.
+  // A copy that is still loading may fail, so it does not count as a surplus.
   const hasSurplus = holders.length > copies && holders.length > 1;
   if (!hasSurplus) return undefined;
   const removable = holders.filter(({ models }) => models.size > 1);
@@ -109,7 +110,7 @@
   return { ...order, runner: first, runnersUp, reason };
 }
 
-/** Runners-up named in a decision's log line. */
+/** Number of runners-up in a decision's log line. */
 const MAX_RUNNERS_UP = 3;
 
 function canLoad(engine: EngineState, model: string): boolean {
--- a/packages/daemon/src/process/placement/placement_plan_test.ts
+++ b/packages/daemon/src/process/placement/placement_plan_test.ts
@@ -4,7 +4,7 @@
 import { engineOf } from "./placement_fixtures.ts";
 import { planPlacement } from "./placement_plan.ts";
 
-test("a model without a copy is loaded where there is most room", () => {
+test("a model without a copy is loaded on the engine with the fewest models and requests", () => {
   const decisions = planPlacement([{ model: "b", copies: 1 }], [
     engineOf("r1", ["a"], { requests: 5 }),
     engineOf("r2", ["a"], { requests: 1 }),
@@ -27,7 +27,7 @@
   assert.deepEqual(planPlacement([{ model: "b", copies: 1 }], engines), []);
 });
 
-test("an engine that refused a model is not asked again", () => {
+test("an engine that refused a model is not ordered to load it again", () => {
   const engines = [engineOf("r1", ["a"], { refused: new Set(["b"]) })];
   assert.deepEqual(planPlacement([{ model: "b", copies: 1 }], engines), []);
 });
@@ -37,14 +37,14 @@
   assert.deepEqual(planPlacement([{ model: "a", copies: 1 }], engines), []);
 });
 
-test("a spare copy is unloaded where another model stays", () => {
+test("a surplus copy is unloaded from an engine that keeps another model", () => {
   const engines = [engineOf("r1", ["a"]), engineOf("r2", ["a", "b"])];
   const [decision] = planPlacement([{ model: "a", copies: 1 }], engines);
   assert.equal(decision?.order, "unload");
   assert.equal(decision?.runner, "r2");
 });
 
-test("no model loses its last copy and no engine its last model, whatever is wanted", () => {
+test("no model loses its last copy and no engine its last model, for any desired copies", () => {
   const models = ["a", "b", "c"];
   const subset = fc.subarray(models);
   const engines = fc.array(fc.tuple(subset, subset), { maxLength: 5 });
--- a/packages/daemon/src/process/placement/placement_reports.ts
+++ b/packages/daemon/src/process/placement/placement_reports.ts
@@ -1,5 +1,5 @@
 /**
- * What engines report of their models, read when placement looks.
+ * Engines' reports of their models and load, read in each placement round.
  *
  * @module
  */
@@ -11,9 +11,9 @@
 const REPORT_TIMEOUT_MS = 1_000;
 const MAX_BODY_BYTES = 64_000;
 
-/** Reads engines' reports. */
+/** Source of engines' reports. */
 export interface EngineReports {
-  /** `undefined` when the engine does not answer in time. */
+  /** Reads a report; `undefined` if the engine does not respond in time. */
   read(runner: Runner): Effect.Effect<EngineReport | undefined>;
 }
 
--- a/packages/daemon/src/process/placement/placement_targets.ts
+++ b/packages/daemon/src/process/placement/placement_targets.ts
@@ -1,14 +1,14 @@
 /**
- * How many copies of each model a service should have: demand with hysteresis.
+ * Target number of copies of each model of a service: demand with hysteresis.
  *
  * @module
  */
 
-/** Rounds in a row in which more copies are wanted before there are more. */
+/** Consecutive rounds of higher demand before the target is raised. */
 const RAISE_ROUNDS = 2;
-/** Rounds in a row in which fewer are wanted before there is one fewer. */
+/** Consecutive rounds of lower demand before the target is lowered by one. */
 const LOWER_ROUNDS = 6;
-/** Share of a runner's slots that a copy is planned to fill. */
+/** Planned utilization of the slots of a runner by a copy. */
 const PLANNED_UTILIZATION = 0.7;
 
 interface Target {
@@ -17,25 +17,26 @@
   roundsBelow: number;
 }
 
-/** What a round knows of one model. */
+/** Demand for and copies of one model in one round. */
 export interface ModelDemand {
   readonly model: string;
   /** Requests waiting or being served. */
   readonly requests: number;
-  /** Copies there are now. */
+  /** Current number of copies. */
   readonly copies: number;
-  /** Whether enough of the daemons were heard to believe a low figure. */
+  /** Whether enough daemons responded to trust a low number. */
   readonly hasQuorum: boolean;
 }
 
 /**
- * Targets by model. They rise fast and fall slowly: a copy that is loaded too
- * late costs a class its target, one that is unloaded too early costs a load.
+ * Targets by model. They rise quickly and fall slowly: loading a copy too late
+ * causes a class to miss its target, while unloading one too early only costs
+ * another load.
  */
 export class CopyTargets {
   readonly #targets = new Map<string, Target>();
 
-  /** Takes one round's demand in and gives the copies wanted. */
+  /** Applies the demand of one round and returns the target number of copies. */
   update(
     demand: ModelDemand,
     options: { readonly slotsPerRunner: number },
@@ -57,7 +58,7 @@
     return target.copies;
   }
 
-  /** A new holder starts from what is there, so that taking over moves nothing. */
+  /** A new lease holder starts from the current copies, so that none are moved. */
   #targetOf(demand: ModelDemand, wanted: number): Target {
     const existing = this.#targets.get(demand.model);
     if (existing !== undefined) return existing;
--- a/packages/daemon/src/process/placement/placement_targets_test.ts
+++ b/packages/daemon/src/process/placement/placement_targets_test.ts
@@ -16,15 +16,15 @@
   );
 }
 
-test("a new holder keeps what is there when demand agrees", () => {
+test("a new holder keeps the current copies if they match demand", () => {
   assert.deepEqual(targetsOver([14, 14], { copies: 2 }), [2, 2]);
 });
 
-test("a model that nobody asks for has one copy", () => {
+test("a model without requests has one copy", () => {
   assert.deepEqual(targetsOver([0], { copies: 0 }), [1]);
 });
 
-test("a single burst raises nothing, a lasting one does", () => {
+test("a short burst does not raise the target, a lasting one does", () => {
   assert.deepEqual(targetsOver([7, 70, 7, 70, 70], { copies: 1 }), [
     1,
     1,
@@ -52,7 +52,7 @@
   ]);
 });
 
-test("a figure from too few daemons lowers nothing", () => {
+test("demand reported by too few daemons does not lower the target", () => {
   const rounds = new Array(12).fill(0);
   const targets = targetsOver(rounds, { copies: 3, hasQuorum: false });
   assert.deepEqual(new Set(targets), new Set([3]));
--- a/packages/daemon/src/process/placement/placement_task.ts
+++ b/packages/daemon/src/process/placement/placement_task.ts
@@ -1,5 +1,6 @@
 /**
- * The placement task of one service.
+ * The placement task of one service, which keeps its models loaded on engines
+ * according to demand.
  *
  * @module
  */
@@ -21,7 +22,7 @@
 const DEFAULT_REPORT_LAG_MS = 30_000;
 const REPORT_CONCURRENCY = 16;
 
-/** What a placement task works with. */
+/** Dependencies and options of a placement task. */
 export interface PlacementDependencies {
   readonly service: string;
   readonly lease: OrderLease;
@@ -30,17 +31,17 @@
   readonly demand: DemandReader;
   readonly clock: Clock;
   readonly log: Log;
-  /** The service in the table in force, if it is there. */
+  /** The service in the current table; `undefined` if the table has none. */
   readonly definition: () => Service | undefined;
-  /** The service's runners, as the platform lists them. */
+  /** The service's runners, as listed by the platform. */
   readonly runners: () => readonly Runner[];
   /** Milliseconds between two rounds; 10,000 by default. */
   readonly intervalMs?: number;
-  /** Longest time until a report shows an order; 30,000 by default. */
+  /** Maximum time until a report reflects an order; 30,000 by default. */
   readonly reportLagMs?: number;
 }
 
-/** What one holder remembers, for as long as it holds the lease. */
+/** State of a lease holder, kept for as long as it holds the lease. */
 interface LeaseTerm {
   readonly tenure: Tenure;
   readonly orderHistory: OrderHistory;
@@ -48,17 +49,17 @@
 }
 
 /**
- * Keeps the models of a service where the demand is. The steps, in order:
+ * Adapts the placement of a service's models to demand, in these steps:
  *
- * 1. wait for the lease;
- * 2. wait out the former holder: its longest send, and the lag of the reports
- *    that would show its last orders;
- * 3. in rounds, read every engine's report and all daemons' demand, decide, and
- *    give the orders, each checked against the remaining tenure;
- * 4. stop when the lease is lost or an engine reports a higher fencing number.
+ * 1. Acquire the lease.
+ * 2. Wait until the previous holder's orders have taken effect and are visible:
+ *    its longest possible send plus the lag of the reports.
+ * 3. In rounds, read the reports of all engines and the demand of all daemons,
+ *    plan, and send the orders, each checked against the remaining tenure.
+ * 4. Stop when the lease is lost or an engine reports a higher fencing token.
  *
- * Each round starts from what the engines report, so an order that was lost, or
- * that a former holder's network delivered late, is made good by the next one.
+ * Each round starts from the engines' reports. The next round therefore corrects
+ * an order that was lost or that a previous holder's network delivered late.
  */
 export class PlacementTask {
   readonly #dependencies: PlacementDependencies;
@@ -67,7 +68,7 @@
     this.#dependencies = dependencies;
   }
 
-  /** Runs for as long as the process. */
+  /** Runs until it is interrupted. */
   run(): Effect.Effect<never> {
     const { lease } = this.#dependencies;
     return Effect.forever(lease.hold((tenure) => this.#runTerm(tenure)));
@@ -91,7 +92,7 @@
         yield* Effect.sleep(intervalMs ?? DEFAULT_INTERVAL_MS);
       }
     }).pipe(
-      // The lease interrupts this effect when it is lost.
+      // This effect is interrupted when the lease is lost.
       Effect.ensuring(
         Effect.sync(() =>
           log.event("placement_lease_ended", { service, fencing })
@@ -100,11 +101,11 @@
     );
   }
 
-  /** One round; true when it must be the last. */
+  /** Runs one round; true if it must be the last. */
   #runRound(term: LeaseTerm): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
       const definition = this.#dependencies.definition();
-      // The service has left the table: give the lease up.
+      // The service was removed from the table: release the lease.
       if (definition?.kind !== "model") return true;
       const engines = yield* this.#readEngines(term);
       const desired = yield* this.#desiredCopies(term, { definition, engines });
--- a/packages/daemon/src/process/placement/placement_task_test.ts
+++ b/packages/daemon/src/process/placement/placement_task_test.ts
@@ -19,10 +19,10 @@
 const REPORT_LAG_MS = 45_000;
 const LEASE_MS = 900_000;
 
-/** How late reports are; less than the task allows for. */
+/** Delay of the reports; shorter than the task allows for. */
 const LAG_MS = REPORT_LAG_MS - 1_000;
 
-/** An engine that takes orders at once and reports them late. */
+/** An engine that applies orders at once and reports them late. */
 class FakeEngine {
   fencing = 0;
   readonly checksFencing: boolean;
@@ -58,7 +58,7 @@
   readonly at: number;
 }
 
-/** Engines, the orders that reached them and the events of one daemon. */
+/** Engines, the orders that they accepted and the log events of one daemon. */
 class Pool {
   readonly clock = new JumpingClock();
   readonly given: Given[] = [];
@@ -100,7 +100,7 @@
         const engine = this.engines.get(name);
         if (engine === undefined) return undefined;
         const shown = engine.modelsAt(this.clock.monotonic() - LAG_MS);
-        // Load moves between reports, so that choices do too.
+        // The load varies between reports, so that the choices vary too.
         this.#reads += 1;
         const requests = (this.#reads * 7) % 5;
         return { models: [...shown], requests, leaving: false };
@@ -140,7 +140,7 @@
     });
   }
 
-  /** A lease that is held once, from now on for a fixed time. */
+  /** A lease that is granted once, from now on for a fixed time. */
   lease(fencing: number, onEnd: () => void): OrderLease {
     let held = false;
     return {
@@ -160,7 +160,7 @@
     };
   }
 
-  /** Runs one holder until its tenure is over. */
+  /** Runs one holder until its tenure has ended. */
   async serve(fencing: number, models: readonly string[]): Promise<void> {
     let ended = () => {};
     const over = new Promise<void>((resolve) => ended = resolve);
@@ -171,7 +171,7 @@
   }
 }
 
-test("a model that is wanted and held nowhere is loaded once", async () => {
+test("a model without copies is loaded once", async () => {
   const pool = new Pool({
     r1: new FakeEngine(["a"]),
     r2: new FakeEngine(["a", "x"]),
@@ -184,15 +184,15 @@
   assert.ok(pool.events.includes("placement_decision r1"));
 });
 
-test("a new holder waits out the former one's longest send and report lag", async () => {
+test("a new holder waits for the previous holder's longest send and the report lag", async () => {
   const pool = new Pool({ r1: new FakeEngine(["a"]) });
   await pool.serve(1, ["a", "b"]);
   assert.equal(pool.given[0]?.at, MAX_SEND_MS + REPORT_LAG_MS);
 });
 
-// Reports lag: after an unload they still list the model. Counting that copy
-// would let the next round unload another one, and at last the only true one.
-test("reports that lag do not lead to the last copy being unloaded", async () => {
+// After an unload, delayed reports still list the model. Counting that copy would
+// let following rounds unload further copies, including the last actual one.
+test("delayed reports do not cause the last copy to be unloaded", async () => {
   const pool = new Pool({
     r1: new FakeEngine(["a", "b"]),
     r2: new FakeEngine(["a", "b"]),
@@ -209,10 +209,10 @@
 });
 
 // The holder is paused between its decision and the send, for longer than its
-// lease, and wakes still believing that it holds it. Meanwhile a new holder has
-// given orders. The engine ignores fencing numbers, so nothing but the check of
-// the tenure at the send keeps the older order from standing last.
-test("a holder paused past its lease sends nothing when it wakes", async () => {
+// lease. Meanwhile a new holder has sent orders. The engine ignores fencing
+// tokens, so only the check of the tenure before the send prevents the older order
+// from overriding the newer ones.
+test("a holder that was paused past the end of its lease sends nothing", async () => {
   const pool = new Pool({ r1: new FakeEngine(["a"]) });
   pool.beforeSend = () => pool.clock.advance(LEASE_MS);
   await pool.serve(1, ["a", "b"]);
@@ -220,7 +220,7 @@
   assert.ok(pool.events.includes("placement_lease_ended "));
 });
 
-test("a holder that an engine calls stale gives no further order", async () => {
+test("a holder sends no further order after an engine reports a newer holder", async () => {
   const engine = new FakeEngine(["a"], true);
   engine.fencing = 5;
   const pool = new Pool({ r1: engine });
