--- a/packages/daemon/src/process/placement/placement_plan_test.ts
+++ b/packages/daemon/src/process/placement/placement_plan_test.ts
@@ -60,18 +60,18 @@
       const states = held.map(([holding, loading], at) =>
         engineOf(`r${at}`, holding, { loading: new Set(loading) })
       );
-      const unique = new Map(copies.map((each) => [each.model, each]));
+      const unique = new Map(copies.map((target) => [target.model, target]));
       const decisions = planPlacement([...unique.values()], states);
-      const left = new Map(
+      const remaining = new Map(
         states.map(({ runner, models }) => [runner, new Set(models)]),
       );
       for (const { order, model, runner } of decisions) {
-        if (order === "unload") left.get(runner)?.delete(model);
+        if (order === "unload") remaining.get(runner)?.delete(model);
       }
       for (const { runner, models } of states) {
-        assert.ok(models.size === 0 || (left.get(runner)?.size ?? 0) > 0);
+        assert.ok(models.size === 0 || (remaining.get(runner)?.size ?? 0) > 0);
         for (const model of models) {
-          assert.ok([...left.values()].some((kept) => kept.has(model)));
+          assert.ok([...remaining.values()].some((kept) => kept.has(model)));
         }
       }
     }),
--- a/packages/daemon/src/process/placement/placement_task_test.ts
+++ b/packages/daemon/src/process/placement/placement_task_test.ts
@@ -20,7 +20,7 @@
 const LEASE_MS = 900_000;
 
 /** Delay of the reports; shorter than the task allows for. */
-const LAG_MS = REPORT_LAG_MS - 1_000;
+const REPORT_DELAY_MS = REPORT_LAG_MS - 1_000;
 
 /** An engine that applies orders at once and reports them late. */
 class FakeEngine {
@@ -42,7 +42,7 @@
       new Set();
   }
 
-  take(order: string, model: string, at: number): void {
+  applyOrder(order: string, model: string, at: number): void {
     const models = new Set(this.models);
     if (order === "load") models.add(model);
     else models.delete(model);
@@ -50,7 +50,7 @@
   }
 }
 
-interface Given {
+interface AcceptedOrder {
   readonly runner: string;
   readonly order: string;
   readonly model: string;
@@ -61,7 +61,7 @@
 /** Engines, the orders that they accepted and the log events of one daemon. */
 class Pool {
   readonly clock = new JumpingClock();
-  readonly given: Given[] = [];
+  readonly acceptedOrders: AcceptedOrder[] = [];
   readonly events: string[] = [];
   readonly engines: ReadonlyMap<string, FakeEngine>;
   requests: ReadonlyMap<string, number> = new Map();
@@ -88,8 +88,13 @@
         engine.fencing = Math.max(engine.fencing, tenure.fencing);
         const { fencing } = tenure;
         const at = this.clock.monotonic();
-        engine.take(order.order, order.model, at);
-        this.given.push({ runner: runner.name, ...order, fencing, at });
+        engine.applyOrder(order.order, order.model, at);
+        this.acceptedOrders.push({
+          runner: runner.name,
+          ...order,
+          fencing,
+          at,
+        });
         return { _tag: "Taken" };
       }),
   };
@@ -99,11 +104,13 @@
       Effect.sync((): EngineReport | undefined => {
         const engine = this.engines.get(name);
         if (engine === undefined) return undefined;
-        const shown = engine.modelsAt(this.clock.monotonic() - LAG_MS);
+        const reported = engine.modelsAt(
+          this.clock.monotonic() - REPORT_DELAY_MS,
+        );
         // The load varies between reports, so that the choices vary too.
         this.#reads += 1;
         const requests = (this.#reads * 7) % 5;
-        return { models: [...shown], requests, leaving: false };
+        return { models: [...reported], requests, leaving: false };
       }),
   };
 
@@ -142,14 +149,14 @@
 
   /** A lease that is granted once, from now on for a fixed time. */
   lease(fencing: number, onEnd: () => void): OrderLease {
-    let held = false;
+    let granted = false;
     return {
       hold: (during) =>
         Effect.suspend(() => {
-          if (held) {
+          if (granted) {
             return Effect.sync(onEnd).pipe(Effect.andThen(Effect.never));
           }
-          held = true;
+          granted = true;
           const end = this.clock.monotonic() + LEASE_MS;
           const tenure: Tenure = {
             fencing,
@@ -161,7 +168,7 @@
   }
 
   /** Runs one holder until its tenure has ended. */
-  async serve(fencing: number, models: readonly string[]): Promise<void> {
+  async runHolder(fencing: number, models: readonly string[]): Promise<void> {
     let ended = () => {};
     const over = new Promise<void>((resolve) => ended = resolve);
     const task = this.task(this.lease(fencing, ended), models);
@@ -176,8 +183,8 @@
     r1: new FakeEngine(["a"]),
     r2: new FakeEngine(["a", "x"]),
   });
-  await pool.serve(1, ["a", "b"]);
-  const orders = pool.given.filter(({ model }) => model === "b");
+  await pool.runHolder(1, ["a", "b"]);
+  const orders = pool.acceptedOrders.filter(({ model }) => model === "b");
   assert.deepEqual(orders.map(({ runner, order }) => `${order} ${runner}`), [
     "load r1",
   ]);
@@ -186,8 +193,8 @@
 
 test("a new holder waits for the previous holder's longest send and the report lag", async () => {
   const pool = new Pool({ r1: new FakeEngine(["a"]) });
-  await pool.serve(1, ["a", "b"]);
-  assert.equal(pool.given[0]?.at, MAX_SEND_MS + REPORT_LAG_MS);
+  await pool.runHolder(1, ["a", "b"]);
+  assert.equal(pool.acceptedOrders[0]?.at, MAX_SEND_MS + REPORT_LAG_MS);
 });
 
 // After an unload, delayed reports still list the model. Counting that copy would
@@ -199,10 +206,10 @@
     r3: new FakeEngine(["a", "b"]),
   });
   for (let fencing = 1; fencing <= 4; fencing += 1) {
-    await pool.serve(fencing, ["a", "b"]);
+    await pool.runHolder(fencing, ["a", "b"]);
   }
   const held = [...pool.engines.values()].map(({ models }) => models);
-  assert.ok(pool.given.length > 0);
+  assert.ok(pool.acceptedOrders.length > 0);
   assert.ok(held.some((models) => models.has("a")));
   assert.ok(held.some((models) => models.has("b")));
   assert.ok(held.every((models) => models.size > 0));
@@ -215,8 +222,8 @@
 test("a holder that was paused past the end of its lease sends nothing", async () => {
   const pool = new Pool({ r1: new FakeEngine(["a"]) });
   pool.beforeSend = () => pool.clock.advance(LEASE_MS);
-  await pool.serve(1, ["a", "b"]);
-  assert.deepEqual(pool.given, []);
+  await pool.runHolder(1, ["a", "b"]);
+  assert.deepEqual(pool.acceptedOrders, []);
   assert.ok(pool.events.includes("placement_lease_ended "));
 });
 
@@ -224,8 +231,8 @@
   const engine = new FakeEngine(["a"], true);
   engine.fencing = 5;
   const pool = new Pool({ r1: engine });
-  await pool.serve(4, ["a", "b", "c"]);
-  assert.deepEqual(pool.given, []);
+  await pool.runHolder(4, ["a", "b", "c"]);
+  assert.deepEqual(pool.acceptedOrders, []);
   const decisions = pool.events.filter((event) =>
     event.startsWith("placement_decision")
   );
