--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -112,7 +112,7 @@
     const signals = yield* listenForSignals;
     const fleet = yield* joinFleet(settings, log);
     const lifecycle = new Lifecycle(log, requirements(fleet));
-    metrics.follow(() => ({
+    metrics.observeGauges(() => ({
       requestsInFlight: requests.inFlight,
       callerConnections: callers.connections,
       tableVersion: fleet.feed.current()?.version ?? 0,
--- a/packages/daemon/src/process/metrics.ts
+++ b/packages/daemon/src/process/metrics.ts
@@ -99,7 +99,7 @@
   }
 
   /** Reads gauges when metrics are asked for; to be called once. */
-  follow(gauges: () => Gauges): void {
+  observeGauges(gauges: () => Gauges): void {
     this.#gauge("umbermast_requests_in_flight", {
       help: "Requests of callers that are held, waiting or being served",
       read: () => gauges().requestsInFlight,
--- a/packages/daemon/src/process/metrics_test.ts
+++ b/packages/daemon/src/process/metrics_test.ts
@@ -4,7 +4,7 @@
 
 function exampleMetrics(): Metrics {
   const metrics = new Metrics();
-  metrics.follow(() => ({
+  metrics.observeGauges(() => ({
     requestsInFlight: 3,
     callerConnections: 4,
     tableVersion: 17,
