--- a/packages/daemon/src/process/metrics.ts
+++ b/packages/daemon/src/process/metrics.ts
@@ -125,7 +125,7 @@
   }
 
   /** Counts a request that was run. */
-  ended(request: EndedRequest): void {
+  requestEnded(request: EndedRequest): void {
     const { class: name, service, outcome } = request;
     this.#requests.inc({ class: name, service, outcome });
     const labels = { class: name, service };
--- a/packages/daemon/src/process/metrics_test.ts
+++ b/packages/daemon/src/process/metrics_test.ts
@@ -16,7 +16,7 @@
 
 test("requests are counted by class, service and outcome, in seconds", async () => {
   const metrics = exampleMetrics();
-  metrics.ended({
+  metrics.requestEnded({
     class: "quote",
     service: "drafting-llm",
     outcome: "complete",
--- a/packages/daemon/src/request/request_metrics.ts
+++ b/packages/daemon/src/request/request_metrics.ts
@@ -26,7 +26,7 @@
     options: { readonly ending: Ending; readonly answerAt: number | undefined },
   ): void {
     const { answerAt, ending } = options;
-    this.#metrics.ended({
+    this.#metrics.requestEnded({
       class: call.class,
       service: call.service,
       outcome: outcomeOf(ending),
