--- a/packages/daemon/src/process/metrics.ts
+++ b/packages/daemon/src/process/metrics.ts
@@ -135,7 +135,7 @@
   }
 
   /** Counts a request that was refused before it was run. */
-  refused(code: string): void {
+  requestRefused(code: string): void {
     this.#refusals.inc({ code });
   }
 
--- a/packages/daemon/src/process/metrics_test.ts
+++ b/packages/daemon/src/process/metrics_test.ts
@@ -23,7 +23,7 @@
     durationMs: 1500,
     answerMs: 20,
   });
-  metrics.refused("model_unknown");
+  metrics.requestRefused("model_unknown");
   const { body } = await metrics.text();
   const labels = 'class="quote",service="drafting-llm"';
   const lines = body.split("\n");
--- a/packages/daemon/src/request/request_metrics.ts
+++ b/packages/daemon/src/request/request_metrics.ts
@@ -38,7 +38,7 @@
   }
 
   refused(problem: Problem): void {
-    this.#metrics.refused(problem.code);
+    this.#metrics.requestRefused(problem.code);
   }
 
   dropped(): void {
