--- a/packages/daemon/src/process/metrics.ts
+++ b/packages/daemon/src/process/metrics.ts
@@ -140,7 +140,7 @@
   }
 
   /** Counts a connection beyond the limit. */
-  dropped(): void {
+  connectionDropped(): void {
     this.#dropped.inc();
   }
 
--- a/packages/daemon/src/request/request_metrics.ts
+++ b/packages/daemon/src/request/request_metrics.ts
@@ -42,6 +42,6 @@
   }
 
   dropped(): void {
-    this.#metrics.dropped();
+    this.#metrics.connectionDropped();
   }
 }
