--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -191,7 +191,7 @@
   process.stdout.on("error", () => {});
   const write = (line: string) => process.stdout.write(`${line}\n`);
   const metrics = new Metrics();
-  const warned = (code: string) => metrics.warned(code);
+  const warned = (code: string) => metrics.warningLogged(code);
   const log = new LineLog(write, { decisions, warned });
   return Effect.scoped(live(settings, { log, decisions, metrics }));
 }
--- a/packages/daemon/src/process/metrics.ts
+++ b/packages/daemon/src/process/metrics.ts
@@ -145,7 +145,7 @@
   }
 
   /** Counts a warning. */
-  warned(code: string): void {
+  warningLogged(code: string): void {
     this.#warnings.inc({ code });
   }
 
