--- a/packages/daemon/src/operator_resources.ts
+++ b/packages/daemon/src/operator_resources.ts
@@ -107,7 +107,7 @@
       const status = readiness.ready ? HTTP_OK : HTTP_UNAVAILABLE;
       return jsonAnswer(readiness, status);
     },
-    "/metrics": async () => ({ status: HTTP_OK, ...await metrics.text() }),
+    "/metrics": async () => ({ status: HTTP_OK, ...await metrics.render() }),
     "/status": () => jsonAnswer(statusOf(parts)),
     "/runners": () => jsonAnswer({ runners: directory.all() }),
     "/daemons": () => jsonAnswer({ daemons: daemonsOf(parts) }),
--- a/packages/daemon/src/process/metrics.ts
+++ b/packages/daemon/src/process/metrics.ts
@@ -150,7 +150,7 @@
   }
 
   /** All metrics in the exposition format. */
-  async text(): Promise<{
+  async render(): Promise<{
     readonly contentType: string;
     readonly body: string;
   }> {
--- a/packages/daemon/src/process/metrics_test.ts
+++ b/packages/daemon/src/process/metrics_test.ts
@@ -24,7 +24,7 @@
     answerMs: 20,
   });
   metrics.requestRefused("model_unknown");
-  const { body } = await metrics.text();
+  const { body } = await metrics.render();
   const labels = 'class="quote",service="drafting-llm"';
   const lines = body.split("\n");
   for (
