--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -22,7 +22,7 @@
 import { Metrics } from "./process/metrics.ts";
 import type { Settings } from "./process/settings.ts";
 import { listenForSignals } from "./process/signals.ts";
-import type { EndSignals } from "./process/signals.ts";
+import type { ShutdownSignals } from "./process/signals.ts";
 import { CallerRequests } from "./request/caller_requests.ts";
 import { CountedCallRunner } from "./request/placement_demand.ts";
 import { RequestMetrics } from "./request/request_metrics.ts";
@@ -62,7 +62,7 @@
  */
 function drain(
   requests: CallerRequests,
-  options: { readonly signals: EndSignals; readonly graceMs: number },
+  options: { readonly signals: ShutdownSignals; readonly graceMs: number },
 ): Effect.Effect<number> {
   const cutOff = Effect.race(
     Effect.as(options.signals.stop, EXIT_CUT_OFF),
--- a/packages/daemon/src/process/signals.ts
+++ b/packages/daemon/src/process/signals.ts
@@ -9,7 +9,7 @@
 import type * as Scope from "effect/Scope";
 
 /** The first and the second signal to end. */
-export interface EndSignals {
+export interface ShutdownSignals {
   /** Ends at the first: leave, and finish what is in flight. */
   readonly leave: Effect.Effect<void>;
   /** Ends at the second: stop at once. */
@@ -20,7 +20,7 @@
 
 /** Listens for SIGTERM and SIGINT until the scope closes. */
 export const listenForSignals: Effect.Effect<
-  EndSignals,
+  ShutdownSignals,
   never,
   Scope.Scope
 > = Effect.gen(function* () {
