--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -65,7 +65,7 @@
   options: { readonly signals: ShutdownSignals; readonly graceMs: number },
 ): Effect.Effect<number> {
   const cutOff = Effect.race(
-    Effect.as(options.signals.stop, EXIT_CUT_OFF),
+    Effect.as(options.signals.immediate, EXIT_CUT_OFF),
     Effect.as(Effect.sleep(options.graceMs), EXIT_CUT_OFF),
   );
   return Effect.race(Effect.as(requests.idle, EXIT_WHOLE), cutOff);
@@ -158,7 +158,7 @@
       Effect.repeat(Schedule.spaced(READINESS_CHECK_MS)),
       Effect.forkScoped,
     );
-    yield* signals.leave;
+    yield* signals.graceful;
     lifecycle.enter("leaving");
     yield* fleet.node.leave;
     const { graceMs } = settings.shutdown;
@@ -167,7 +167,7 @@
     yield* stopRequests(requests);
     const flushMs = settings.limits.callerWriteTimeoutMs;
     yield* status === EXIT_WHOLE
-      ? within(flushMs, Effect.race(callers.flushed, signals.stop))
+      ? within(flushMs, Effect.race(callers.flushed, signals.immediate))
       : within(CUT_OFF_FLUSH_MS, callers.flushed);
     callers.close();
     yield* within(CLAIMS_DRAIN_MS, fleet.claims.drain());
--- a/packages/daemon/src/process/signals.ts
+++ b/packages/daemon/src/process/signals.ts
@@ -11,9 +11,9 @@
 /** The first and the second signal to end. */
 export interface ShutdownSignals {
   /** Ends at the first: leave, and finish what is in flight. */
-  readonly leave: Effect.Effect<void>;
+  readonly graceful: Effect.Effect<void>;
   /** Ends at the second: stop at once. */
-  readonly stop: Effect.Effect<void>;
+  readonly immediate: Effect.Effect<void>;
 }
 
 const SIGNALS = ["SIGTERM", "SIGINT"] as const;
@@ -36,5 +36,5 @@
       for (const signal of SIGNALS) process.off(signal, receive);
     })
   );
-  return { leave: Deferred.await(first), stop: Deferred.await(second) };
+  return { graceful: Deferred.await(first), immediate: Deferred.await(second) };
 });
