--- a/packages/daemon/src/connection/caller_server.ts
+++ b/packages/daemon/src/connection/caller_server.ts
@@ -127,7 +127,7 @@
     get connections() {
       return sockets.size;
     },
-    flushed: unsent.empty,
+    flushed: unsent.whenEmpty,
     close: () => {
       server.close();
       server.closeAllConnections();
--- a/packages/daemon/src/process/tracked_set.ts
+++ b/packages/daemon/src/process/tracked_set.ts
@@ -11,7 +11,7 @@
   #waiting: (() => void)[] = [];
 
   /** Ends when the set is empty; at once if it is. */
-  readonly empty: Effect.Effect<void> = Effect.callback((resume) => {
+  readonly whenEmpty: Effect.Effect<void> = Effect.callback((resume) => {
     if (this.#items.size === 0) return resume(Effect.void);
     this.#waiting.push(() => resume(Effect.void));
   });
--- a/packages/daemon/src/process/tracked_set_test.ts
+++ b/packages/daemon/src/process/tracked_set_test.ts
@@ -4,7 +4,7 @@
 import { TrackedSet } from "./tracked_set.ts";
 
 test("a set without items is empty at once", async () => {
-  await Effect.runPromise(new TrackedSet<string>().empty);
+  await Effect.runPromise(new TrackedSet<string>().whenEmpty);
 });
 
 test("a set tells when its last item goes", () => {
@@ -12,7 +12,7 @@
   let empty = 0;
   set.add("a");
   set.add("b");
-  Effect.runFork(Effect.andThen(set.empty, Effect.sync(() => empty += 1)));
+  Effect.runFork(Effect.andThen(set.whenEmpty, Effect.sync(() => empty += 1)));
   set.delete("a");
   assert.deepEqual([empty, set.size, [...set]], [0, 1, ["b"]]);
   set.delete("b");
--- a/packages/daemon/src/request/caller_requests.ts
+++ b/packages/daemon/src/request/caller_requests.ts
@@ -92,7 +92,7 @@
   }
 
   /** Ends when no request is being served. */
-  readonly idle: Effect.Effect<void> = this.#held.empty;
+  readonly idle: Effect.Effect<void> = this.#held.whenEmpty;
 
   /** Interrupts every request; each answer gets a broken end. */
   interruptAll(): void {
