--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -46,11 +46,11 @@
   return [
     {
       reason: "table_unread",
-      met: () => fleet.feed.current() !== undefined,
+      isMet: () => fleet.feed.current() !== undefined,
     },
     {
       reason: "hosts_unread",
-      met: () => fleet.node.hostList.hosts().length > 0,
+      isMet: () => fleet.node.hostList.hosts().length > 0,
     },
   ];
 }
--- a/packages/daemon/src/process/lifecycle.ts
+++ b/packages/daemon/src/process/lifecycle.ts
@@ -15,7 +15,7 @@
 export interface Requirement {
   /** Told to operators while it is unmet, in snake_case. */
   readonly reason: string;
-  met(): boolean;
+  isMet(): boolean;
 }
 
 /** Whether the daemon is ready, and why not. */
@@ -70,7 +70,7 @@
   /** Whether the daemon is ready; enters `serving` when all is met. */
   readiness(): Readiness {
     const missing = this.#requirements
-      .filter((requirement) => !requirement.met())
+      .filter((requirement) => !requirement.isMet())
       .map(({ reason }) => reason);
     if (missing.length === 0) this.enter("serving");
     const reasons = this.leaving ? [...missing, "leaving"] : missing;
--- a/packages/daemon/src/process/lifecycle_test.ts
+++ b/packages/daemon/src/process/lifecycle_test.ts
@@ -15,8 +15,8 @@
   const events: string[] = [];
   let table = false;
   const lifecycle = new Lifecycle(exampleLog(events), [
-    { reason: "table_unread", met: () => table },
-    { reason: "hosts_unread", met: () => true },
+    { reason: "table_unread", isMet: () => table },
+    { reason: "hosts_unread", isMet: () => true },
   ]);
   assert.deepEqual(lifecycle.readiness(), {
     ready: false,
