--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -192,6 +192,6 @@
   const write = (line: string) => process.stdout.write(`${line}\n`);
   const metrics = new Metrics();
   const warned = (code: string) => metrics.warningLogged(code);
-  const log = new LineLog(write, { decisions, warned });
+  const log = new LineLog(write, { decisions, onWarning: warned });
   return Effect.scoped(live(settings, { log, decisions, metrics }));
 }
--- a/packages/daemon/src/process/log_lines.ts
+++ b/packages/daemon/src/process/log_lines.ts
@@ -25,12 +25,12 @@
       /** Epoch milliseconds. */
       readonly now?: () => number;
       /** Told of each warning's code. */
-      readonly warned?: (code: string) => void;
+      readonly onWarning?: (code: string) => void;
     },
   ) {
     this.#decisions = options.decisions;
     this.#now = options.now ?? Date.now;
-    this.#warned = options.warned ?? (() => {});
+    this.#warned = options.onWarning ?? (() => {});
     this.#logger = new Logger({
       type: "hidden",
       hideLogPositionForProduction: true,
--- a/packages/daemon/src/process/log_lines_test.ts
+++ b/packages/daemon/src/process/log_lines_test.ts
@@ -10,7 +10,7 @@
   const log = new LineLog((line) => lines.push(line), {
     decisions,
     now: () => 0,
-    warned: (code) => codes.push(code),
+    onWarning: (code) => codes.push(code),
   });
   log.decision("runner_chosen", { requestId: "a", runner: "r-1" });
   log.decision("runner_chosen", { requestId: "b", runner: "r-2" });
