--- a/packages/daemon/src/operator_resources.ts
+++ b/packages/daemon/src/operator_resources.ts
@@ -119,7 +119,7 @@
         const error = { code: "request_missing", message };
         return jsonAnswer({ error }, HTTP_BAD_REQUEST);
       }
-      return jsonAnswer({ requestId, decisions: decisions.of(requestId) });
+      return jsonAnswer({ requestId, decisions: decisions.linesOf(requestId) });
     },
   };
 }
--- a/packages/daemon/src/process/decisions.ts
+++ b/packages/daemon/src/process/decisions.ts
@@ -28,7 +28,7 @@
   }
 
   /** Lines of one request, oldest first. */
-  of(requestId: string): readonly string[] {
+  linesOf(requestId: string): readonly string[] {
     const inOrder = [
       ...this.#entries.slice(this.#next),
       ...this.#entries.slice(0, this.#next),
--- a/packages/daemon/src/process/log_lines_test.ts
+++ b/packages/daemon/src/process/log_lines_test.ts
@@ -15,7 +15,7 @@
   log.decision("runner_chosen", { requestId: "a", runner: "r-1" });
   log.decision("runner_chosen", { requestId: "b", runner: "r-2" });
   log.warning("table_invalid", { version: 3 });
-  assert.deepEqual(decisions.of("a"), [
+  assert.deepEqual(decisions.linesOf("a"), [
     "event=runner_chosen requestId=a runner=r-1 time=1970-01-01T00:00:00.000Z",
   ]);
   assert.equal(
@@ -28,5 +28,5 @@
 test("the oldest decisions make room for new ones", () => {
   const decisions = new DecisionHistory(2);
   for (const line of ["1", "2", "3"]) decisions.add("a", line);
-  assert.deepEqual(decisions.of("a"), ["2", "3"]);
+  assert.deepEqual(decisions.linesOf("a"), ["2", "3"]);
 });
