--- a/packages/daemon/src/process/retry_budget.ts
+++ b/packages/daemon/src/process/retry_budget.ts
@@ -39,7 +39,7 @@
   }
 
   /** Counts a request that was answered whole. */
-  succeeded(): void {
+  recordSuccess(): void {
     const { share, burst } = this.#settings;
     this.#saved = Math.min(burst, this.#saved + share);
   }
--- a/packages/daemon/src/process/retry_budget_test.ts
+++ b/packages/daemon/src/process/retry_budget_test.ts
@@ -14,11 +14,11 @@
 test("successes earn retries by their share, up to the burst", () => {
   const budget = new RetryBudget({ share: 0.5, burst: 1 });
   assert.equal(budget.take(), true);
-  budget.succeeded();
+  budget.recordSuccess();
   assert.equal(budget.take(), false);
-  budget.succeeded();
+  budget.recordSuccess();
   assert.equal(budget.take(), true);
-  for (let n = 0; n < 10; n++) budget.succeeded();
+  for (let n = 0; n < 10; n++) budget.recordSuccess();
   assert.equal(budget.take(), true);
   assert.equal(budget.take(), false);
 });
--- a/packages/daemon/src/request/retrying_call_runner.ts
+++ b/packages/daemon/src/request/retrying_call_runner.ts
@@ -80,7 +80,7 @@
         }
         const end = step.success;
         if (end._tag === "Complete") {
-          this.#services.budget.succeeded();
+          this.#services.budget.recordSuccess();
           return end;
         }
         if (end._tag === "CallerLeft") return end;
