--- a/packages/daemon/src/process/decisions.ts
+++ b/packages/daemon/src/process/decisions.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-interface Entry {
+interface DecisionEntry {
   readonly requestId: string;
   readonly line: string;
 }
@@ -14,7 +14,7 @@
 
 /** A bounded history of decision lines; the oldest make room for new ones. */
 export class DecisionHistory {
-  readonly #entries: (Entry | undefined)[];
+  readonly #entries: (DecisionEntry | undefined)[];
   #next = 0;
 
   constructor(capacity = DEFAULT_CAPACITY) {
--- a/packages/daemon/src/process/log_lines.ts
+++ b/packages/daemon/src/process/log_lines.ts
@@ -16,7 +16,7 @@
   readonly #logger: Logger<{ readonly line: string }>;
   readonly #decisions: DecisionHistory;
   readonly #now: () => number;
-  readonly #warned: (code: string) => void;
+  readonly #onWarning: (code: string) => void;
 
   constructor(
     sink: LineSink,
@@ -30,7 +30,7 @@
   ) {
     this.#decisions = options.decisions;
     this.#now = options.now ?? Date.now;
-    this.#warned = options.onWarning ?? (() => {});
+    this.#onWarning = options.onWarning ?? (() => {});
     this.#logger = new Logger({
       type: "hidden",
       hideLogPositionForProduction: true,
@@ -55,7 +55,7 @@
   }
 
   warning(code: string, fields: Fields): void {
-    this.#warned(code);
+    this.#onWarning(code);
     this.#logger.warn({ line: this.#line("warning", { code, ...fields }) });
   }
 
--- a/packages/daemon/src/process/retry_budget.ts
+++ b/packages/daemon/src/process/retry_budget.ts
@@ -31,23 +31,23 @@
  */
 export class RetryBudget {
   readonly #settings: RetryBudgetSettings;
-  #saved: number;
+  #available: number;
 
   constructor(settings: RetryBudgetSettings = DEFAULT_RETRY_BUDGET) {
     this.#settings = settings;
-    this.#saved = settings.burst;
+    this.#available = settings.burst;
   }
 
   /** Counts a request that was answered whole. */
   recordSuccess(): void {
     const { share, burst } = this.#settings;
-    this.#saved = Math.min(burst, this.#saved + share);
+    this.#available = Math.min(burst, this.#available + share);
   }
 
   /** Spends one retry; false when there is none. */
   take(): boolean {
-    if (this.#saved < 1) return false;
-    this.#saved -= 1;
+    if (this.#available < 1) return false;
+    this.#available -= 1;
     return true;
   }
 }
--- a/packages/daemon/src/process/runner_directory.ts
+++ b/packages/daemon/src/process/runner_directory.ts
@@ -15,9 +15,9 @@
   replace(runners: readonly Runner[]): void {
     const byService = new Map<string, Runner[]>();
     for (const runner of runners) {
-      const known = byService.get(runner.service) ?? [];
-      known.push(runner);
-      byService.set(runner.service, known);
+      const sameService = byService.get(runner.service) ?? [];
+      sameService.push(runner);
+      byService.set(runner.service, sameService);
     }
     this.#byService = byService;
     this.#byName = new Map(runners.map((runner) => [runner.name, runner]));
--- a/packages/daemon/src/process/setting_findings.ts
+++ b/packages/daemon/src/process/setting_findings.ts
@@ -40,7 +40,7 @@
 }
 
 /** The value as shown to the operator: bounded, on one line. */
-function shown(value: unknown): string {
+function formatValue(value: unknown): string {
   if (value === undefined) return "nothing";
   if (Array.isArray(value)) return "an array";
   if (typeof value === "object" && value !== null) return "an object";
@@ -113,8 +113,8 @@
   const value = valueAt(options.value, path);
   // A mistyped secret is most of a secret: its value stays out of the report.
   const hidden = expectsSecret(expected) && value !== undefined;
-  const got = hidden ? "a value that is not shown" : shown(value);
-  return { pointer, text: `${pointer}: expected ${expected}, got ${got}` };
+  const received = hidden ? "a value that is not shown" : formatValue(value);
+  return { pointer, text: `${pointer}: expected ${expected}, got ${received}` };
 }
 
 /** Turns a schema's issue into findings, one for each place. */
--- a/packages/daemon/src/process/setting_types.ts
+++ b/packages/daemon/src/process/setting_types.ts
@@ -70,20 +70,20 @@
   );
 }
 
-const LONGEST_LIMIT_MS = 3_600_000;
+const MAX_TIME_LIMIT_MS = 3_600_000;
 
 /** A time that something may take, in milliseconds, up to an hour. */
 export function timeLimit(text: string, defaultMs: number) {
-  return integer(1, LONGEST_LIMIT_MS, { text, default: defaultMs });
+  return integer(1, MAX_TIME_LIMIT_MS, { text, default: defaultMs });
 }
 
-const LAST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
 /** A TCP port; 0 lets the system choose one. */
 export function port(text: string) {
   return required(
-    integerBetween(0, LAST_PORT),
-    `an integer from 0 to ${LAST_PORT}`,
+    integerBetween(0, MAX_PORT),
+    `an integer from 0 to ${MAX_PORT}`,
     text,
   );
 }
--- a/packages/daemon/src/process/settings.ts
+++ b/packages/daemon/src/process/settings.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import * as Effect from "effect/Effect";
-import * as Decoding from "effect/Result";
+import * as DecodeResult from "effect/Result";
 import * as Schema from "effect/Schema";
 import { err, ok } from "neverthrow";
 import type { Result } from "neverthrow";
@@ -120,7 +120,7 @@
     errors: "all",
     onExcessProperty: "error",
   });
-  if (Decoding.isSuccess(decoded)) return ok(decoded.success);
+  if (DecodeResult.isSuccess(decoded)) return ok(decoded.success);
   const issue = decoded.failure.issue;
   return err(settingFindings(issue, { schema: SETTINGS, value }));
 }
--- a/packages/daemon/src/process/settings_limits.ts
+++ b/packages/daemon/src/process/settings_limits.ts
@@ -7,7 +7,7 @@
 
 const MIB = 1_048_576;
 const HOUR_MS = 3_600_000;
-const MANY = 1_000_000;
+const MAX_COUNT = 1_000_000;
 
 /** Limits towards callers. */
 export const CALLER_LIMITS = {
@@ -41,11 +41,11 @@
       "Bytes of an answer held for a caller that reads slowly. Beyond it the runner's answer is not read until the caller has caught up.",
     default: 65_536,
   }),
-  connections: setting.integer(1, MANY, {
+  connections: setting.integer(1, MAX_COUNT, {
     text: "Open connections of callers. Further ones are closed at once.",
     default: 10_000,
   }),
-  queuedRequests: setting.integer(1, MANY, {
+  queuedRequests: setting.integer(1, MAX_COUNT, {
     text:
       "Requests of callers held at once, waiting or being served. Further ones are refused with 503.",
     default: 10_000,
@@ -108,7 +108,7 @@
       "Retries earned by each request that was answered whole. Bounds the load that retries add during an outage.",
     default: 0.1,
   }),
-  burst: setting.integer(0, MANY, {
+  burst: setting.integer(0, MAX_COUNT, {
     text: "Most retries saved up; also what a new daemon starts with.",
     default: 20,
   }),
--- a/packages/daemon/src/process/settings_page.ts
+++ b/packages/daemon/src/process/settings_page.ts
@@ -32,13 +32,13 @@
   const annotations = annotationsOf(schema);
   const { description, defaultValue, mayBeAbsent } = annotations;
   const required = mayBeAbsent === true ? "May be absent." : "Required.";
-  const given = defaultValue === undefined
+  const defaultText = defaultValue === undefined
     ? required
     : `Default: \`${JSON.stringify(defaultValue)}\`.`;
   return [
     String(description),
     "",
-    `Expected: ${expectationOf(schema)}. ${given}`,
+    `Expected: ${expectationOf(schema)}. ${defaultText}`,
     "",
   ];
 }
--- a/packages/daemon/src/process/tracked_set.ts
+++ b/packages/daemon/src/process/tracked_set.ts
@@ -8,12 +8,12 @@
 /** Holds items, such as requests under way, and tells when none is left. */
 export class TrackedSet<Item> {
   readonly #items = new Set<Item>();
-  #waiting: (() => void)[] = [];
+  #waiters: (() => void)[] = [];
 
   /** Ends when the set is empty; at once if it is. */
   readonly whenEmpty: Effect.Effect<void> = Effect.callback((resume) => {
     if (this.#items.size === 0) return resume(Effect.void);
-    this.#waiting.push(() => resume(Effect.void));
+    this.#waiters.push(() => resume(Effect.void));
   });
 
   get size(): number {
@@ -27,9 +27,9 @@
   delete(item: Item): void {
     this.#items.delete(item);
     if (this.#items.size > 0) return;
-    const waiting = this.#waiting;
-    this.#waiting = [];
-    for (const resume of waiting) resume();
+    const waiters = this.#waiters;
+    this.#waiters = [];
+    for (const resume of waiters) resume();
   }
 
   /** The items, in order of addition. */
