--- a/packages/daemon/src/process/codes.ts
+++ b/packages/daemon/src/process/codes.ts
@@ -6,8 +6,8 @@
  */
 
 /**
- * Codes of errors told to callers, each with the HTTP statuses it comes with,
- * the usual one first.
+ * Codes of errors returned to callers, each with its HTTP statuses, the most
+ * common one first.
  */
 export const PROBLEM_STATUSES = {
   answer_broken: [502],
@@ -51,5 +51,5 @@
   transfer_encoding_unsupported: [400],
 } as const;
 
-/** Code of an error told to a caller. */
+/** Code of an error returned to a caller. */
 export type ProblemCode = keyof typeof PROBLEM_STATUSES;
--- a/packages/daemon/src/process/codes_test.ts
+++ b/packages/daemon/src/process/codes_test.ts
@@ -5,7 +5,7 @@
 import { fileURLToPath } from "node:url";
 import { PROBLEM_STATUSES } from "./codes.ts";
 
-// The built test runs from dist/src/process; sources and pages stay in place.
+// The built test runs from dist/src/process; sources and pages are not copied.
 const PACKAGE = fileURLToPath(new URL("../../../", import.meta.url));
 const PAGE = join(PACKAGE, "../../docs/codes.md");
 const ROW = /^\| `([a-z_]+)` +\| ([^|]*)\|/gm;
@@ -27,13 +27,13 @@
     .map((file) => readFileSync(join(folder, file), "utf8"));
 }
 
-test("the page lists every error with its statuses, and no other", () => {
+test("docs/codes.md lists exactly the errors with their statuses", () => {
   const expected = Object.entries(PROBLEM_STATUSES)
     .map(([code, statuses]) => [code, statuses.join(", ")]);
   assert.deepEqual([...rowsUnder("Errors told to callers")], expected);
 });
 
-test("the page lists every warning that the daemon logs, and no other", () => {
+test("docs/codes.md lists exactly the warnings that the daemon logs", () => {
   const logged = sources().flatMap((text) =>
     [...text.matchAll(WARNING)].map(([, code]) => code!)
   );
--- a/packages/daemon/src/process/decisions.ts
+++ b/packages/daemon/src/process/decisions.ts
@@ -1,5 +1,5 @@
 /**
- * The decisions of the last while, for `umbermastctl why`.
+ * History of recent decisions, for `umbermastctl why`.
  *
  * @module
  */
@@ -9,10 +9,10 @@
   readonly line: string;
 }
 
-/** Decisions kept unless told otherwise: at 37 requests/s, three minutes. */
+/** Default number of decisions kept: three minutes at 37 requests/s. */
 const DEFAULT_CAPACITY = 8192;
 
-/** A bounded history of decision lines; the oldest make room for new ones. */
+/** A ring buffer of decision lines; new lines overwrite the oldest. */
 export class DecisionHistory {
   readonly #entries: (DecisionEntry | undefined)[];
   #next = 0;
@@ -21,7 +21,7 @@
     this.#entries = new Array(capacity);
   }
 
-  /** Adds a line, in place of the oldest when full. */
+  /** Adds a line and overwrites the oldest one if the buffer is full. */
   add(requestId: string, line: string): void {
     this.#entries[this.#next] = { requestId, line };
     this.#next = (this.#next + 1) % this.#entries.length;
--- a/packages/daemon/src/process/lifecycle.ts
+++ b/packages/daemon/src/process/lifecycle.ts
@@ -1,5 +1,5 @@
 /**
- * The life of the daemon, as one ordered sequence.
+ * Lifecycle of the daemon: an ordered sequence of phases.
  *
  * @module
  */
@@ -8,12 +8,12 @@
 /** Phases, in order. */
 const PHASES = ["starting", "serving", "leaving", "stopping"] as const;
 
-/** A phase of the daemon's life. */
+/** A phase of the daemon's lifecycle. */
 export type Phase = (typeof PHASES)[number];
 
-/** Something without which the daemon is not ready. */
+/** A condition for the daemon to be ready. */
 export interface Requirement {
-  /** Told to operators while it is unmet, in snake_case. */
+  /** Reported to operators while the condition is unmet; in snake_case. */
   readonly reason: string;
   isMet(): boolean;
 }
@@ -22,24 +22,24 @@
 export interface Readiness {
   readonly ready: boolean;
   readonly phase: Phase;
-  /** Reasons of all that is missing; empty when ready. */
+  /** Reasons of all unmet requirements; empty when ready. */
   readonly reasons: readonly string[];
 }
 
 /**
- * The phase of the daemon. It only ever advances, in this order:
+ * The phase of the daemon, which only advances, in this order:
  *
- * 1. `starting`: the ports are open, the daemon joins its peers and reads the
- *    host list and the table. `/readyz` is 503 and says what is missing;
- *    requests of callers are refused as `not_ready`.
- * 2. `serving`: all that is required is there. It stays in force when the
- *    platform goes down: what was read last is used.
- * 3. `leaving`, by SIGTERM: the daemon announces to its peers that it leaves,
- *    `/readyz` is 503, requests in flight go on, and new ones are refused as
- *    `leaving` with the connection closed behind the refusal.
- * 4. `stopping`: nothing is in flight any more, or the time for it is over, or
- *    a second SIGTERM came; what is left gets a broken end. The ports close,
- *    and the process exits: 0 when no request was cut off, 1 otherwise.
+ * 1. `starting`: the ports are open; the daemon joins its peers and reads the
+ *    host list and the table. `/readyz` returns 503 with the unmet requirements;
+ *    callers' requests are refused as `not_ready`.
+ * 2. `serving`: all requirements are met. The daemon stays in this phase when the
+ *    platform is down and uses the data that it read last.
+ * 3. `leaving`, on SIGTERM: the daemon announces to its peers that it is leaving,
+ *    and `/readyz` returns 503. Requests in flight continue; new ones are refused
+ *    as `leaving`, and the connection is closed after the refusal.
+ * 4. `stopping`: no request is in flight, the grace period has ended, or a second
+ *    SIGTERM arrived. Responses still in flight are broken off, the ports are
+ *    closed, and the process exits: with 0 if no request was broken off, else 1.
  */
 export class Lifecycle {
   readonly #log: Log;
@@ -55,19 +55,19 @@
     return this.#phase;
   }
 
-  /** Whether new requests are refused because the daemon leaves. */
+  /** Whether new requests are refused because the daemon is shutting down. */
   get leaving(): boolean {
     return this.#phase === "leaving" || this.#phase === "stopping";
   }
 
-  /** Enters a later phase; an earlier one or the present one changes nothing. */
+  /** Enters a later phase; an earlier or the current one has no effect. */
   enter(phase: Phase): void {
     if (PHASES.indexOf(phase) <= PHASES.indexOf(this.#phase)) return;
     this.#phase = phase;
     this.#log.event("phase_entered", { phase });
   }
 
-  /** Whether the daemon is ready; enters `serving` when all is met. */
+  /** Returns the readiness; enters `serving` when all requirements are met. */
   readiness(): Readiness {
     const missing = this.#requirements
       .filter((requirement) => !requirement.isMet())
--- a/packages/daemon/src/process/lifecycle_test.ts
+++ b/packages/daemon/src/process/lifecycle_test.ts
@@ -11,7 +11,7 @@
   };
 }
 
-test("a daemon serves once all that is required is met", () => {
+test("a daemon serves once all requirements are met", () => {
   const events: string[] = [];
   let table = false;
   const lifecycle = new Lifecycle(exampleLog(events), [
--- a/packages/daemon/src/process/log.ts
+++ b/packages/daemon/src/process/log.ts
@@ -1,9 +1,8 @@
 /**
- * Structured log of the daemon.
+ * Interface of the daemon's structured log.
  *
  * @module
  */
-
 import type { Fields } from "@umbermast/router/line";
 
 export type { Fields };
@@ -12,8 +11,8 @@
 export interface Log {
   /** An ordinary event. `name` is stable, in snake_case. */
   event(name: string, fields: Fields): void;
-  /** A routing or placement decision; kept a while for `umbermastctl why`. */
+  /** A routing or placement decision; recent ones are kept for `umbermastctl why`. */
   decision(name: string, fields: Fields & { readonly requestId: string }): void;
-  /** Something an operator should see. `code` is listed in docs/codes.md. */
+  /** A warning for operators. `code` is listed in docs/codes.md. */
   warning(code: string, fields: Fields): void;
 }
--- a/packages/daemon/src/process/log_lines.ts
+++ b/packages/daemon/src/process/log_lines.ts
@@ -1,5 +1,5 @@
 /**
- * Log lines: one line of key=value pairs for each event.
+ * Log with one line of key=value pairs per event.
  *
  * @module
  */
@@ -8,10 +8,10 @@
 import type { DecisionHistory } from "./decisions.ts";
 import type { Fields, Log } from "./log.ts";
 
-/** Takes finished lines, without the line break. */
+/** Receives complete lines without the line break. */
 export type LineSink = (line: string) => void;
 
-/** A log that writes lines through tslog and keeps decisions for a while. */
+/** A log that writes lines through tslog and keeps recent decisions. */
 export class LineLog implements Log {
   readonly #logger: Logger<{ readonly line: string }>;
   readonly #decisions: DecisionHistory;
@@ -24,7 +24,7 @@
       readonly decisions: DecisionHistory;
       /** Epoch milliseconds. */
       readonly now?: () => number;
-      /** Told of each warning's code. */
+      /** Called with the code of each warning. */
       readonly onWarning?: (code: string) => void;
     },
   ) {
@@ -34,8 +34,8 @@
     this.#logger = new Logger({
       type: "hidden",
       hideLogPositionForProduction: true,
-      // The record is one finished line, with no keys in it to mask; looking
-      // for them copies each record.
+      // The record is one complete line without keys to mask; searching for keys
+      // would copy each record.
       maskValuesOfKeys: [],
       attachedTransports: [(record) => sink(record.line)],
     });
--- a/packages/daemon/src/process/log_lines_test.ts
+++ b/packages/daemon/src/process/log_lines_test.ts
@@ -25,7 +25,7 @@
   assert.deepEqual(codes, ["table_invalid"]);
 });
 
-test("the oldest decisions make room for new ones", () => {
+test("new decisions overwrite the oldest ones", () => {
   const decisions = new DecisionHistory(2);
   for (const line of ["1", "2", "3"]) decisions.add("a", line);
   assert.deepEqual(decisions.linesOf("a"), ["2", "3"]);
--- a/packages/daemon/src/process/metrics.ts
+++ b/packages/daemon/src/process/metrics.ts
@@ -1,7 +1,6 @@
 /**
- * Metrics for Prometheus. Units are in the names. Labels are classes, services,
- * outcomes, codes and states: their number is bounded by the table and the
- * code, never by callers.
+ * Prometheus metrics. Names include units. Labels are classes, services, outcomes,
+ * codes and states: the table and the code bound their cardinality, never callers.
  *
  * @module
  */
@@ -20,18 +19,18 @@
   /** `complete`, `caller-left`, `not-run`, `failed` or `unknown`. */
   readonly outcome: string;
   readonly durationMs: number;
-  /** From arrival to the head of the answer; absent without an answer. */
+  /** Time from arrival to the response head; absent without a response. */
   readonly answerMs?: number;
 }
 
-/** Values that are read when metrics are asked for. */
+/** Values that are read when metrics are scraped. */
 export interface Gauges {
   readonly requestsInFlight: number;
   readonly callerConnections: number;
   readonly tableVersion: number;
-  /** Numbers by state. */
+  /** Number of members by state. */
   readonly members: Readonly<Record<string, number>>;
-  /** Numbers by service. */
+  /** Number of runners by service. */
   readonly runners: Readonly<Record<string, number>>;
 }
 
@@ -53,7 +52,7 @@
 ];
 const DURATION_BUCKETS_S = [0.01, 0.05, 0.1, 0.5, 1, 2.5, 5, 10, 30, 60, 300];
 
-/** What the daemon counts and times, in a registry of its own. */
+/** The metrics of the daemon, in their own registry. */
 export class Metrics {
   readonly #registry = new Registry();
   readonly #requests = new Counter({
@@ -98,7 +97,7 @@
     collectDefaultMetrics({ register: this.#registry });
   }
 
-  /** Reads gauges when metrics are asked for; to be called once. */
+  /** Registers gauges that are read on each scrape; must be called once. */
   observeGauges(gauges: () => Gauges): void {
     this.#gauge("umbermast_requests_in_flight", {
       help: "Requests of callers that are held, waiting or being served",
@@ -139,7 +138,7 @@
     this.#refusals.inc({ code });
   }
 
-  /** Counts a connection beyond the limit. */
+  /** Counts a connection that was closed because of the connection limit. */
   connectionDropped(): void {
     this.#dropped.inc();
   }
@@ -149,7 +148,7 @@
     this.#warnings.inc({ code });
   }
 
-  /** All metrics in the exposition format. */
+  /** Renders all metrics in the exposition format. */
   async render(): Promise<{
     readonly contentType: string;
     readonly body: string;
--- a/packages/daemon/src/process/retry_budget.ts
+++ b/packages/daemon/src/process/retry_budget.ts
@@ -1,27 +1,28 @@
 /**
- * How many retries the daemon may spend.
+ * Budget of the daemon's retries.
  *
  * @module
  */
 
-/** Bounds of a retry budget. */
+/** Parameters of a retry budget. */
 export interface RetryBudgetSettings {
-  /** Retries earned by each success. */
+  /** Number of retries added by each success. */
   readonly share: number;
-  /** Most retries saved up; also what a new daemon starts with. */
+  /** Capacity of the bucket, which is full at the start of the daemon. */
   readonly burst: number;
 }
 
-/** Used where settings name nothing else. */
+/** Default parameters. */
 export const DEFAULT_RETRY_BUDGET: RetryBudgetSettings = {
   share: 0.1,
   burst: 20,
 };
 
 /**
- * A token bucket filled by successes. During an outage few requests succeed,
- * so retries dry up instead of multiplying the load on what is left: without
- * it, runners that recover are met by every request several times over.
+ * A token bucket that is refilled by successes. During an outage few requests
+ * succeed, so the bucket runs empty and retries stop, instead of multiplying the
+ * load on the remaining runners. Without a budget, recovering runners would
+ * receive every request several times.
  *
  * @example
  * ```ts
@@ -38,13 +39,13 @@
     this.#available = settings.burst;
   }
 
-  /** Counts a request that was answered whole. */
+  /** Records a request with a complete response. */
   recordSuccess(): void {
     const { share, burst } = this.#settings;
     this.#available = Math.min(burst, this.#available + share);
   }
 
-  /** Spends one retry; false when there is none. */
+  /** Takes one retry from the bucket; false if there is none. */
   take(): boolean {
     if (this.#available < 1) return false;
     this.#available -= 1;
--- a/packages/daemon/src/process/retry_budget_test.ts
+++ b/packages/daemon/src/process/retry_budget_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { RetryBudget } from "./retry_budget.ts";
 
-test("a budget starts full and runs dry", () => {
+test("a budget starts full and can be exhausted", () => {
   const budget = new RetryBudget({ share: 0.5, burst: 2 });
   assert.deepEqual([budget.take(), budget.take(), budget.take()], [
     true,
@@ -11,7 +11,7 @@
   ]);
 });
 
-test("successes earn retries by their share, up to the burst", () => {
+test("each success adds its share of a retry, up to the burst", () => {
   const budget = new RetryBudget({ share: 0.5, burst: 1 });
   assert.equal(budget.take(), true);
   budget.recordSuccess();
--- a/packages/daemon/src/process/runner.ts
+++ b/packages/daemon/src/process/runner.ts
@@ -1,10 +1,10 @@
 /**
- * Runners: the back ends that requests are routed to.
+ * Runners: the backend servers that requests are routed to.
  *
  * @module
  */
 
-/** A back end, as the platform lists it. */
+/** A backend server, as listed by the platform. */
 export interface Runner {
   /** Unique over the deployment. */
   readonly name: string;
@@ -16,8 +16,8 @@
   readonly port: number;
   readonly region: string;
   readonly failureDomain: string;
-  /** A leaving runner finishes what it has and is given nothing new. */
+  /** A leaving runner finishes its requests and accepts no new ones. */
   readonly state: "live" | "leaving";
-  /** Grows when the host is replaced. */
+  /** Incremented when the host is replaced. */
   readonly incarnation: number;
 }
--- a/packages/daemon/src/process/runner_directory.ts
+++ b/packages/daemon/src/process/runner_directory.ts
@@ -1,17 +1,17 @@
 /**
- * The runners of each service, as the platform's host list last told.
+ * The runners of each service, from the latest host list of the platform.
  *
  * @module
  */
 import type { Runner } from "./runner.ts";
 
-/** Keeps the latest list of runners and tells of its changes. */
+/** Keeps the latest list of runners and notifies listeners of changes. */
 export class RunnerDirectory {
   #byService: ReadonlyMap<string, readonly Runner[]> = new Map();
   #byName: ReadonlyMap<string, Runner> = new Map();
   readonly #listeners = new Set<() => void>();
 
-  /** Takes a whole list in place of the former one. */
+  /** Replaces the list of runners. */
   replace(runners: readonly Runner[]): void {
     const byService = new Map<string, Runner[]>();
     for (const runner of runners) {
@@ -29,12 +29,12 @@
     return [...this.#byService.keys()];
   }
 
-  /** All runners of a service, leaving ones too. */
+  /** All runners of a service, including leaving ones. */
   runners(service: string): readonly Runner[] {
     return this.#byService.get(service) ?? [];
   }
 
-  /** The runner of that name, if the list holds it. */
+  /** The runner with the given name, if it is in the list. */
   find(name: string): Runner | undefined {
     return this.#byName.get(name);
   }
--- a/packages/daemon/src/process/setting_findings.ts
+++ b/packages/daemon/src/process/setting_findings.ts
@@ -1,6 +1,6 @@
 /**
- * The report of what is wrong with settings: one line for each finding, with
- * its place as a JSON pointer.
+ * Findings of the validation of settings: one line each, with the location as a
+ * JSON pointer.
  *
  * @module
  */
@@ -8,11 +8,11 @@
 import * as SchemaIssue from "effect/SchemaIssue";
 import { expectsSecret } from "./setting_types.ts";
 
-/** One thing that is wrong with settings. */
+/** One error in the settings. */
 export interface SettingFinding {
   /** JSON pointer (RFC 6901) of the value; empty for the whole file. */
   readonly pointer: string;
-  /** Pointer, what is expected and what was got, on one line. */
+  /** Pointer, expected value and actual value, on one line. */
   readonly text: string;
 }
 
@@ -22,7 +22,7 @@
 const MISSING = "missing";
 const MAX_SHOWN_LENGTH = 80;
 
-/** Writes a path as a JSON pointer. */
+/** Formats a path as a JSON pointer. */
 function pointerOf(path: Path): string {
   return path
     .map((key) => String(key).replaceAll("~", "~0").replaceAll("/", "~1"))
@@ -39,7 +39,7 @@
   return value;
 }
 
-/** The value as shown to the operator: bounded, on one line. */
+/** Formats a value for operators, on one line of bounded length. */
 function formatValue(value: unknown): string {
   if (value === undefined) return "nothing";
   if (Array.isArray(value)) return "an array";
@@ -49,7 +49,7 @@
   return `${text.slice(0, MAX_SHOWN_LENGTH)}...`;
 }
 
-/** The schema at a path, through the fields of nested sections. */
+/** The schema at a path through nested sections. */
 function schemaAt(root: Schema.Top, path: Path): Schema.Top | undefined {
   let schema: unknown = root;
   for (const key of path) {
@@ -60,7 +60,7 @@
   return schema as Schema.Top;
 }
 
-/** Fields of a section, also where it has a default or may be absent. */
+/** Fields of a section, including sections that have a default or are optional. */
 export function fieldsOf(
   schema: unknown,
 ): Readonly<Record<string, Schema.Top>> | undefined {
@@ -74,7 +74,7 @@
   return inner === undefined ? undefined : fieldsOf(inner);
 }
 
-/** What a setting expects, in words. */
+/** Description of the values that a setting accepts. */
 export function expectationOf(schema: Schema.Top | undefined): string {
   const annotations = schema === undefined
     ? undefined
@@ -111,13 +111,13 @@
   }
   const expected = expectationOf(schemaAt(options.schema, path));
   const value = valueAt(options.value, path);
-  // A mistyped secret is most of a secret: its value stays out of the report.
+  // A mistyped secret reveals most of the secret, so its value is not reported.
   const hidden = expectsSecret(expected) && value !== undefined;
   const received = hidden ? "a value that is not shown" : formatValue(value);
   return { pointer, text: `${pointer}: expected ${expected}, got ${received}` };
 }
 
-/** Turns a schema's issue into findings, one for each place. */
+/** Converts a schema issue into findings, one per location. */
 export function settingFindings(
   issue: SchemaIssue.Issue,
   options: { readonly schema: Schema.Top; readonly value: unknown },
--- a/packages/daemon/src/process/setting_types.ts
+++ b/packages/daemon/src/process/setting_types.ts
@@ -1,6 +1,6 @@
 /**
- * Kinds of settings: each checks its value and says what it expects, so that a
- * finding can name what is needed and the settings page can be generated.
+ * Types of settings. Each validates its value and describes the accepted values,
+ * for findings and for the generated settings page.
  *
  * @module
  */
@@ -8,11 +8,11 @@
 import * as Effect from "effect/Effect";
 import * as Schema from "effect/Schema";
 
-/** What is said of a setting besides its type. */
+/** Description and default of a setting. */
 export interface Description<A> {
-  /** Use, unit and consequence, in one or two sentences. */
+  /** Purpose, unit and effect, in one or two sentences. */
   readonly text: string;
-  /** Value when the key is absent; a setting without one is required. */
+  /** Value if the key is absent; a setting without a default is required. */
   readonly default?: A;
 }
 
@@ -72,14 +72,14 @@
 
 const MAX_TIME_LIMIT_MS = 3_600_000;
 
-/** A time that something may take, in milliseconds, up to an hour. */
+/** A time limit in milliseconds, up to one hour. */
 export function timeLimit(text: string, defaultMs: number) {
   return integer(1, MAX_TIME_LIMIT_MS, { text, default: defaultMs });
 }
 
 const MAX_PORT = 65_535;
 
-/** A TCP port; 0 lets the system choose one. */
+/** A TCP port; 0 lets the operating system choose one. */
 export function port(text: string) {
   return required(
     integerBetween(0, MAX_PORT),
@@ -103,7 +103,7 @@
   return typeof value === "string" && NAME.test(value);
 }
 
-/** A name that may stand in logs, metrics and object names. */
+/** A name that is valid in logs, metrics and object names. */
 export function name(text: string) {
   return required(
     isName,
@@ -138,12 +138,12 @@
   return url.protocol === "http:" && url.username === "" && url.search === "";
 }
 
-/** The root of an HTTP service. */
+/** The root URL of an HTTP service. */
 export function httpUrl(text: string) {
   return required(isHttpUrl, "a URL that starts with http://", text);
 }
 
-/** The root of an HTTP service that may be left out. */
+/** The optional root URL of an HTTP service. */
 export function optionalHttpUrl(text: string) {
   return Schema.optionalKey(
     leaf(isHttpUrl, "a URL that starts with http://", { text }),
@@ -154,7 +154,7 @@
   });
 }
 
-/** One of a few words, with a default. */
+/** One of several words, with a default. */
 export function choice<const Word extends string>(
   words: readonly Word[],
   description: Description<Word> & { readonly default: Word },
--- a/packages/daemon/src/process/settings.ts
+++ b/packages/daemon/src/process/settings.ts
@@ -1,6 +1,5 @@
 /**
- * The daemon's settings: their schema, defaults and the report of what is wrong
- * with a file.
+ * The daemon's settings: schema, defaults and validation.
  *
  * @module
  */
@@ -47,7 +46,7 @@
       "TCP and UDP port that other daemons connect to; 0 lets the system pick.",
     ),
     key: setting.secret("Key that all daemons of the deployment share."),
-    // Absent when other daemons reach this one where it listens.
+    // Absent if the address that other daemons connect to is the one to listen on.
     listen: Schema.optionalKey(Schema.Struct({
       address: setting.address(
         "Address to listen on, where other daemons come through address translation. `/peers/listen` may be absent.",
@@ -97,13 +96,13 @@
 /** Settings of a daemon, with the defaults filled in. */
 export type Settings = typeof SETTINGS.Type;
 
-/** Limits towards callers. */
+/** Limits that apply to callers. */
 export type CallerLimits = Settings["limits"];
 
 /**
- * Checks settings and fills in the defaults.
+ * Validates settings and fills in the defaults.
  *
- * @returns the settings, or everything that is wrong with them.
+ * @returns the settings, or all findings.
  *
  * @example
  * ```ts
@@ -125,7 +124,7 @@
   return err(settingFindings(issue, { schema: SETTINGS, value }));
 }
 
-/** Reads the text of a settings file. */
+/** Parses and validates the text of a settings file. */
 export function parseSettings(
   text: string,
 ): Result<Settings, readonly SettingFinding[]> {
--- a/packages/daemon/src/process/settings_claims.ts
+++ b/packages/daemon/src/process/settings_claims.ts
@@ -10,17 +10,17 @@
 const DAY_MS = 86_400_000;
 /**
  * A partition is written every `partitions / writesPerSecond` seconds. These
- * bounds keep that within a second, as a claim is given up after two.
+ * bounds keep the interval within one second, since a claim times out after two.
  */
 const MAX_PARTITIONS = 32;
 const MIN_WRITES_PER_SECOND = 32;
 const MAX_WRITES_PER_SECOND = 10_000;
-/** Waited before each write; well within the two seconds of a claim. */
+/** Maximum delay before a write; well below the two-second time-out of a claim. */
 const MAX_BATCH_MS = 500;
-/** Room for answers in the newest part of a partition; a longer one has none. */
+/** Capacity for answers in the newest part of a partition; longer ones do not fit. */
 const MAX_ANSWER_BYTES = DEFAULT_CLAIM_SETTINGS.limits.answerBytes;
 
-/** Claims on idempotency keys. */
+/** Settings of claims on idempotency keys. */
 export const CLAIMS = {
   windowMs: setting.integer(MIN_WINDOW_MS, DAY_MS, {
     text:
--- a/packages/daemon/src/process/settings_limits.ts
+++ b/packages/daemon/src/process/settings_limits.ts
@@ -1,5 +1,6 @@
 /**
- * Settings of limits: towards callers, towards runners, and of retries.
+ * Settings of callers' limits, attempts, retries, scheduling, shutdown and
+ * placement.
  *
  * @module
  */
@@ -9,7 +10,7 @@
 const HOUR_MS = 3_600_000;
 const MAX_COUNT = 1_000_000;
 
-/** Limits towards callers. */
+/** Limits that apply to callers. */
 export const CALLER_LIMITS = {
   bodyBytes: setting.integer(1, 64 * MIB, {
     text: "Largest request body, in bytes. A longer one is refused with 413.",
@@ -101,7 +102,7 @@
   }),
 } as const;
 
-/** The budget of retries. */
+/** The retry budget. */
 export const RETRY_LIMITS = {
   share: setting.number(0, 1, {
     text:
@@ -114,7 +115,7 @@
   }),
 } as const;
 
-/** How the scheduler works. */
+/** Settings of the scheduler. */
 export const SCHEDULING = {
   reportIntervalMs: setting.integer(10, HOUR_MS, {
     text: "Time between two load reports asked of a runner, in milliseconds.",
@@ -122,7 +123,7 @@
   }),
 } as const;
 
-/** Mechanisms of the scheduler, which are switched off only to measure them. */
+/** Switches of the scheduler's mechanisms, which are off only to measure them. */
 export const SWITCHES = {
   tiers: setting.flag("Strict priority between tiers."),
   minimumShare: setting.flag("Minimum share of service of a waiting class."),
@@ -136,7 +137,7 @@
   ejection: setting.flag("Ejection of stragglers and crashed runners."),
 } as const;
 
-/** How the daemon ends. */
+/** Settings of the shutdown. */
 export const SHUTDOWN = {
   graceMs: setting.integer(0, HOUR_MS, {
     text:
@@ -145,7 +146,7 @@
   }),
 } as const;
 
-/** Orders to engines. */
+/** Settings of the placement of models. */
 export const PLACEMENT = {
   enabled: setting.flag(
     "Whether this daemon may give engines orders to load and unload models. Off, it leaves that to the others.",
--- a/packages/daemon/src/process/settings_page.ts
+++ b/packages/daemon/src/process/settings_page.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' page of settings, written from their schema.
+ * Generator of the operators' settings page from the schema of the settings.
  *
  * @module
  */
--- a/packages/daemon/src/process/settings_page_test.ts
+++ b/packages/daemon/src/process/settings_page_test.ts
@@ -13,7 +13,7 @@
   return text.split(/\s+/).filter((word) => word !== "");
 }
 
-test("the page of settings says what the schema says", () => {
+test("the settings page matches the schema", () => {
   const page = readFileSync(PAGE, "utf8");
   assert.deepEqual(wordsOf(page), wordsOf(settingsPage()));
 });
--- a/packages/daemon/src/process/settings_test.ts
+++ b/packages/daemon/src/process/settings_test.ts
@@ -22,7 +22,7 @@
   return checked.isErr() ? checked.error.map(({ text }) => text) : [];
 }
 
-test("settings with only what is required get the defaults", () => {
+test("omitted optional settings get their defaults", () => {
   const settings = checkSettings(exampleSettings())._unsafeUnwrap();
   assert.equal(settings.scheduler, "umbermast");
   assert.equal(settings.limits.bodyBytes, 8_388_608);
@@ -31,7 +31,7 @@
   assert.equal(settings.shutdown.graceMs, 300_000);
 });
 
-test("a section may set some of its settings and leave the others", () => {
+test("a section may set some of its settings and omit the others", () => {
   const settings = checkSettings(
     exampleSettings({ limits: { connections: 5 } }),
   )._unsafeUnwrap();
@@ -39,7 +39,7 @@
   assert.equal(settings.limits.idleCallerMs, 60_000);
 });
 
-test("claims have settings with their present defaults, checked like others", () => {
+test("settings of claims have defaults and are validated", () => {
   const settings = checkSettings(exampleSettings())._unsafeUnwrap();
   assert.deepEqual(settings.claims, {
     windowMs: 600_000,
@@ -72,7 +72,7 @@
   ]);
 });
 
-test("what is missing is named with what is expected", () => {
+test("a missing setting is reported with the expected value", () => {
   const { region: _region, ...rest } = exampleSettings();
   assert.deepEqual(findingsOf({ ...rest, platform: {} }), [
     "/region: expected a name of 1 to 63 letters, digits, dots, hyphens and underscores, got nothing",
@@ -80,7 +80,7 @@
   ]);
 });
 
-test("a bad secret is reported without its value", () => {
+test("an invalid secret is reported without its value", () => {
   const operators = { address: "::1", port: 1, token: "hunter2" };
   const peers = { address: "::1", port: 1, key: 12_345_678 };
   const findings = findingsOf(exampleSettings({ operators, peers }));
@@ -91,7 +91,7 @@
   }
 });
 
-test("a value of any type at the top or in a section is reported", () => {
+test("an invalid value of the whole file or of a section is reported", () => {
   assert.deepEqual(findingsOf([]), [": expected an object, got an array"]);
   const findings = findingsOf(exampleSettings({ limits: null }));
   assert.deepEqual(findings, ["/limits: expected an object, got null"]);
--- a/packages/daemon/src/process/signals.ts
+++ b/packages/daemon/src/process/signals.ts
@@ -1,5 +1,5 @@
 /**
- * Signals that end the daemon.
+ * Signals that shut down the daemon.
  *
  * @module
  */
@@ -8,11 +8,11 @@
 import * as Effect from "effect/Effect";
 import type * as Scope from "effect/Scope";
 
-/** The first and the second signal to end. */
+/** Effects that complete on the first and on the second signal to shut down. */
 export interface ShutdownSignals {
-  /** Ends at the first: leave, and finish what is in flight. */
+  /** Completes on the first signal: leave and finish requests in flight. */
   readonly graceful: Effect.Effect<void>;
-  /** Ends at the second: stop at once. */
+  /** Completes on the second signal: stop immediately. */
   readonly immediate: Effect.Effect<void>;
 }
 
--- a/packages/daemon/src/process/table_source.ts
+++ b/packages/daemon/src/process/table_source.ts
@@ -1,11 +1,11 @@
 /**
- * Where the scheduler reads the operators' table.
+ * Access to the current version of the operators' table.
  *
  * @module
  */
 import type { Table } from "@umbermast/table";
 
-/** The table in force at this daemon. */
+/** The table that is in effect at this daemon. */
 export interface TableSource {
   current(): Table;
   /**
--- a/packages/daemon/src/process/tracked_set.ts
+++ b/packages/daemon/src/process/tracked_set.ts
@@ -1,16 +1,16 @@
 /**
- * A set that tells when it is empty.
+ * A set that notifies when it becomes empty.
  *
  * @module
  */
 import * as Effect from "effect/Effect";
 
-/** Holds items, such as requests under way, and tells when none is left. */
+/** A set of items, such as requests in flight, that notifies when it is empty. */
 export class TrackedSet<Item> {
   readonly #items = new Set<Item>();
   #waiters: (() => void)[] = [];
 
-  /** Ends when the set is empty; at once if it is. */
+  /** Completes when the set is empty; immediately if it already is. */
   readonly whenEmpty: Effect.Effect<void> = Effect.callback((resume) => {
     if (this.#items.size === 0) return resume(Effect.void);
     this.#waiters.push(() => resume(Effect.void));
@@ -32,7 +32,7 @@
     for (const resume of waiters) resume();
   }
 
-  /** The items, in order of addition. */
+  /** Iterates over the items in insertion order. */
   [Symbol.iterator](): Iterator<Item> {
     return this.#items.values();
   }
--- a/packages/daemon/src/process/tracked_set_test.ts
+++ b/packages/daemon/src/process/tracked_set_test.ts
@@ -3,11 +3,11 @@
 import * as Effect from "effect/Effect";
 import { TrackedSet } from "./tracked_set.ts";
 
-test("a set without items is empty at once", async () => {
+test("whenEmpty completes immediately for a set without items", async () => {
   await Effect.runPromise(new TrackedSet<string>().whenEmpty);
 });
 
-test("a set tells when its last item goes", () => {
+test("whenEmpty completes once when the last item is deleted", () => {
   const set = new TrackedSet<string>();
   let empty = 0;
   set.add("a");
