--- a/packages/daemon/src/connection/caller_server.ts
+++ b/packages/daemon/src/connection/caller_server.ts
@@ -28,7 +28,7 @@
     options: { readonly pipelined: boolean },
   ): void;
   /** The whole answer, head and body, to what is not a request. */
-  faultAnswer(fault: ConnectionFault): string;
+  faultResponse(fault: ConnectionFault): string;
   /** A connection beyond the limit was closed. */
   dropped(): void;
 }
@@ -94,7 +94,7 @@
   };
   const refuse = (socket: Duplex, fault: ConnectionFault) => {
     if (!socket.writable || answers.isOwed(socket)) return socket.destroy();
-    socket.end(handler.faultAnswer(fault), () => socket.destroy());
+    socket.end(handler.faultResponse(fault), () => socket.destroy());
   };
   const server = createServer({
     maxHeaderSize: limits.headerBytes,
--- a/packages/daemon/src/connection/runner_answer.ts
+++ b/packages/daemon/src/connection/runner_response.ts
@@ -9,7 +9,7 @@
 import type { RunnerConnections, RunnerRequest } from "./runner_connections.ts";
 
 /** No answer's head came. */
-export interface NoAnswer {
+export interface NoResponse {
   readonly _tag: "NoAnswer";
   /**
    * Whether bytes of the request may have reached the runner. False only when
@@ -21,7 +21,7 @@
 }
 
 /** The answer stopped before its end. */
-export interface AnswerBroken {
+export interface ResponseInterrupted {
   readonly _tag: "AnswerBroken";
   readonly reason: "reset" | "silent";
 }
@@ -35,11 +35,11 @@
 }
 
 /** An answer whose head has come; its body is read piece by piece. */
-export class RunnerAnswer {
+export class RunnerResponse {
   readonly response: http.IncomingMessage;
   #wake: (() => void) | undefined;
   #ended = false;
-  #broken: AnswerBroken["reason"] | undefined;
+  #failure: ResponseInterrupted["reason"] | undefined;
   #timer: NodeJS.Timeout | undefined;
   #timerMs = 0;
   /** Pieces read so far. */
@@ -55,11 +55,11 @@
       wake();
     });
     response.on("error", () => {
-      this.#broken ??= "reset";
+      this.#failure ??= "reset";
       wake();
     });
     response.on("close", () => {
-      if (!this.#ended) this.#broken ??= "reset";
+      if (!this.#ended) this.#failure ??= "reset";
       wake();
     });
   }
@@ -78,10 +78,10 @@
    * spent here counts as silence, so a slow caller is not taken for a silent
    * runner.
    */
-  next(idleMs: number): Effect.Effect<Buffer | undefined, AnswerBroken> {
+  next(idleMs: number): Effect.Effect<Buffer | undefined, ResponseInterrupted> {
     return Effect.suspend(() => {
       let piece: Buffer | undefined;
-      const pumped = this.pump(idleMs, (bytes) => {
+      const pumped = this.forEachChunk(idleMs, (bytes) => {
         piece = bytes;
         return false;
       });
@@ -95,14 +95,14 @@
    *
    * @returns whether the end was reached.
    */
-  pump(
+  forEachChunk(
     idleMs: number,
     take: (bytes: Buffer) => boolean,
-  ): Effect.Effect<boolean, AnswerBroken> {
+  ): Effect.Effect<boolean, ResponseInterrupted> {
     return Effect.callback((resume) => {
       const step = () => {
         const end = this.#drain(take);
-        if (end === undefined) return this.#arm(idleMs);
+        if (end === undefined) return this.#startIdleTimer(idleMs);
         this.#wake = undefined;
         clearTimeout(this.#timer);
         this.#timer = undefined;
@@ -125,7 +125,7 @@
   /** Gives out what there is; `undefined` when more has to be awaited. */
   #drain(
     take: (bytes: Buffer) => boolean,
-  ): Effect.Effect<boolean, AnswerBroken> | undefined {
+  ): Effect.Effect<boolean, ResponseInterrupted> | undefined {
     for (;;) {
       const bytes = this.response.read() as Buffer | null;
       if (bytes === null) break;
@@ -133,12 +133,12 @@
       if (!take(bytes)) return STOPPED;
     }
     if (this.#ended) return ENDED;
-    if (this.#broken === undefined) return undefined;
-    return Effect.fail({ _tag: "AnswerBroken", reason: this.#broken });
+    if (this.#failure === undefined) return undefined;
+    return Effect.fail({ _tag: "AnswerBroken", reason: this.#failure });
   }
 
   /** One timer for an answer, pushed on at each wait: no timer for each token. */
-  #arm(idleMs: number): void {
+  #startIdleTimer(idleMs: number): void {
     if (this.#timer !== undefined && this.#timerMs === idleMs) {
       this.#timer.refresh();
       return;
@@ -147,10 +147,10 @@
     this.#timerMs = idleMs;
     this.#timer = setTimeout(() => {
       const reads = this.#reads;
-      afterReading(() => {
+      afterPendingReads(() => {
         // Nobody waits any more, or something came meanwhile.
         if (this.#wake === undefined || this.#reads !== reads) return;
-        this.#broken ??= "silent";
+        this.#failure ??= "silent";
         this.response.destroy();
         this.#wake();
       });
@@ -165,7 +165,7 @@
  * be told as unknown. Node reads sockets between timers and immediates, so an
  * immediate is late enough.
  */
-function afterReading(action: () => void): void {
+function afterPendingReads(action: () => void): void {
   setImmediate(action);
 }
 
@@ -183,7 +183,7 @@
   to: { readonly connections: RunnerConnections; readonly runner: Runner },
   request: RunnerRequest,
   limits: HeadLimits,
-): Effect.Effect<RunnerAnswer, NoAnswer> {
+): Effect.Effect<RunnerResponse, NoResponse> {
   return Effect.suspend(() => {
     const sent = new SentRequest(
       to.connections.send(to.runner, request),
@@ -201,7 +201,7 @@
 class SentRequest {
   readonly #outgoing: http.ClientRequest;
   #connected = false;
-  #end: Effect.Effect<RunnerAnswer, NoAnswer> | undefined;
+  #end: Effect.Effect<RunnerResponse, NoResponse> | undefined;
   #wake: (() => void) | undefined;
   #timer: NodeJS.Timeout;
 
@@ -219,7 +219,7 @@
       socket.once("connect", connected);
     });
     outgoing.on("response", (response) => {
-      const answer = new RunnerAnswer(response);
+      const answer = new RunnerResponse(response);
       if (this.#end !== undefined) return answer.destroy();
       this.#settle(Effect.succeed(answer));
     });
@@ -243,7 +243,7 @@
     });
   }
 
-  head(): Effect.Effect<RunnerAnswer, NoAnswer> {
+  head(): Effect.Effect<RunnerResponse, NoResponse> {
     return Effect.callback((resume) => {
       if (this.#end !== undefined) return resume(this.#end);
       this.#wake = () => {
@@ -259,14 +259,14 @@
     this.#outgoing.destroy();
   }
 
-  #settle(end: Effect.Effect<RunnerAnswer, NoAnswer>): void {
+  #settle(end: Effect.Effect<RunnerResponse, NoResponse>): void {
     if (this.#end !== undefined) return;
     this.#end = end;
     clearTimeout(this.#timer);
     this.#wake?.();
   }
 
-  #fail(reason: NoAnswer["reason"], message: string): void {
+  #fail(reason: NoResponse["reason"], message: string): void {
     const mayHaveArrived = this.#connected;
     this.#settle(
       Effect.fail({ _tag: "NoAnswer", mayHaveArrived, reason, message }),
@@ -275,7 +275,7 @@
 
   #startTimer(ms: number): NodeJS.Timeout {
     const timer = setTimeout(() => {
-      afterReading(() => {
+      afterPendingReads(() => {
         // A connection that was made meanwhile has a timer of its own.
         if (this.#timer === timer) this.#timeOut();
       });
--- a/packages/daemon/src/connection/runner_answer_test.ts
+++ b/packages/daemon/src/connection/runner_response_test.ts
@@ -4,7 +4,7 @@
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
 import * as Effect from "effect/Effect";
-import { RunnerAnswer } from "./runner_answer.ts";
+import { RunnerResponse } from "./runner_response.ts";
 
 const LONG_MS = 60_000;
 
@@ -17,7 +17,7 @@
   const [, outgoing] = await asked as [unknown, http.ServerResponse];
   outgoing.write("one");
   const [response] = await once(request, "response") as [http.IncomingMessage];
-  return { answer: new RunnerAnswer(response), outgoing, response, server };
+  return { answer: new RunnerResponse(response), outgoing, response, server };
 }
 
 // A caller reads slowly, so no pump runs. Meanwhile the runner sends more and
@@ -39,12 +39,14 @@
 test("gives pieces one by one to one pump, and then the end", async () => {
   const { answer, outgoing, server } = await open();
   const pieces: string[] = [];
-  const ended = await Effect.runPromise(answer.pump(LONG_MS, (piece) => {
-    pieces.push(String(piece));
-    if (pieces.length === 1) outgoing.write("two");
-    else outgoing.end();
-    return true;
-  }));
+  const ended = await Effect.runPromise(
+    answer.forEachChunk(LONG_MS, (piece) => {
+      pieces.push(String(piece));
+      if (pieces.length === 1) outgoing.write("two");
+      else outgoing.end();
+      return true;
+    }),
+  );
   assert.equal(ended, true);
   assert.deepEqual(pieces, ["one", "two"]);
   server.close();
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -129,7 +129,7 @@
       log,
       observer: new RequestMetrics(metrics),
       table: () => fleet.feed.current(),
-      leaving: () => lifecycle.leaving,
+      isShuttingDown: () => lifecycle.leaving,
     });
     const callers = yield* openCallerServer(settings.listen, {
       limits: settings.limits,
--- a/packages/daemon/src/mod.ts
+++ b/packages/daemon/src/mod.ts
@@ -19,7 +19,7 @@
 export { makeScheduler } from "./request/scheduling.ts";
 export type {
   Policy,
-  SchedulerParts,
+  SchedulerDependencies,
   SchedulingSettings,
 } from "./request/scheduling.ts";
 export type { Scheduler } from "./request/scheduler.ts";
--- a/packages/daemon/src/request/admission.ts
+++ b/packages/daemon/src/request/admission.ts
@@ -22,20 +22,20 @@
 import type { Route } from "./route.ts";
 
 /** A request as it arrived. */
-export interface Arrival {
+export interface ArrivedRequest {
   readonly requestId: string;
   readonly request: IncomingMessage;
   readonly headers: readonly Header[];
   /** An earlier answer on the same connection has not ended. */
   readonly pipelined: boolean;
   /** As many requests as may be held at once were held when it came. */
-  readonly excess: boolean;
+  readonly overLimit: boolean;
   /** Epoch milliseconds. */
   readonly arrivedAt: number;
 }
 
 /** A request whose head is right; its body has not been read. */
-export interface Admission {
+export interface AdmittedRequest {
   readonly route: Route;
   readonly table: TableVersion;
   readonly callerRequest: CallerRequest;
@@ -45,7 +45,7 @@
 
 /** Checks what the connection's protocol asks of a request. */
 function checkProtocol(
-  { request, pipelined }: Arrival,
+  { request, pipelined }: ArrivedRequest,
 ): Result<void, Problem> {
   if (pipelined) {
     // Answers on one connection go out in order, so this one would wait for
@@ -94,9 +94,9 @@
 
 /** Checks the head of a request against the table in force. */
 export function admit(
-  arrival: Arrival,
+  arrival: ArrivedRequest,
   table: TableVersion | undefined,
-): Result<Admission, Problem> {
+): Result<AdmittedRequest, Problem> {
   const { request, headers } = arrival;
   const protocol = checkProtocol(arrival);
   if (protocol.isErr()) return err(protocol.error);
@@ -120,8 +120,8 @@
 }
 
 /** Makes the call of an admitted request and its body. */
-export function callOf(
-  admission: Admission,
+export function buildCall(
+  admission: AdmittedRequest,
   body: Uint8Array,
 ): Result<Call, Problem> {
   const { route, table, callerRequest } = admission;
--- a/packages/daemon/src/request/attempt.ts
+++ b/packages/daemon/src/request/attempt.ts
@@ -7,28 +7,28 @@
 import * as Effect from "effect/Effect";
 import {
   exchange,
-  type NoAnswer,
-  type RunnerAnswer,
-} from "../connection/runner_answer.ts";
+  type NoResponse,
+  type RunnerResponse,
+} from "../connection/runner_response.ts";
 import type { RunnerConnections } from "../connection/runner_connections.ts";
 import type { Log } from "../process/log.ts";
-import { type AttemptMark, requestHeaders } from "./answer_head.ts";
+import { type AttemptIdentity, requestHeaders } from "./runner_headers.ts";
 import type { Grant } from "./ask.ts";
 import { headLimits, isPast } from "./attempt_limits.ts";
 import type { AttemptSettings } from "./attempt_settings.ts";
 import type { Call, CallerGone, Reply } from "./call.ts";
 import {
-  type AttemptEnd,
+  type AttemptResult,
+  catchDisconnect,
   type Lost,
   lost,
   notRun,
-  orGone,
   refused,
 } from "./outcome.ts";
 import { cancelAtEngine } from "./engine_cancel.ts";
-import { AttemptMeter } from "./attempt_meter.ts";
+import { AttemptMetrics } from "./attempt_metrics.ts";
 import { relayStream } from "./stream_relay.ts";
-import { relayWhole } from "./whole_relay.ts";
+import { relayBuffered } from "./buffered_relay.ts";
 
 /** What attempts need of the daemon. */
 export interface AttemptServices {
@@ -41,14 +41,14 @@
 }
 
 /** One caller's request on its way through its attempts. */
-export interface AttemptTarget {
+export interface AttemptInput {
   readonly call: Call;
   readonly reply: Reply;
   readonly grant: Grant;
   /** Number of the attempt within the request, from 1. */
   readonly number: number;
   /** Monotonic milliseconds after which the grant may not be used. */
-  readonly grantUntil: number;
+  readonly grantExpiresAt: number;
   /** Monotonic milliseconds of the request's deadline. */
   readonly deadlineAt: number;
 }
@@ -58,30 +58,30 @@
 /** Sends one request and relays its answer; resumes a stream that breaks. */
 export class Attempt {
   readonly #services: AttemptServices;
-  readonly #target: AttemptTarget;
+  readonly #input: AttemptInput;
   /** What the attempt has cost and delivered so far. */
-  readonly meter: AttemptMeter;
-  #answer: RunnerAnswer | undefined;
+  readonly metrics: AttemptMetrics;
+  #response: RunnerResponse | undefined;
   #sends = 0;
 
-  constructor(services: AttemptServices, target: AttemptTarget) {
+  constructor(services: AttemptServices, target: AttemptInput) {
     this.#services = services;
-    this.#target = target;
-    this.meter = new AttemptMeter(target.call);
+    this.#input = target;
+    this.metrics = new AttemptMetrics(target.call);
   }
 
   /** Runs to the end. After interruption, `abandon` must be called. */
-  run(): Effect.Effect<AttemptEnd> {
+  run(): Effect.Effect<AttemptResult> {
     return Effect.gen({ self: this }, function* () {
       let end = yield* this.#send({});
       let fruitless = 0;
       while (end._tag === "Lost" && end.resumable) {
         if (fruitless >= this.#services.settings.fruitlessResumes) break;
-        const before = this.meter.progress.tokens;
+        const before = this.metrics.progress.tokens;
         const resumed = yield* this.#resume(end);
         if (resumed === undefined) break;
         end = resumed;
-        fruitless = this.meter.progress.tokens > before ? 0 : fruitless + 1;
+        fruitless = this.metrics.progress.tokens > before ? 0 : fruitless + 1;
       }
       return end;
     });
@@ -92,14 +92,14 @@
    * an engine that keeps streams for a resume would run on for nobody.
    */
   abandon(): void {
-    this.#answer?.destroy();
-    if (this.meter.sentAt === undefined || !this.#mayResume()) return;
-    const { call, grant } = this.#target;
+    this.#response?.destroy();
+    if (this.metrics.sentAt === undefined || !this.#isResumable()) return;
+    const { call, grant } = this.#input;
     cancelAtEngine(this.#services.connections, grant.runner, call);
   }
 
-  #mayResume(): boolean {
-    const { call } = this.#target;
+  #isResumable(): boolean {
+    const { call } = this.#input;
     // An engine that does not know of resumes takes one for a new request.
     // For a request that may not be repeated that would be a second run.
     return call.streamed && call.model !== undefined && call.repeatable;
@@ -107,8 +107,8 @@
 
   #send(
     resume: { readonly offset?: number },
-  ): Effect.Effect<AttemptEnd> {
-    const { call, grant, grantUntil, deadlineAt, number } = this.#target;
+  ): Effect.Effect<AttemptResult> {
+    const { call, grant, grantExpiresAt, deadlineAt, number } = this.#input;
     const { clock, connections, settings, crashPoints } = this.#services;
     return Effect.gen({ self: this }, function* () {
       if (crashPoints !== undefined) {
@@ -116,7 +116,7 @@
       }
       // A daemon that was paused wakes with grants that the broker has given
       // to others since; using one would overload the runner.
-      if (resume.offset === undefined && clock.monotonic() >= grantUntil) {
+      if (resume.offset === undefined && clock.monotonic() >= grantExpiresAt) {
         return notRun(
           "grant_expired",
           "The slot's time passed before the send",
@@ -124,16 +124,16 @@
       }
       this.#sends += 1;
       const attemptId = `${call.requestId}.${number}.${this.#sends}`;
-      const mark: AttemptMark = {
+      const identity: AttemptIdentity = {
         attemptId,
-        ...(this.#mayResume() && { resumableS: settings.resumableS }),
+        ...(this.#isResumable() && { resumableS: settings.resumableS }),
         ...(resume.offset !== undefined && { resumeOffset: resume.offset }),
       };
       const sentAt = clock.monotonic();
-      this.meter.sentAt ??= sentAt;
+      this.metrics.sentAt ??= sentAt;
       const limits = headLimits(call, settings, {
         resumed: resume.offset !== undefined,
-        leftMs: deadlineAt - sentAt,
+        remainingMs: deadlineAt - sentAt,
         crashPoints,
       });
       const head = yield* Effect.result(exchange(
@@ -141,7 +141,7 @@
         {
           method: call.method,
           path: call.path,
-          headers: requestHeaders(call, mark),
+          headers: requestHeaders(call, identity),
           body: call.body,
           // A kept connection may have gone silent unseen: a quote sent on it
           // would wait until its deadline for an engine that never got it. It
@@ -152,8 +152,8 @@
         },
         limits,
       ));
-      if (head._tag === "Failure") return this.#unanswered(head.failure);
-      this.#answer = head.success;
+      if (head._tag === "Failure") return this.#noResponse(head.failure);
+      this.#response = head.success;
       if (crashPoints !== undefined) {
         yield* crashPoints.reached("answer.before_end");
       }
@@ -167,10 +167,10 @@
   }
 
   /** Asks for the rest of a broken stream; `undefined` when there is none to have. */
-  #resume(end: Lost): Effect.Effect<AttemptEnd | undefined> {
-    const { call, grant } = this.#target;
+  #resume(end: Lost): Effect.Effect<AttemptResult | undefined> {
+    const { call, grant } = this.#input;
     return Effect.gen({ self: this }, function* () {
-      const offset = this.meter.progress.tokens;
+      const offset = this.metrics.progress.tokens;
       const next = yield* this.#send({ offset });
       this.#services.log.decision("stream_resumed", {
         requestId: call.requestId,
@@ -184,69 +184,69 @@
   }
 
   /** Whether the deadline passed before the answer began. */
-  #isLate(): boolean {
-    const { call, deadlineAt } = this.#target;
-    if (!call.streamed || this.meter.progress.tokens > 0) return false;
+  #isPastDeadline(): boolean {
+    const { call, deadlineAt } = this.#input;
+    if (!call.streamed || this.metrics.progress.tokens > 0) return false;
     return isPast(this.#services.clock.monotonic(), deadlineAt);
   }
 
-  #unanswered(failure: NoAnswer): AttemptEnd {
+  #noResponse(failure: NoResponse): AttemptResult {
     const { connections } = this.#services;
     if (failure.reason === "silent") {
-      connections.dropIdle(this.#target.grant.runner);
+      connections.dropIdle(this.#input.grant.runner);
     }
     if (!failure.mayHaveArrived) {
       return notRun("runner_unreachable", "The runner cannot be reached");
     }
     // Nothing that still comes would be of use, so it is not asked for.
-    if (this.#isLate()) {
-      return lost("deadline_passed", { standing: "unknown", resumable: false });
+    if (this.#isPastDeadline()) {
+      return lost("deadline_passed", { outcome: "unknown", resumable: false });
     }
-    const resumable = this.#mayResume();
+    const resumable = this.#isResumable();
     if (failure.reason === "silent") {
-      return lost("runner_silent", { standing: "unknown", resumable });
+      return lost("runner_silent", { outcome: "unknown", resumable });
     }
-    return lost("answer_lost", { standing: "unknown", resumable });
+    return lost("answer_lost", { outcome: "unknown", resumable });
   }
 
   #relay(
-    answer: RunnerAnswer,
+    answer: RunnerResponse,
     expected: { readonly attemptId: string; readonly firstMs: number },
-  ): Effect.Effect<AttemptEnd> {
+  ): Effect.Effect<AttemptResult> {
     // Something between both ends may cross or delay answers; only the echo
     // of this attempt's own id shows whose answer this is. Nothing of any
     // other, its refusal included, may be believed or delivered.
     if (answer.header("umbermast-attempt-id") !== expected.attemptId) {
       answer.destroy();
-      this.#services.connections.dropIdle(this.#target.grant.runner);
-      const resumable = this.#mayResume();
+      this.#services.connections.dropIdle(this.#input.grant.runner);
+      const resumable = this.#isResumable();
       return Effect.succeed(
-        lost("answer_crossed", { standing: "unknown", resumable }),
+        lost("answer_crossed", { outcome: "unknown", resumable }),
       );
     }
     if (answer.header("umbermast-started") === "false") {
       answer.destroy();
       return Effect.succeed(refused(answer.header("retry-after")));
     }
-    const { call } = this.#target;
+    const { call } = this.#input;
     const streams = answer.header("content-type")?.startsWith(EVENT_STREAM);
     if (streams && call.streamed && call.model !== undefined) {
-      return orGone(this.#relayStream(answer, expected.firstMs));
+      return catchDisconnect(this.#relayStream(answer, expected.firstMs));
     }
     // Asked for the rest of a stream, the engine gave something else.
     if (this.#sends > 1) {
       return Effect.succeed(notRun("runner_refused", "The stream is not held"));
     }
-    return orGone(this.#relayWhole(answer));
+    return catchDisconnect(this.#relayWhole(answer));
   }
 
   #relayStream(
-    answer: RunnerAnswer,
+    answer: RunnerResponse,
     firstMs: number,
-  ): Effect.Effect<AttemptEnd, CallerGone> {
-    const { reply } = this.#target;
+  ): Effect.Effect<AttemptResult, CallerGone> {
+    const { reply } = this.#input;
     const { clock, settings, connections } = this.#services;
-    const progress = this.meter.progress;
+    const progress = this.metrics.progress;
     return Effect.gen({ self: this }, function* () {
       const end = yield* relayStream(answer, {
         reply,
@@ -258,37 +258,39 @@
       if (end._tag === "Whole") {
         return { _tag: "Complete", status: answer.status } as const;
       }
-      const standing = "failed";
+      const outcome = "failed";
       if (end.reason === "silent") {
-        connections.dropIdle(this.#target.grant.runner);
-        const resumable = this.#mayResume();
-        return lost("runner_silent", { standing, resumable });
+        connections.dropIdle(this.#input.grant.runner);
+        const resumable = this.#isResumable();
+        return lost("runner_silent", { outcome, resumable });
       }
       const code = end.reason === "engine-error"
         ? "runner_failed"
         : "answer_broken";
-      const resumable = this.#mayResume() &&
+      const resumable = this.#isResumable() &&
         (end.reason === "reset" || end.reason === "no-end-mark");
-      return lost(code, { standing, resumable });
+      return lost(code, { outcome, resumable });
     });
   }
 
-  #relayWhole(answer: RunnerAnswer): Effect.Effect<AttemptEnd, CallerGone> {
-    const { call, reply } = this.#target;
+  #relayWhole(
+    answer: RunnerResponse,
+  ): Effect.Effect<AttemptResult, CallerGone> {
+    const { call, reply } = this.#input;
     const { settings } = this.#services;
     return Effect.gen({ self: this }, function* () {
       // An engine's own failure is told as such, so that a repeatable request
       // can be tried elsewhere. A plain service's answers are all its own.
       if (call.model !== undefined && answer.status >= 500) {
-        return lost("runner_failed", { standing: "failed", resumable: false });
+        return lost("runner_failed", { outcome: "failed", resumable: false });
       }
-      const end = yield* relayWhole(answer, { call, reply, settings });
+      const end = yield* relayBuffered(answer, { call, reply, settings });
       if (end._tag === "Whole") {
-        this.meter.usage = end.usage;
+        this.metrics.usage = end.usage;
         return { _tag: "Complete", status: answer.status } as const;
       }
       const code = end.reason === "silent" ? "runner_silent" : "answer_broken";
-      return lost(code, { standing: "failed", resumable: false });
+      return lost(code, { outcome: "failed", resumable: false });
     });
   }
 }
--- a/packages/daemon/src/request/attempt_limits.ts
+++ b/packages/daemon/src/request/attempt_limits.ts
@@ -4,16 +4,16 @@
  * @module
  */
 import type { CrashPoints } from "@umbermast/coordination";
-import type { HeadLimits } from "../connection/runner_answer.ts";
+import type { HeadLimits } from "../connection/runner_response.ts";
 import type { AttemptSettings } from "./attempt_settings.ts";
 import type { Call } from "./call.ts";
 
 /** What the limits of one send depend on besides its call. */
-export interface SendCircumstances {
+export interface SendContext {
   /** The rest of a stream is asked for. */
   readonly resumed: boolean;
   /** Milliseconds left until the request's deadline. */
-  readonly leftMs: number;
+  readonly remainingMs: number;
   /** Set in tests only. */
   readonly crashPoints: CrashPoints | undefined;
 }
@@ -31,7 +31,7 @@
  *
  * @example
  * ```ts
- * if (isPast(clock.monotonic(), journey.deadlineAt)) return;
+ * if (isPast(clock.monotonic(), state.deadlineAt)) return;
  * ```
  */
 export function isPast(nowMs: number, deadlineAt: number): boolean {
@@ -45,22 +45,22 @@
 export function headLimits(
   call: Call,
   settings: AttemptSettings,
-  circumstances: SendCircumstances,
+  circumstances: SendContext,
 ): HeadLimits {
   const { resumed, crashPoints } = circumstances;
-  const leftMs = Math.max(1, circumstances.leftMs);
+  const leftMs = Math.max(1, circumstances.remainingMs);
   const connectMs = Math.min(settings.connectMs, leftMs);
   if (resumed) return { connectMs, headMs: settings.resumeHeadMs };
   const headMs = call.streamed
     ? Math.min(settings.firstTokenMs, leftMs)
-    : wholeMs(call, settings);
+    : unstreamedHeadMs(call, settings);
   if (crashPoints === undefined) return { connectMs, headMs };
   const afterSend = crashPoints.reached("send.after_bytes");
   return { connectMs, headMs, afterSend };
 }
 
 /** A whole answer's limit follows from the most tokens that it can have. */
-function wholeMs(call: Call, settings: AttemptSettings): number {
+function unstreamedHeadMs(call: Call, settings: AttemptSettings): number {
   const { wholeAnswerMs, wholeAnswerTokenMs, firstTokenMs } = settings;
   if (call.model === undefined) return wholeAnswerMs;
   if (call.maxTokens === undefined) return wholeAnswerMs;
--- a/packages/daemon/src/request/attempt_meter.ts
+++ b/packages/daemon/src/request/attempt_metrics.ts
@@ -8,7 +8,7 @@
 import { type Usage, usageOfEvent } from "./usage.ts";
 
 /** Counts and times of one attempt; times in monotonic milliseconds. */
-export class AttemptMeter {
+export class AttemptMetrics {
   readonly progress = new StreamProgress();
   sentAt: number | undefined;
   /** What the engine reported with a whole answer. */
--- a/packages/daemon/src/request/broker_link.ts
+++ b/packages/daemon/src/request/broker_link.ts
@@ -13,14 +13,18 @@
   TO_BROKER,
 } from "../process/scheduling/messages.ts";
 import type { TableSource } from "../process/table_source.ts";
-import type { OwnRequests, Pending, Place } from "./own_requests.ts";
+import type {
+  BrokeredService,
+  LocalRequests,
+  PendingAsk,
+} from "./local_requests.ts";
 
 /** What a link works with. */
-export interface BrokerLinkParts {
-  readonly own: OwnRequests;
+export interface BrokerLinkDependencies {
+  readonly requests: LocalRequests;
   readonly finder: BrokerFinder;
-  readonly contacts: ReplyTracker;
-  readonly host: BrokerRegistry;
+  readonly replyTracker: ReplyTracker;
+  readonly registry: BrokerRegistry;
   readonly directory: RunnerDirectory;
   readonly table: TableSource;
   readonly clock: Clock;
@@ -30,49 +34,58 @@
 
 /** Sends to brokers at other daemons and at this one. */
 export class BrokerLink {
-  readonly #parts: BrokerLinkParts;
+  readonly #dependencies: BrokerLinkDependencies;
 
-  constructor(parts: BrokerLinkParts) {
-    this.#parts = parts;
+  constructor(parts: BrokerLinkDependencies) {
+    this.#dependencies = parts;
   }
 
   /** Gives a sign of life, with counts that the broker sets against its books. */
-  beat(broker: string): void {
-    const services = this.#parts.own.servicesAt(broker);
-    const someService = this.#parts.directory.services()[0];
+  heartbeat(broker: string): void {
+    const services = this.#dependencies.requests.servicesAt(broker);
+    const someService = this.#dependencies.directory.services()[0];
     const asked = services.size === 0 && someService !== undefined
       ? [someService]
       : services;
     for (const service of asked) {
       const place = { broker, service };
-      const waiting = this.#parts.own.pendingAt(place).length;
-      const held = this.#parts.own.usingAt(place).length;
-      this.#sendAwaiting(broker, { type: "beat", service, waiting, held });
+      const waiting = this.#dependencies.requests.pendingAt(place).length;
+      const held = this.#dependencies.requests.activeAt(place).length;
+      this.#sendExpectingReply(broker, {
+        type: "beat",
+        service,
+        waiting,
+        held,
+      });
     }
   }
 
   /** Tells a place all that is there; what is not listed is gone. */
-  present(place: Place): void {
-    const held = this.#parts.own.usingAt(place).map(({ ask, runner }) => ({
+  sendSnapshot(place: BrokeredService): void {
+    const held = this.#dependencies.requests.activeAt(place).map((
+      { ask, runner },
+    ) => ({
       askId: ask.askId,
       runner,
       workspace: ask.workspace,
       class: ask.class,
       promptTokens: ask.promptTokens,
     }));
-    const waiting = this.#parts.own.pendingAt(place).map((it) => it.ask.askId);
+    const waiting = this.#dependencies.requests.pendingAt(place).map((it) =>
+      it.ask.askId
+    );
     const { service } = place;
     this.send(place.broker, { type: "present", service, waiting, held });
   }
 
   /** Asks for a slot, also again. */
-  ask(pending: Pending, excluded?: string): void {
+  ask(pending: PendingAsk, excluded?: string): void {
     const { ask, epoch, broker } = pending;
     const { deadline, ...told } = ask;
-    const remainingMs = Math.max(0, deadline - this.#parts.clock.now());
-    const rank = this.#parts.finder.rank(ask.service);
+    const remainingMs = Math.max(0, deadline - this.#dependencies.clock.now());
+    const rank = this.#dependencies.finder.rank(ask.service);
     const isBroker = rank.slice(0, 2).includes(broker);
-    this.#sendAwaiting(broker, {
+    this.#sendExpectingReply(broker, {
       type: "ask",
       ...told,
       epoch,
@@ -81,7 +94,7 @@
       excluded: excluded === undefined
         ? ask.excluded
         : [...ask.excluded, excluded],
-      alone: broker === this.#parts.finder.self && !isBroker,
+      alone: broker === this.#dependencies.finder.self && !isBroker,
     });
   }
 
@@ -90,27 +103,27 @@
    * its ask would send it to the end of the queue; what is left of the class's
    * timeout tells how long its caller has waited.
    */
-  #waitedMs(pending: Pending, remainingMs: number): number {
+  #waitedMs(pending: PendingAsk, remainingMs: number): number {
     const { ask, askedAt } = pending;
-    const timeoutMs = this.#parts.table.current().classes
+    const timeoutMs = this.#dependencies.table.current().classes
       .find((it) => it.name === ask.class)?.timeoutMs ?? 0;
-    const sinceAsk = this.#parts.clock.monotonic() - askedAt;
+    const sinceAsk = this.#dependencies.clock.monotonic() - askedAt;
     return Math.max(0, sinceAsk, timeoutMs - remainingMs);
   }
 
   /** Sends what the broker has to answer. */
-  #sendAwaiting(broker: string, message: BrokerMessage): void {
-    if (broker !== this.#parts.finder.self) {
-      this.#parts.contacts.requestSent(broker);
+  #sendExpectingReply(broker: string, message: BrokerMessage): void {
+    if (broker !== this.#dependencies.finder.self) {
+      this.#dependencies.replyTracker.requestSent(broker);
     }
     this.send(broker, message);
   }
 
   /** Sends to a broker, be it this daemon. */
   send(broker: string, message: BrokerMessage): void {
-    if (broker === this.#parts.finder.self) {
-      return this.#parts.host.receive(broker, message);
+    if (broker === this.#dependencies.finder.self) {
+      return this.#dependencies.registry.receive(broker, message);
     }
-    this.#parts.peers?.send(broker, TO_BROKER, message);
+    this.#dependencies.peers?.send(broker, TO_BROKER, message);
   }
 }
--- a/packages/daemon/src/request/brokered_scheduler.ts
+++ b/packages/daemon/src/request/brokered_scheduler.ts
@@ -26,29 +26,29 @@
 import { BrokerLink } from "./broker_link.ts";
 import type { Ask, Grant, Refusal, Settlement } from "./ask.ts";
 import {
-  OwnRequests,
-  type Pending,
-  type Place,
-  Places,
-  type Using,
-} from "./own_requests.ts";
+  type ActiveSlot,
+  type BrokeredService,
+  BrokeredServiceSet,
+  LocalRequests,
+  type PendingAsk,
+} from "./local_requests.ts";
 import { deadlinePassed, refusalOf } from "./refusals.ts";
 import type { Scheduler } from "./scheduler.ts";
 
 /** Beats while something waits at a broker: its silence is noticed by them. */
-const BEAT_MS = 200;
+const HEARTBEAT_MS = 200;
 /** Beats while slots are only held there: a sign of life is enough. */
-const HELD_BEAT_MS = 2_000;
+const HELD_HEARTBEAT_MS = 2_000;
 /** A broker that answers no beat for this long is passed over by tier 0. */
-const SILENCE_MS = 600;
+const REPLY_TIMEOUT_MS = 600;
 /** Each lower tier waits this much longer, so that higher ones fall back first. */
-const SILENCE_STEP_MS = 200;
-const MOST_SILENCE_MS = 2_000;
+const REPLY_TIMEOUT_STEP_MS = 200;
+const MAX_REPLY_TIMEOUT_MS = 2_000;
 const RETRY_MS = 1_000;
 
 /** What the scheduler works with. */
-export interface BrokeredParts {
-  readonly host: BrokerRegistry;
+export interface BrokeredDependencies {
+  readonly registry: BrokerRegistry;
   readonly directory: RunnerDirectory;
   readonly table: TableSource;
   readonly clock: Clock;
@@ -60,26 +60,26 @@
 
 /** Gets slots from brokers. */
 export class BrokeredScheduler implements Scheduler {
-  readonly #parts: BrokeredParts;
+  readonly #dependencies: BrokeredDependencies;
   readonly #finder: BrokerFinder;
-  readonly #contacts: ReplyTracker;
-  readonly #own = new OwnRequests();
+  readonly #replyTracker: ReplyTracker;
+  readonly #local = new LocalRequests();
   readonly #link: BrokerLink;
 
-  constructor(parts: BrokeredParts) {
-    this.#parts = parts;
+  constructor(parts: BrokeredDependencies) {
+    this.#dependencies = parts;
     this.#finder = new BrokerFinder({
       membership: parts.membership,
       directory: parts.directory,
     });
-    this.#contacts = new ReplyTracker(parts.clock);
+    this.#replyTracker = new ReplyTracker(parts.clock);
     this.#link = new BrokerLink({
       ...parts,
-      own: this.#own,
+      requests: this.#local,
       finder: this.#finder,
-      contacts: this.#contacts,
+      replyTracker: this.#replyTracker,
     });
-    parts.host.connectLocalEntry((message) =>
+    parts.registry.connectLocalEntry((message) =>
       this.#receive(this.#finder.self, message)
     );
   }
@@ -87,7 +87,7 @@
   /** Serves answers and follows the view until the scope closes. */
   start(): Effect.Effect<void, never, Scope.Scope> {
     return Effect.gen({ self: this }, function* () {
-      const { peers, membership, log } = this.#parts;
+      const { peers, membership, log } = this.#dependencies;
       peers?.handle(TO_ENTRY, (from, message) =>
         Effect.sync(() => {
           const read = parseEntryMessage(message);
@@ -95,7 +95,7 @@
           log.warning("scheduler_message_malformed", { from });
         }));
       const ends = [
-        membership?.subscribe(() => this.#follow()),
+        membership?.subscribe(() => this.#reassign()),
         peers?.subscribe((peer, state) => {
           if (state === "up") this.#resyncAll(peer);
         }),
@@ -105,15 +105,15 @@
           for (const end of ends) end?.();
         })
       );
-      yield* Effect.forkScoped(this.#beats());
+      yield* Effect.forkScoped(this.#sendHeartbeats());
     });
   }
 
   acquire(ask: Ask): Effect.Effect<Grant, Refusal> {
     return Effect.callback<Grant, Refusal>((resume) => {
-      const left = ask.deadline - this.#parts.clock.now();
+      const left = ask.deadline - this.#dependencies.clock.now();
       if (left <= 0) return resume(Effect.fail(deadlinePassed(ask, RETRY_MS)));
-      const pending: Pending = {
+      const pending: PendingAsk = {
         ask,
         askedAt: this.#now,
         resume,
@@ -123,40 +123,45 @@
         epoch: 1,
         broker: this.#brokerFor(ask),
       };
-      this.#own.pending.set(ask.askId, pending);
+      this.#local.pending.set(ask.askId, pending);
       this.#link.ask(pending);
       return Effect.sync(() => this.#withdraw(pending));
     });
   }
 
   get #now(): number {
-    return this.#parts.clock.monotonic();
+    return this.#dependencies.clock.monotonic();
   }
 
-  #beats(): Effect.Effect<never> {
+  #sendHeartbeats(): Effect.Effect<never> {
     let beats = 0;
     return Effect.forever(Effect.gen({ self: this }, function* () {
-      yield* Effect.sleep(BEAT_MS);
-      this.#follow();
+      yield* Effect.sleep(HEARTBEAT_MS);
+      this.#reassign();
       beats += 1;
-      const all = beats % (HELD_BEAT_MS / BEAT_MS) === 0;
-      const brokers = all ? this.#own.brokers() : this.#own.awaitedBrokers();
+      const all = beats % (HELD_HEARTBEAT_MS / HEARTBEAT_MS) === 0;
+      const brokers = all
+        ? this.#local.brokers()
+        : this.#local.brokersWithPending();
       // A silent one is asked on, so that its return is noticed.
       for (
-        const broker of new Set([...brokers, ...this.#contacts.awaitingReply])
+        const broker of new Set([
+          ...brokers,
+          ...this.#replyTracker.awaitingReply,
+        ])
       ) {
-        this.#link.beat(broker);
+        this.#link.heartbeat(broker);
       }
     }));
   }
 
   /** Moves what is at a daemon that is no longer the one to ask. */
-  #follow(): void {
-    const members = this.#parts.membership?.view().members ?? [];
-    this.#contacts.retain(new Set(members.map((it) => it.member.name)));
-    const left = new Places();
-    const reached = new Places();
-    const move = (it: Pending | Using): boolean => {
+  #reassign(): void {
+    const members = this.#dependencies.membership?.view().members ?? [];
+    this.#replyTracker.retain(new Set(members.map((it) => it.member.name)));
+    const left = new BrokeredServiceSet();
+    const reached = new BrokeredServiceSet();
+    const move = (it: PendingAsk | ActiveSlot): boolean => {
       const broker = this.#brokerFor(it.ask);
       const { service } = it.ask;
       if (broker === it.broker) return false;
@@ -165,13 +170,13 @@
       it.broker = broker;
       return true;
     };
-    const asked = [...this.#own.pending.values()].filter(move);
-    for (const it of this.#own.using.values()) move(it);
+    const asked = [...this.#local.pending.values()].filter(move);
+    for (const it of this.#local.active.values()) move(it);
     // What is in use goes before what waits: a broker that hears of the waiting
     // first would grant them slots that are in use.
-    for (const place of reached.all()) this.#link.present(place);
-    for (const pending of asked) this.#askAnew(pending);
-    for (const place of left.all()) this.#link.present(place);
+    for (const place of reached.all()) this.#link.sendSnapshot(place);
+    for (const pending of asked) this.#askAgain(pending);
+    for (const place of left.all()) this.#link.sendSnapshot(place);
   }
 
   /**
@@ -181,79 +186,87 @@
    */
   #brokerFor(ask: Ask): string {
     const [first, second] = this.#finder.rank(ask.service);
-    const patience = this.#patience(ask.class);
+    const patience = this.#replyTimeoutMs(ask.class);
     const answers = (name: string) =>
-      name === this.#finder.self || !this.#contacts.isOverdue(name, patience);
+      name === this.#finder.self ||
+      !this.#replyTracker.isOverdue(name, patience);
     if (first !== undefined && answers(first)) return first;
     if (second !== undefined && answers(second)) return second;
     return this.#finder.self;
   }
 
-  #patience(className: string): number {
-    const tier = this.#parts.table.current().classes
-      .find((it) => it.name === className)?.tier ?? MOST_SILENCE_MS;
-    return Math.min(MOST_SILENCE_MS, SILENCE_MS + tier * SILENCE_STEP_MS);
+  #replyTimeoutMs(className: string): number {
+    const tier = this.#dependencies.table.current().classes
+      .find((it) => it.name === className)?.tier ?? MAX_REPLY_TIMEOUT_MS;
+    return Math.min(
+      MAX_REPLY_TIMEOUT_MS,
+      REPLY_TIMEOUT_MS + tier * REPLY_TIMEOUT_STEP_MS,
+    );
   }
 
   #receive(from: string, message: EntryMessage): void {
-    this.#contacts.replyReceived(from);
+    this.#replyTracker.replyReceived(from);
     switch (message.type) {
       case "grant":
-        return this.#granted(from, message);
+        return this.#handleGrant(from, message);
       case "refuse":
-        return this.#refused(from, message);
+        return this.#handleRefusal(from, message);
       case "beat_reply":
         if (!message.resync) return;
         return this.#resync({ broker: from, service: message.service });
     }
   }
 
-  #granted(from: string, message: GrantMessage): void {
-    const using = this.#own.using.get(message.askId);
+  #handleGrant(from: string, message: GrantMessage): void {
+    const using = this.#local.active.get(message.askId);
     // The same grant again: the broker did not know that it had arrived.
     if (using?.runner === message.runner && using.broker === from) return;
-    const pending = this.#own.pending.get(message.askId);
+    const pending = this.#local.pending.get(message.askId);
     if (pending?.broker !== from || pending.epoch !== message.epoch) {
-      return this.#giveBack(from, message);
+      return this.#returnSlot(from, message);
     }
-    const runner = this.#parts.directory.find(message.runner);
+    const runner = this.#dependencies.directory.find(message.runner);
     if (runner === undefined || runner.state === "leaving") {
       // The broker does not know yet that the runner leaves; it must get
       // nothing new, so the slot goes back and the ask is made again.
-      this.#giveBack(from, message);
-      return this.#askAnew(pending, message.runner);
+      this.#returnSlot(from, message);
+      return this.#askAgain(pending, message.runner);
     }
-    this.#settle(pending);
+    this.#removePending(pending);
     const { ask } = pending;
     const { askId } = ask;
-    this.#own.using.set(askId, { ask, runner: runner.name, broker: from });
+    this.#local.active.set(askId, {
+      ask,
+      runner: runner.name,
+      broker: from,
+    });
     pending.resume(Effect.succeed({
       askId,
       runner,
-      expiresAt: this.#parts.clock.now() + message.validForMs,
+      expiresAt: this.#dependencies.clock.now() + message.validForMs,
       release: (settlement) => this.#release(askId, settlement),
     }));
   }
 
-  #refused(from: string, message: RefuseMessage): void {
-    const pending = this.#own.pending.get(message.askId);
+  #handleRefusal(from: string, message: RefuseMessage): void {
+    const pending = this.#local.pending.get(message.askId);
     if (pending?.broker !== from || pending.epoch !== message.epoch) return;
-    this.#settle(pending);
+    this.#removePending(pending);
     pending.resume(
       Effect.fail(refusalOf(pending.ask, message.code, message)),
     );
   }
 
   /** Tells a broker that a slot it granted is not wanted here. */
-  #giveBack(broker: string, grant: GrantMessage): void {
+  #returnSlot(broker: string, grant: GrantMessage): void {
     const { service, askId } = grant;
     this.#link.send(broker, { type: "withdraw", service, askId });
   }
 
   #release(askId: string, settlement: Settlement): void {
-    const using = this.#own.using.get(askId);
+    const using = this.#local.active.get(askId);
     if (using === undefined) return;
-    this.#own.using.delete(askId);
+    this.#local.active.delete(askId);
     const { service } = using.ask;
     this.#link.send(using.broker, {
       type: "release",
@@ -263,38 +276,38 @@
     });
   }
 
-  #expire(pending: Pending): void {
+  #expire(pending: PendingAsk): void {
     this.#withdraw(pending);
     pending.resume(Effect.fail(deadlinePassed(pending.ask, RETRY_MS)));
   }
 
-  #withdraw(pending: Pending): void {
+  #withdraw(pending: PendingAsk): void {
     const { askId, service } = pending.ask;
-    if (this.#own.pending.get(askId) !== pending) return;
-    this.#settle(pending);
+    if (this.#local.pending.get(askId) !== pending) return;
+    this.#removePending(pending);
     this.#link.send(pending.broker, { type: "withdraw", service, askId });
   }
 
-  #settle(pending: Pending): void {
+  #removePending(pending: PendingAsk): void {
     clearTimeout(pending.timer);
-    this.#own.pending.delete(pending.ask.askId);
+    this.#local.pending.delete(pending.ask.askId);
   }
 
   /** A link is back, and may have lost what was under way. */
   #resyncAll(broker: string): void {
-    for (const service of this.#own.servicesAt(broker)) {
+    for (const service of this.#local.servicesAt(broker)) {
       this.#resync({ broker, service });
     }
   }
 
   /** Presents all that is at a place and asks anew for what waits there. */
-  #resync(place: Place): void {
-    this.#link.present(place);
-    for (const pending of this.#own.pendingAt(place)) this.#link.ask(pending);
+  #resync(place: BrokeredService): void {
+    this.#link.sendSnapshot(place);
+    for (const pending of this.#local.pendingAt(place)) this.#link.ask(pending);
   }
 
   /** Asks again; an answer to the former ask is not taken any more. */
-  #askAnew(pending: Pending, excluded?: string): void {
+  #askAgain(pending: PendingAsk, excluded?: string): void {
     pending.epoch += 1;
     this.#link.ask(pending, excluded);
   }
--- a/packages/daemon/src/request/whole_relay.ts
+++ b/packages/daemon/src/request/buffered_relay.ts
@@ -5,21 +5,21 @@
  */
 import * as Effect from "effect/Effect";
 import type {
-  AnswerBroken,
-  RunnerAnswer,
-} from "../connection/runner_answer.ts";
-import { passedHead } from "./answer_head.ts";
+  ResponseInterrupted,
+  RunnerResponse,
+} from "../connection/runner_response.ts";
+import { forwardedHead } from "./runner_headers.ts";
 import type { AttemptSettings } from "./attempt_settings.ts";
-import type { AnswerHead, Call, CallerGone, Header, Reply } from "./call.ts";
+import type { Call, CallerGone, Header, Reply, ResponseHead } from "./call.ts";
 import { parseJson, type Usage, usageOf } from "./usage.ts";
 
 /** How the relay of a whole answer ended. */
-export type WholeEnd =
+export type BufferedResult =
   | { readonly _tag: "Whole"; readonly usage: Usage }
   | { readonly _tag: "Cut"; readonly reason: "reset" | "silent" | "no-end" };
 
 /** What a relay needs besides the answer. */
-export interface WholeContext {
+export interface BufferedRelayContext {
   readonly call: Call;
   readonly reply: Reply;
   readonly settings: AttemptSettings;
@@ -33,35 +33,35 @@
  * passed on as it comes; when that one breaks, the caller's connection breaks
  * too, and the declared length or the missing last chunk shows it.
  */
-export function relayWhole(
-  answer: RunnerAnswer,
-  context: WholeContext,
-): Effect.Effect<WholeEnd, CallerGone> {
+export function relayBuffered(
+  answer: RunnerResponse,
+  context: BufferedRelayContext,
+): Effect.Effect<BufferedResult, CallerGone> {
   return Effect.gen(function* () {
-    const held = yield* Effect.result(hold(answer, context.settings));
-    if (held._tag === "Failure") return cut(held.failure.reason);
+    const held = yield* Effect.result(bufferBody(answer, context.settings));
+    if (held._tag === "Failure") return truncated(held.failure.reason);
     const { pieces, ended } = held.success;
-    if (!ended) return yield* passOn(answer, pieces, context);
+    if (!ended) return yield* passThrough(answer, pieces, context);
     const body = Buffer.concat(pieces);
-    const verdict = check(answer, body, context.call);
+    const verdict = checkComplete(answer, body, context.call);
     if (verdict._tag === "Cut") return verdict;
-    context.reply.begin(exactHead(answer, body, context.call));
+    context.reply.writeHead(headWithLength(answer, body, context.call));
     if (body.length > 0) yield* context.reply.write(body);
     context.reply.end();
     return verdict;
   });
 }
 
-interface Held {
+interface BufferedBody {
   readonly pieces: Buffer[];
   /** Whether the declared end was reached within the bound. */
   readonly ended: boolean;
 }
 
-function hold(
-  answer: RunnerAnswer,
+function bufferBody(
+  answer: RunnerResponse,
   settings: AttemptSettings,
-): Effect.Effect<Held, AnswerBroken> {
+): Effect.Effect<BufferedBody, ResponseInterrupted> {
   return Effect.gen(function* () {
     const pieces: Buffer[] = [];
     let size = 0;
@@ -75,19 +75,19 @@
   });
 }
 
-function passOn(
-  answer: RunnerAnswer,
+function passThrough(
+  answer: RunnerResponse,
   pieces: readonly Buffer[],
-  context: WholeContext,
-): Effect.Effect<WholeEnd, CallerGone> {
+  context: BufferedRelayContext,
+): Effect.Effect<BufferedResult, CallerGone> {
   return Effect.gen(function* () {
     const { reply, settings } = context;
-    if (!declaresEnd(answer, context.call)) return cut("no-end");
-    reply.begin(passedHead(answer));
+    if (!hasDeclaredEnd(answer, context.call)) return truncated("no-end");
+    reply.writeHead(forwardedHead(answer));
     for (const piece of pieces) yield* reply.write(piece);
     for (;;) {
       const next = yield* Effect.result(answer.next(settings.bodyIdleMs));
-      if (next._tag === "Failure") return cut(next.failure.reason);
+      if (next._tag === "Failure") return truncated(next.failure.reason);
       if (next.success === undefined) break;
       yield* reply.write(next.success);
     }
@@ -102,17 +102,21 @@
  * only if it is JSON that parses. An engine's JSON is always parsed: it holds
  * the usage.
  */
-function check(answer: RunnerAnswer, body: Buffer, call: Call): WholeEnd {
-  const declared = declaresEnd(answer, call);
+function checkComplete(
+  answer: RunnerResponse,
+  body: Buffer,
+  call: Call,
+): BufferedResult {
+  const declared = hasDeclaredEnd(answer, call);
   const json = answer.header("content-type")?.includes("json") === true;
-  if (!json) return declared ? whole(NO_USAGE) : cut("no-end");
-  if (call.model === undefined && declared) return whole(NO_USAGE);
+  if (!json) return declared ? complete(NO_USAGE) : truncated("no-end");
+  if (call.model === undefined && declared) return complete(NO_USAGE);
   const value = parseJson(body.toString("utf8"));
-  if (value === undefined) return cut("no-end");
-  return whole(usageOf(value));
+  if (value === undefined) return truncated("no-end");
+  return complete(usageOf(value));
 }
 
-function declaresEnd(answer: RunnerAnswer, call: Call): boolean {
+function hasDeclaredEnd(answer: RunnerResponse, call: Call): boolean {
   if (call.method === "HEAD") return true;
   if (answer.status === 204 || answer.status === 304) return true;
   if (answer.header("content-length") !== undefined) return true;
@@ -120,12 +124,12 @@
 }
 
 /** Gives the exact length, so that the caller can check the answer too. */
-function exactHead(
-  answer: RunnerAnswer,
+function headWithLength(
+  answer: RunnerResponse,
   body: Buffer,
   call: Call,
-): AnswerHead {
-  const head = passedHead(answer);
+): ResponseHead {
+  const head = forwardedHead(answer);
   const headers: Header[] = [...head.headers];
   const known = headers.some((header) => header.name === "content-length");
   const bodiless = call.method === "HEAD" || head.status === 204 ||
@@ -139,10 +143,10 @@
   return { status: head.status, headers };
 }
 
-function whole(usage: Usage): WholeEnd {
+function complete(usage: Usage): BufferedResult {
   return { _tag: "Whole", usage };
 }
 
-function cut(reason: "reset" | "silent" | "no-end"): WholeEnd {
+function truncated(reason: "reset" | "silent" | "no-end"): BufferedResult {
   return { _tag: "Cut", reason };
 }
--- a/packages/daemon/src/request/call.ts
+++ b/packages/daemon/src/request/call.ts
@@ -43,7 +43,7 @@
 }
 
 /** The head of an answer. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   /** End-to-end headers only. */
   readonly headers: readonly Header[];
@@ -61,27 +61,27 @@
  */
 export interface Reply {
   /** Whether the head has been sent. */
-  readonly begun: boolean;
-  begin(head: AnswerHead): void;
+  readonly headersSent: boolean;
+  writeHead(head: ResponseHead): void;
   /**
    * Writes bytes at once. False when there is no room for more, or the caller
    * has gone: `room` tells which, and must end before more is pushed.
    */
   push(bytes: Uint8Array): boolean;
   /** Ends when the caller's side has room for more. */
-  room(): Effect.Effect<void, CallerGone>;
+  drained(): Effect.Effect<void, CallerGone>;
   /** Writes bytes; the effect ends when the caller's side has room for more. */
   write(bytes: Uint8Array): Effect.Effect<void, CallerGone>;
   /** Ends a whole answer. */
   end(): void;
   /** Ends an answer that is not whole: an error event when streamed, then a broken end. */
-  breakOff(problem: Problem): void;
+  abort(problem: Problem): void;
   /** Answers with an error; only before `begin`. */
   refuse(problem: Problem): void;
 }
 
 /** What is known of whether a request ran. */
-export type Standing = "not-run" | "failed" | "unknown";
+export type ExecutionOutcome = "not-run" | "failed" | "unknown";
 
 /** An error as the caller is told of it. */
 export interface Problem {
@@ -91,7 +91,7 @@
   readonly code: ProblemCode;
   /** What failed and what is needed. */
   readonly message: string;
-  readonly outcome: Standing;
+  readonly outcome: ExecutionOutcome;
   /** Set with 429 and 503. */
   readonly retryAfterMs?: number;
   /** Place of the fault in the request, such as `body/model`. */
@@ -99,7 +99,7 @@
 }
 
 /** How a call ended. */
-export type Ending =
+export type CallResult =
   | { readonly _tag: "Complete"; readonly status: number }
   | { readonly _tag: "CallerLeft"; readonly reason: CallerGone["reason"] }
   | { readonly _tag: "Ended"; readonly problem: Problem };
@@ -107,5 +107,5 @@
 /** Runs calls: asks for a slot, sends, relays, retries and settles. */
 export interface CallRunner {
   /** Runs one call to its end. Interruption means that the caller has left. */
-  run(call: Call, reply: Reply): Effect.Effect<Ending>;
+  run(call: Call, reply: Reply): Effect.Effect<CallResult>;
 }
--- a/packages/daemon/src/request/journey.ts
+++ b/packages/daemon/src/request/call_state.ts
@@ -5,51 +5,51 @@
  */
 import type * as Effect from "effect/Effect";
 import type { Ask } from "./ask.ts";
-import type { Call, Ending, Reply, Standing } from "./call.ts";
+import type { Call, CallResult, ExecutionOutcome, Reply } from "./call.ts";
 import type { Lost, NotRun } from "./outcome.ts";
 
 /** Why a call may not be sent, and the answer that its caller gets instead. */
 export interface Denial {
   readonly _tag: "Denial";
-  answer(reply: Reply): Effect.Effect<Ending>;
+  respond(reply: Reply): Effect.Effect<CallResult>;
 }
 
 /** Conditions of one call beyond those of all calls. */
-export interface CallTerms {
+export interface SendGuard {
   /** Asked while a slot is held, right before each send. */
   readonly permit: Effect.Effect<void, Denial>;
 }
 
 /** What is known of a call between its attempts. */
-export interface Journey {
+export interface CallState {
   readonly call: Call;
   readonly reply: Reply;
-  readonly terms: CallTerms | undefined;
+  readonly guard: SendGuard | undefined;
   /** Monotonic milliseconds. */
   readonly deadlineAt: number;
-  standing: Standing;
+  outcome: ExecutionOutcome;
   /** Attempts that may have reached a runner, or were refused by one. */
   attempts: number;
   /** Slots asked for. */
-  asks: number;
+  askCount: number;
   excluded: readonly string[];
   /** End of the attempt before, when it was not the call's end. */
   last: NotRun | Lost | undefined;
 }
 
 /** Counts a further ask of the call, and gives it an id of its own. */
-export function askOf(journey: Journey): Ask {
-  const { call } = journey;
-  journey.asks += 1;
+export function nextAsk(state: CallState): Ask {
+  const { call } = state;
+  state.askCount += 1;
   return {
-    askId: `${call.requestId}.${journey.asks}`,
+    askId: `${call.requestId}.${state.askCount}`,
     requestId: call.requestId,
     service: call.service,
     workspace: call.workspace,
     class: call.class,
     promptTokens: call.promptTokens,
     deadline: call.deadline,
-    excluded: journey.excluded,
+    excluded: state.excluded,
     ...(call.model !== undefined && { model: call.model }),
     ...(call.maxTokens !== undefined && { maxTokens: call.maxTokens }),
     ...(call.prefixDigest !== undefined && { prefixDigest: call.prefixDigest }),
--- a/packages/daemon/src/request/caller_requests.ts
+++ b/packages/daemon/src/request/caller_requests.ts
@@ -16,34 +16,34 @@
 import type { CallerLimits } from "../process/settings.ts";
 import type { TableVersion } from "../version/table_feed.ts";
 import { TrackedSet } from "../process/tracked_set.ts";
-import { admit, callOf } from "./admission.ts";
-import type { Arrival } from "./admission.ts";
+import { admit, buildCall } from "./admission.ts";
+import type { ArrivedRequest } from "./admission.ts";
 import { readBody } from "./body_reader.ts";
-import type { Call, CallRunner, Ending, Problem } from "./call.ts";
+import type { Call, CallResult, CallRunner, Problem } from "./call.ts";
 import { headerLines } from "./end_to_end_headers.ts";
 import { HttpReply } from "./http_reply.ts";
 import { modelList } from "./model_list.ts";
-import { problem, rawAnswer } from "./problems.ts";
+import { problem, rawResponse } from "./problems.ts";
 
 /** Counts ended requests. */
 export interface RequestObserver {
   /** A call that was run has ended. */
-  ended(
+  callEnded(
     call: Call,
     options: {
-      readonly ending: Ending;
+      readonly ending: CallResult;
       /** Epoch milliseconds of the answer's head; undefined without one. */
-      readonly answerAt: number | undefined;
+      readonly headersSentAt: number | undefined;
     },
   ): void;
   /** A request was refused before it became a call. */
-  refused(problem: Problem): void;
+  requestRefused(problem: Problem): void;
   /** A connection beyond the limit was closed. */
   dropped(): void;
 }
 
 /** What serving needs from the process. */
-export interface CallerEnvironment {
+export interface CallerDependencies {
   readonly runner: CallRunner;
   readonly limits: CallerLimits;
   readonly log: Log;
@@ -51,16 +51,16 @@
   /** The table in force; undefined until one has been read. */
   readonly table: () => TableVersion | undefined;
   /** Whether the daemon is leaving and takes no new requests. */
-  readonly leaving: () => boolean;
+  readonly isShuttingDown: () => boolean;
 }
 
-interface HeldRequest {
+interface ActiveRequest {
   readonly fiber: Fiber.Fiber<void>;
   readonly reply: HttpReply;
 }
 
 /** What an ending shows in the log. */
-function endingFields(ending: Ending) {
+function resultFields(ending: CallResult) {
   if (ending._tag === "Complete") {
     return { outcome: "complete", status: ending.status };
   }
@@ -78,31 +78,31 @@
 
 /** Serves callers' requests. */
 export class CallerRequests implements CallerHandler {
-  readonly #environment: CallerEnvironment;
-  readonly #held = new TrackedSet<HeldRequest>();
+  readonly #dependencies: CallerDependencies;
+  readonly #active = new TrackedSet<ActiveRequest>();
   #stopped = false;
 
-  constructor(environment: CallerEnvironment) {
-    this.#environment = environment;
+  constructor(environment: CallerDependencies) {
+    this.#dependencies = environment;
   }
 
   /** Requests being served. */
   get inFlight(): number {
-    return this.#held.size;
+    return this.#active.size;
   }
 
   /** Ends when no request is being served. */
-  readonly idle: Effect.Effect<void> = this.#held.whenEmpty;
+  readonly idle: Effect.Effect<void> = this.#active.whenEmpty;
 
   /** Interrupts every request; each answer gets a broken end. */
   interruptAll(): void {
     this.#stopped = true;
-    for (const { fiber } of this.#held) fiber.interruptUnsafe();
+    for (const { fiber } of this.#active) fiber.interruptUnsafe();
   }
 
   /** Gives a broken end to answers whose fibres cannot be interrupted. */
   abandonAll(): void {
-    for (const { reply } of this.#held) this.#abandon(reply);
+    for (const { reply } of this.#active) this.#abandon(reply);
   }
 
   /** Serves one request. */
@@ -111,22 +111,22 @@
     response: ServerResponse,
     options: { readonly pipelined: boolean },
   ): void {
-    const arrival: Arrival = {
+    const arrival: ArrivedRequest = {
       requestId: randomUUID(),
       request,
       pipelined: options.pipelined,
-      excess: this.#held.size >= this.#environment.limits.queuedRequests,
+      overLimit: this.#active.size >= this.#dependencies.limits.queuedRequests,
       headers: headerLines(request.rawHeaders),
       arrivedAt: Date.now(),
     };
     const reply = new HttpReply(response, {
       requestId: arrival.requestId,
-      writeTimeoutMs: this.#environment.limits.callerWriteTimeoutMs,
-      leaving: this.#environment.leaving,
+      writeTimeoutMs: this.#dependencies.limits.callerWriteTimeoutMs,
+      isShuttingDown: this.#dependencies.isShuttingDown,
     });
-    const fiber = Effect.runFork(this.#answer(arrival, reply));
+    const fiber = Effect.runFork(this.#handle(arrival, reply));
     const held = { fiber, reply };
-    this.#held.add(held);
+    this.#active.add(held);
     // The caller has left: what it asked for is of no use, so the fibre is
     // interrupted at once and with it the engine's work. A write that gave up
     // on a slow caller fails by itself and says so.
@@ -136,46 +136,49 @@
     });
     fiber.addObserver((exit) => {
       if (Exit.isFailure(exit)) {
-        this.#crashed(arrival, { reply, cause: exit.cause });
+        this.#handleFailure(arrival, { reply, cause: exit.cause });
       }
-      this.#held.delete(held);
+      this.#active.delete(held);
     });
   }
 
-  faultAnswer(fault: ConnectionFault): string {
+  faultResponse(fault: ConnectionFault): string {
     const { code, message, place } = fault;
     const requestId = randomUUID();
     const found = problem(code, message, { place });
-    this.#noteRefusal(requestId, found);
-    return rawAnswer(found, requestId);
+    this.#recordRefusal(requestId, found);
+    return rawResponse(found, requestId);
   }
 
   dropped(): void {
-    this.#environment.observer.dropped();
+    this.#dependencies.observer.dropped();
   }
 
-  #answer(arrival: Arrival, reply: HttpReply): Effect.Effect<void> {
+  #handle(arrival: ArrivedRequest, reply: HttpReply): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
-      const { leaving, limits, runner, table } = this.#environment;
-      if (leaving()) return yield* Effect.fail(leavingProblem());
+      const { isShuttingDown, limits, runner, table } = this.#dependencies;
+      if (isShuttingDown()) return yield* Effect.fail(shutdownProblem());
       const admission = yield* fromResult(admit(arrival, table()));
-      if (arrival.excess) {
-        return yield* Effect.fail(fullProblem(limits.queuedRequests));
+      if (arrival.overLimit) {
+        return yield* Effect.fail(overLimitProblem(limits.queuedRequests));
       }
-      reply.askForBody();
+      reply.sendContinue();
       const body = yield* readBody(arrival.request, limits);
       if (admission.route._tag === "Models") {
-        return reply.whole(modelList(admission.table.table));
+        return reply.sendJson(modelList(admission.table.table));
       }
-      const call = yield* fromResult(callOf(admission, body));
+      const call = yield* fromResult(buildCall(admission, body));
       const ending = yield* runner.run(call, reply).pipe(
         Effect.onInterrupt(() =>
           Effect.sync(() =>
-            this.#ended(call, { ending: this.#interruption(reply), reply })
+            this.#recordResult(call, {
+              ending: this.#interruptionResult(reply),
+              reply,
+            })
           )
         ),
       );
-      this.#ended(call, { ending, reply });
+      this.#recordResult(call, { ending, reply });
     }).pipe(
       Effect.catch((problem) =>
         Effect.sync(() => this.#refuse(arrival, { reply, problem }))
@@ -183,37 +186,45 @@
     );
   }
 
-  #ended(
+  #recordResult(
     call: Call,
-    { ending, reply }: { readonly ending: Ending; readonly reply: HttpReply },
+    { ending, reply }: {
+      readonly ending: CallResult;
+      readonly reply: HttpReply;
+    },
   ): void {
-    const { begunAt: answerAt } = reply;
-    this.#environment.observer.ended(call, { ending, answerAt });
-    this.#environment.log.event("request_ended", {
+    const { headersSentAt } = reply;
+    this.#dependencies.observer.callEnded(call, {
+      ending,
+      headersSentAt,
+    });
+    this.#dependencies.log.event("request_ended", {
       requestId: call.requestId,
       workspace: call.workspace,
       class: call.class,
       service: call.service,
-      ...endingFields(ending),
-      answerMs: answerAt === undefined ? undefined : answerAt - call.arrivedAt,
+      ...resultFields(ending),
+      answerMs: headersSentAt === undefined
+        ? undefined
+        : headersSentAt - call.arrivedAt,
       durationMs: Date.now() - call.arrivedAt,
     });
   }
 
   #refuse(
-    arrival: Arrival,
+    arrival: ArrivedRequest,
     { reply, problem }: {
       readonly reply: HttpReply;
       readonly problem: Problem;
     },
   ): void {
     reply.refuse(problem);
-    this.#noteRefusal(arrival.requestId, problem);
+    this.#recordRefusal(arrival.requestId, problem);
   }
 
-  #noteRefusal(requestId: string, problem: Problem): void {
-    this.#environment.observer.refused(problem);
-    this.#environment.log.event("request_refused", {
+  #recordRefusal(requestId: string, problem: Problem): void {
+    this.#dependencies.observer.requestRefused(problem);
+    this.#dependencies.log.event("request_refused", {
       requestId,
       code: problem.code,
       status: problem.status,
@@ -222,8 +233,8 @@
   }
 
   /** The fibre ended without an ending: it was interrupted, or has a fault. */
-  #crashed(
-    arrival: Arrival,
+  #handleFailure(
+    arrival: ArrivedRequest,
     { reply, cause }: {
       readonly reply: HttpReply;
       readonly cause: Cause.Cause<never>;
@@ -231,9 +242,9 @@
   ): void {
     const { requestId } = arrival;
     if (Cause.hasInterruptsOnly(cause)) {
-      this.#environment.log.event("request_interrupted", { requestId });
+      this.#dependencies.log.event("request_interrupted", { requestId });
     } else {
-      this.#environment.log.warning("internal", {
+      this.#dependencies.log.warning("internal", {
         requestId,
         reason: Cause.pretty(cause),
       });
@@ -242,29 +253,29 @@
   }
 
   /** What an interruption means: the caller has left, or the daemon stops. */
-  #interruption(reply: HttpReply): Ending {
+  #interruptionResult(reply: HttpReply): CallResult {
     if (this.#stopped) {
-      return { _tag: "Ended", problem: this.#unfinished(reply) };
+      return { _tag: "Ended", problem: this.#unfinishedProblem(reply) };
     }
     return { _tag: "CallerLeft", reason: "closed" };
   }
 
-  #unfinished(reply: HttpReply): Problem {
-    const outcome = reply.begun ? "failed" : "unknown";
+  #unfinishedProblem(reply: HttpReply): Problem {
+    const outcome = reply.headersSent ? "failed" : "unknown";
     const code = this.#stopped ? "stopped" : "internal";
     return problem(code, "Cannot finish the answer", { outcome });
   }
 
   #abandon(reply: HttpReply): void {
-    reply.abandon(this.#unfinished(reply));
+    reply.abandon(this.#unfinishedProblem(reply));
   }
 }
 
-function leavingProblem(): Problem {
+function shutdownProblem(): Problem {
   return problem("leaving", "Cannot take the request: this daemon is leaving");
 }
 
-function fullProblem(limit: number): Problem {
+function overLimitProblem(limit: number): Problem {
   return problem(
     "too_many_requests",
     `Cannot take the request: ${limit} requests are held already`,
--- a/packages/daemon/src/request/end_to_end_headers.ts
+++ b/packages/daemon/src/request/end_to_end_headers.ts
@@ -50,6 +50,6 @@
 }
 
 /** Headers of a runner's answer that go to the caller. */
-export function answerHeaders(headers: readonly Header[]): readonly Header[] {
+export function responseHeaders(headers: readonly Header[]): readonly Header[] {
   return endToEnd(headers).filter(({ name }) => !name.startsWith(OWN_PREFIX));
 }
--- a/packages/daemon/src/request/engine_cancel.ts
+++ b/packages/daemon/src/request/engine_cancel.ts
@@ -7,7 +7,7 @@
 import type { Runner } from "../process/runner.ts";
 
 /** Longest life of a cancel request, in milliseconds. */
-const CANCEL_MS = 2_000;
+const CANCEL_TIMEOUT_MS = 2_000;
 
 /**
  * Tells an engine to stop a run, without waiting for its answer. Needed for
@@ -28,7 +28,7 @@
     // The usual cause is a connection that went silent, so take a new one.
     fresh: true,
   });
-  const timer = setTimeout(() => request.destroy(), CANCEL_MS);
+  const timer = setTimeout(() => request.destroy(), CANCEL_TIMEOUT_MS);
   timer.unref();
   request.on("response", (response) => response.resume());
   request.on("error", () => {});
--- a/packages/daemon/src/request/fifo_scheduler.ts
+++ b/packages/daemon/src/request/fifo_scheduler.ts
@@ -14,19 +14,19 @@
 import type { Scheduler } from "./scheduler.ts";
 import { deadlinePassed, noRunner, queueFull } from "./refusals.ts";
 
-const GRANT_MS = 5_000;
+const GRANT_TIMEOUT_MS = 5_000;
 const QUEUE_LIMIT = 2_000;
 const DEFAULT_SLOTS = 16;
 const RETRY_MS = 1_000;
 
-interface Waiting {
+interface WaitingAsk {
   readonly ask: Ask;
   readonly resume: (end: Effect.Effect<Grant, Refusal>) => void;
   readonly timer: NodeJS.Timeout;
 }
 
 /** What the FIFO scheduler works with. */
-export interface FifoParts {
+export interface FifoDependencies {
   readonly directory: RunnerDirectory;
   readonly reports: LoadReports;
   readonly table: TableSource;
@@ -36,15 +36,15 @@
 
 /** Serves asks in order of arrival at the runner with the least reported load. */
 export class FifoScheduler implements Scheduler {
-  readonly #parts: FifoParts;
-  readonly #queues = new Map<string, Waiting[]>();
+  readonly #dependencies: FifoDependencies;
+  readonly #queues = new Map<string, WaitingAsk[]>();
   /** Own requests in flight, by runner. */
   readonly #inFlight = new Map<string, number>();
   /** Own grants since the runner's last report, by runner. */
   readonly #sinceReport = new Map<string, number>();
 
-  constructor(parts: FifoParts) {
-    this.#parts = parts;
+  constructor(parts: FifoDependencies) {
+    this.#dependencies = parts;
     parts.directory.subscribe(() => this.#drainAll());
     parts.reports.subscribe((runner) => {
       this.#sinceReport.delete(runner);
@@ -59,9 +59,9 @@
       if (queue.length >= QUEUE_LIMIT) {
         return resume(Effect.fail(queueFull(ask, RETRY_MS)));
       }
-      const left = ask.deadline - this.#parts.clock.now();
+      const left = ask.deadline - this.#dependencies.clock.now();
       if (left <= 0) return resume(Effect.fail(deadlinePassed(ask, RETRY_MS)));
-      const waiting: Waiting = {
+      const waiting: WaitingAsk = {
         ask,
         resume,
         timer: setTimeout(() => {
@@ -75,16 +75,16 @@
     });
   }
 
-  #queueOf(service: string): Waiting[] {
+  #queueOf(service: string): WaitingAsk[] {
     const known = this.#queues.get(service);
     if (known !== undefined) return known;
-    const made: Waiting[] = [];
+    const made: WaitingAsk[] = [];
     this.#queues.set(service, made);
-    this.#parts.reports.watch(service);
+    this.#dependencies.reports.watch(service);
     return made;
   }
 
-  #remove(waiting: Waiting): void {
+  #remove(waiting: WaitingAsk): void {
     clearTimeout(waiting.timer);
     const queue = this.#queueOf(waiting.ask.service);
     const index = queue.indexOf(waiting);
@@ -112,7 +112,7 @@
   }
 
   #leastLoaded(ask: Ask): Runner | "none" | "busy" {
-    const { directory, table } = this.#parts;
+    const { directory, table } = this.#dependencies;
     const slots = table.current().services.find((it) => it.name === ask.service)
       ?.slotsPerRunner ?? DEFAULT_SLOTS;
     const live = directory.runners(ask.service).filter((runner) =>
@@ -128,7 +128,7 @@
   }
 
   #loadOf(runner: Runner): number {
-    const report = this.#parts.reports.get(runner.name);
+    const report = this.#dependencies.reports.get(runner.name);
     const ownInFlight = this.#inFlight.get(runner.name) ?? 0;
     if (report === undefined) return ownInFlight;
     const reported = report.running + report.waiting;
@@ -139,7 +139,7 @@
   }
 
   #grant(ask: Ask, runner: Runner): Grant {
-    const { clock, log } = this.#parts;
+    const { clock, log } = this.#dependencies;
     log.decision("slot_granted", {
       requestId: ask.requestId,
       askId: ask.askId,
@@ -147,23 +147,27 @@
       load: this.#loadOf(runner),
       why: "least_load",
     });
-    add(this.#inFlight, runner.name, 1);
-    add(this.#sinceReport, runner.name, 1);
+    increment(this.#inFlight, runner.name, 1);
+    increment(this.#sinceReport, runner.name, 1);
     let held = true;
     return {
       askId: ask.askId,
       runner,
-      expiresAt: clock.now() + GRANT_MS,
+      expiresAt: clock.now() + GRANT_TIMEOUT_MS,
       release: () => {
         if (!held) return;
         held = false;
-        add(this.#inFlight, runner.name, -1);
+        increment(this.#inFlight, runner.name, -1);
         this.#drain(ask.service);
       },
     };
   }
 }
 
-function add(counts: Map<string, number>, key: string, change: number): void {
+function increment(
+  counts: Map<string, number>,
+  key: string,
+  change: number,
+): void {
   counts.set(key, (counts.get(key) ?? 0) + change);
 }
--- a/packages/daemon/src/request/http_reply.ts
+++ b/packages/daemon/src/request/http_reply.ts
@@ -6,19 +6,19 @@
 import type { ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import * as Effect from "effect/Effect";
-import type { AnswerHead, CallerGone, Problem, Reply } from "./call.ts";
+import type { CallerGone, Problem, Reply, ResponseHead } from "./call.ts";
 import { problemBody, problemHeaders } from "./problems.ts";
 
 const EVENT_STREAM = "text/event-stream";
 
 /** How long a refused request's remaining bytes are taken and thrown away. */
-const LINGER_MS = 1000;
+const LINGER_TIMEOUT_MS = 1000;
 
 const HEX = 16;
 const LINE_END = "\r\n";
 
 /** One chunk of a chunked answer (RFC 9112, section 7.1). */
-function chunkOf(bytes: Uint8Array): Buffer {
+function encodeChunk(bytes: Uint8Array): Buffer {
   const size = `${bytes.length.toString(HEX)}${LINE_END}`;
   const end = size.length + bytes.length;
   const chunk = Buffer.allocUnsafe(end + LINE_END.length);
@@ -33,12 +33,12 @@
   readonly #response: ServerResponse;
   readonly #requestId: string;
   readonly #writeTimeoutMs: number;
-  readonly #leaving: () => boolean;
+  readonly #isShuttingDown: () => boolean;
   #streamed = false;
   /** The caller sends its body only when asked, and has not been. */
-  #bodyHeldBack: boolean;
+  #awaitsContinue: boolean;
   #gone: CallerGone | undefined;
-  #begunAt: number | undefined;
+  #headersSentAt: number | undefined;
   /** The connection, once a streamed answer has begun. */
   #stream: Socket | undefined;
 
@@ -48,14 +48,14 @@
       readonly requestId: string;
       readonly writeTimeoutMs: number;
       /** Whether the connection is to be closed after the answer. */
-      readonly leaving: () => boolean;
+      readonly isShuttingDown: () => boolean;
     },
   ) {
     this.#response = response;
     this.#requestId = options.requestId;
     this.#writeTimeoutMs = options.writeTimeoutMs;
-    this.#leaving = options.leaving;
-    this.#bodyHeldBack = response.req.headers.expect !== undefined;
+    this.#isShuttingDown = options.isShuttingDown;
+    this.#awaitsContinue = response.req.headers.expect !== undefined;
     response.setHeader("umbermast-request-id", options.requestId);
     // Node reports a write to a connection that is gone here as well; the close
     // event tells all that is needed.
@@ -66,11 +66,11 @@
   }
 
   /** Epoch milliseconds when an answer began; undefined before, or without one. */
-  get begunAt(): number | undefined {
-    return this.#begunAt;
+  get headersSentAt(): number | undefined {
+    return this.#headersSentAt;
   }
 
-  get begun(): boolean {
+  get headersSent(): boolean {
     return this.#response.headersSent;
   }
 
@@ -80,22 +80,22 @@
   }
 
   /** Tells a caller that waits for it to send the body. */
-  askForBody(): void {
-    if (!this.#bodyHeldBack) return;
-    this.#bodyHeldBack = false;
+  sendContinue(): void {
+    if (!this.#awaitsContinue) return;
+    this.#awaitsContinue = false;
     this.#response.writeContinue();
   }
 
-  begin(head: AnswerHead): void {
+  writeHead(head: ResponseHead): void {
     for (const { name, value } of head.headers) {
       this.#response.appendHeader(name, value);
       if (name === "content-type") {
         this.#streamed = value.toLowerCase().startsWith(EVENT_STREAM);
       }
     }
-    if (this.#leaving()) this.#response.setHeader("connection", "close");
+    if (this.#isShuttingDown()) this.#response.setHeader("connection", "close");
     this.#response.writeHead(head.status);
-    this.#begunAt = Date.now();
+    this.#headersSentAt = Date.now();
     if (this.#streamed) this.#openStream();
   }
 
@@ -104,28 +104,30 @@
     // A chunk without bytes would read as the end of the whole answer.
     if (bytes.length === 0) return true;
     if (this.#stream === undefined) return this.#response.write(bytes);
-    return this.#stream.write(chunkOf(bytes));
+    return this.#stream.write(encodeChunk(bytes));
   }
 
-  room(): Effect.Effect<void, CallerGone> {
+  drained(): Effect.Effect<void, CallerGone> {
     return Effect.suspend(() => {
       if (this.#gone !== undefined) return Effect.fail(this.#gone);
       const written = this.#stream ?? this.#response;
       if (!written.writableNeedDrain) return Effect.void;
-      return this.#drained(written);
+      return this.#waitForDrain(written);
     });
   }
 
   write(bytes: Uint8Array): Effect.Effect<void, CallerGone> {
-    return Effect.suspend(() => this.push(bytes) ? Effect.void : this.room());
+    return Effect.suspend(() =>
+      this.push(bytes) ? Effect.void : this.drained()
+    );
   }
 
   end(): void {
     this.#response.end();
-    this.#boundFlush();
+    this.#startFlushTimeout();
   }
 
-  breakOff(problem: Problem): void {
+  abort(problem: Problem): void {
     const response = this.#response;
     if (!this.#streamed) {
       response.destroy();
@@ -135,7 +137,7 @@
     // The connection is cut after the event, without the last chunk: a client
     // that knows no error events still sees an answer that is not whole.
     response.write(`data: ${body}\n\n`, () => response.destroy());
-    this.#boundFlush();
+    this.#startFlushTimeout();
   }
 
   refuse(problem: Problem): void {
@@ -147,17 +149,17 @@
     response.setHeader("content-type", "application/json");
     response.setHeader("content-length", Buffer.byteLength(body));
     const { complete } = response.req;
-    if (this.#leaving() || !complete) {
+    if (this.#isShuttingDown() || !complete) {
       response.setHeader("connection", "close");
     }
     response.writeHead(problem.status);
-    if (complete || this.#bodyHeldBack) {
+    if (complete || this.#awaitsContinue) {
       response.end(body);
-      this.#boundFlush();
+      this.#startFlushTimeout();
       return;
     }
     response.write(body);
-    this.#endAfterBody();
+    this.#endAfterRequestBody();
   }
 
   /**
@@ -165,32 +167,32 @@
    * passed. Closing at once with bytes unread makes the system reset the
    * connection, and the caller, still sending, would lose the refusal.
    */
-  #endAfterBody(): void {
+  #endAfterRequestBody(): void {
     const { req: request } = this.#response;
     const end = () => {
       clearTimeout(timer);
       this.end();
     };
-    const timer = setTimeout(end, LINGER_MS);
+    const timer = setTimeout(end, LINGER_TIMEOUT_MS);
     request.once("end", end);
     request.once("close", end);
     request.resume();
   }
 
   /** Answers with a whole JSON document of the daemon's own. */
-  whole(body: string): void {
+  sendJson(body: string): void {
     this.#response.setHeader("content-type", "application/json");
     this.#response.setHeader("content-length", Buffer.byteLength(body));
-    if (this.#leaving()) this.#response.setHeader("connection", "close");
+    if (this.#isShuttingDown()) this.#response.setHeader("connection", "close");
     this.#response.writeHead(200);
     this.#response.end(body);
-    this.#boundFlush();
+    this.#startFlushTimeout();
   }
 
   /** Ends an answer whose fibre is gone, by whatever its state allows. */
   abandon(problem: Problem): void {
     if (this.#gone !== undefined || this.#response.writableEnded) return;
-    if (this.begun) this.breakOff(problem);
+    if (this.headersSent) this.abort(problem);
     else this.refuse(problem);
   }
 
@@ -209,7 +211,7 @@
   }
 
   /** Waits until the caller has read enough, for a bounded time. */
-  #drained(
+  #waitForDrain(
     written: Socket | ServerResponse,
   ): Effect.Effect<void, CallerGone> {
     return Effect.callback<void, CallerGone>((resume) => {
@@ -240,7 +242,7 @@
   }
 
   /** The end of an answer waits for the caller no longer than any other part. */
-  #boundFlush(): void {
+  #startFlushTimeout(): void {
     const response = this.#response;
     if (response.writableFinished || response.closed) return;
     const timer = setTimeout(() => response.destroy(), this.#writeTimeoutMs);
--- a/packages/daemon/src/request/idempotent_call_runner.ts
+++ b/packages/daemon/src/request/idempotent_call_runner.ts
@@ -16,9 +16,9 @@
 import * as Effect from "effect/Effect";
 import * as Exit from "effect/Exit";
 import type { Fields, Log } from "../process/log.ts";
-import type { Call, CallRunner, Ending, Problem, Reply } from "./call.ts";
-import { KeptReply } from "./kept_reply.ts";
-import type { Denial } from "./journey.ts";
+import type { Call, CallResult, CallRunner, Problem, Reply } from "./call.ts";
+import { RecordingReply } from "./recording_reply.ts";
+import type { Denial } from "./call_state.ts";
 import type { RetryingCallRunner } from "./retrying_call_runner.ts";
 
 /** What the runner needs of the daemon. */
@@ -30,7 +30,7 @@
 }
 
 /** Marks an answer that was made for an earlier try. */
-const REPLAYED = { name: "idempotent-replayed", value: "true" };
+const REPLAYED_HEADER = { name: "idempotent-replayed", value: "true" };
 
 /** Tries to claim a key again, and the pause between them in milliseconds. */
 const MAX_RECLAIMS = 3;
@@ -58,23 +58,23 @@
     this.#services = services;
   }
 
-  run(call: Call, reply: Reply): Effect.Effect<Ending> {
+  run(call: Call, reply: Reply): Effect.Effect<CallResult> {
     const { idempotencyKey } = call;
     if (call.repeatable || idempotencyKey === undefined) {
       return this.#runner.run(call, reply);
     }
     return Effect.uninterruptibleMask((restore) =>
       Effect.gen({ self: this }, function* () {
-        const claimant = new Claimant(call, this.#services);
+        const claimant = new CallClaim(call, this.#services);
         const first = yield* Effect.exit(restore(claimant.claim()));
         if (Exit.isFailure(first)) {
           const denied = Exit.findErrorOption(first);
           if (denied._tag === "None") return yield* Effect.interrupt;
-          return yield* restore(denied.value.answer(reply));
+          return yield* restore(denied.value.respond(reply));
         }
-        const kept = new KeptReply(reply);
-        const run = this.#runner.runUnder(call, kept, {
-          permit: claimant.permit(),
+        const kept = new RecordingReply(reply);
+        const run = this.#runner.runGuarded(call, kept, {
+          permit: claimant.ensureFresh(),
         });
         const exit = yield* Effect.exit(run);
         const settlement = settlementOf(exit, kept);
@@ -90,7 +90,7 @@
 }
 
 /** The claim of one call, renewed when the send comes late. */
-class Claimant {
+class CallClaim {
   readonly #call: Call;
   readonly #services: IdempotentServices;
   readonly #digest: string;
@@ -109,11 +109,11 @@
     return Effect.matchEffect(asked, {
       onFailure: (unavailable) => {
         const { reason, detail } = unavailable;
-        this.#note("unavailable", { reason, detail });
-        return Effect.fail(denial(problemOfUnavailable(unavailable)));
+        this.#logDecision("unavailable", { reason, detail });
+        return Effect.fail(denialOfProblem(problemOfUnavailable(unavailable)));
       },
       onSuccess: (outcome) => {
-        this.#note(outcome._tag);
+        this.#logDecision(outcome._tag);
         if (outcome._tag !== "Claimed") {
           return Effect.fail(denialOf(outcome));
         }
@@ -129,19 +129,19 @@
    * and a second try may have claimed the key since: sending would make two
    * runs. The old claim is given back and a new one decides.
    */
-  permit(): Effect.Effect<void, Denial> {
+  ensureFresh(): Effect.Effect<void, Denial> {
     return Effect.suspend(() => {
       const claim = this.#claim;
       if (claim === undefined) return this.claim();
       if (claim.mayStart()) return Effect.void;
       this.#claim = undefined;
       const returned = claim.settle({ _tag: "NotRun" });
-      return Effect.andThen(returned, this.#claimAgain());
+      return Effect.andThen(returned, this.#reclaim());
     });
   }
 
   /** The claim given back may still be on its way out of the store. */
-  #claimAgain(): Effect.Effect<void, Denial> {
+  #reclaim(): Effect.Effect<void, Denial> {
     return Effect.gen({ self: this }, function* () {
       for (let tries = 1; tries < MAX_RECLAIMS; tries++) {
         const exit = yield* Effect.exit(this.claim());
@@ -158,7 +158,7 @@
     return claim.settle(settlement);
   }
 
-  #note(outcome: string, failure: Fields = {}): void {
+  #logDecision(outcome: string, failure: Fields = {}): void {
     this.#services.log.decision("claim_decided", {
       requestId: this.#call.requestId,
       outcome,
@@ -184,8 +184,8 @@
  * before its send: afterwards it runs to its end.
  */
 function settlementOf(
-  exit: Exit.Exit<Ending>,
-  kept: KeptReply,
+  exit: Exit.Exit<CallResult>,
+  kept: RecordingReply,
 ): ClaimSettlement {
   if (Exit.isFailure(exit)) {
     return Exit.hasInterrupts(exit)
@@ -194,7 +194,7 @@
   }
   const ending = exit.value;
   if (ending._tag === "Complete") {
-    const answer = kept.kept;
+    const answer = kept.recorded;
     return answer === undefined
       ? { _tag: "Answered" }
       : { _tag: "Answered", answer };
@@ -209,10 +209,10 @@
     case "Answered":
       return {
         _tag: "Denial",
-        answer: (reply) => replay(outcome.answer, reply),
+        respond: (reply) => replay(outcome.answer, reply),
       };
     case "Mismatch":
-      return denial({
+      return denialOfProblem({
         status: 422,
         code: "idempotency_key_reused",
         message:
@@ -221,7 +221,7 @@
         place: "header/idempotency-key",
       });
     case "Taken":
-      return denial(problemOfTaken(outcome.state));
+      return denialOfProblem(problemOfTaken(outcome.state));
   }
 }
 
@@ -263,10 +263,10 @@
   };
 }
 
-function denial(problem: Problem): Denial {
+function denialOfProblem(problem: Problem): Denial {
   return {
     _tag: "Denial",
-    answer: (reply) =>
+    respond: (reply) =>
       Effect.sync(() => {
         reply.refuse(problem);
         return { _tag: "Ended", problem };
@@ -274,12 +274,15 @@
   };
 }
 
-function replay(answer: KeptAnswer, reply: Reply): Effect.Effect<Ending> {
+function replay(answer: KeptAnswer, reply: Reply): Effect.Effect<CallResult> {
   const { status, headers, body } = answer;
-  reply.begin({ status, headers: [...headers, REPLAYED] });
+  reply.writeHead({ status, headers: [...headers, REPLAYED_HEADER] });
   return Effect.match(reply.write(body), {
-    onFailure: (gone): Ending => ({ _tag: "CallerLeft", reason: gone.reason }),
-    onSuccess: (): Ending => {
+    onFailure: (gone): CallResult => ({
+      _tag: "CallerLeft",
+      reason: gone.reason,
+    }),
+    onSuccess: (): CallResult => {
       reply.end();
       return { _tag: "Complete", status };
     },
--- a/packages/daemon/src/request/own_requests.ts
+++ b/packages/daemon/src/request/local_requests.ts
@@ -7,7 +7,7 @@
 import type { Ask, Grant, Refusal } from "./ask.ts";
 
 /** An ask that waits for its answer. */
-export interface Pending {
+export interface PendingAsk {
   readonly ask: Ask;
   /** Monotonic milliseconds. */
   readonly askedAt: number;
@@ -19,31 +19,31 @@
 }
 
 /** A slot that an attempt of this daemon uses. */
-export interface Using {
+export interface ActiveSlot {
   readonly ask: Ask;
   readonly runner: string;
   broker: string;
 }
 
 /** A service at a broker. */
-export interface Place {
+export interface BrokeredService {
   readonly broker: string;
   readonly service: string;
 }
 
 /** All that waits and all that is in use. */
-export class OwnRequests {
-  readonly pending = new Map<string, Pending>();
-  readonly using = new Map<string, Using>();
+export class LocalRequests {
+  readonly pending = new Map<string, PendingAsk>();
+  readonly active = new Map<string, ActiveSlot>();
 
   /** Asks that wait at a place. */
-  pendingAt(place: Place): readonly Pending[] {
+  pendingAt(place: BrokeredService): readonly PendingAsk[] {
     return [...this.pending.values()].filter((it) => isAt(it, place));
   }
 
   /** Slots in use that a place granted. */
-  usingAt(place: Place): readonly Using[] {
-    return [...this.using.values()].filter((it) => isAt(it, place));
+  activeAt(place: BrokeredService): readonly ActiveSlot[] {
+    return [...this.active.values()].filter((it) => isAt(it, place));
   }
 
   /** Services of which something is at a broker. */
@@ -56,7 +56,7 @@
   }
 
   /** Brokers where something waits. */
-  awaitedBrokers(): ReadonlySet<string> {
+  brokersWithPending(): ReadonlySet<string> {
     return new Set([...this.pending.values()].map((it) => it.broker));
   }
 
@@ -65,26 +65,26 @@
     return new Set([...this.#all()].map((it) => it.broker));
   }
 
-  *#all(): Generator<Pending | Using> {
+  *#all(): Generator<PendingAsk | ActiveSlot> {
     yield* this.pending.values();
-    yield* this.using.values();
+    yield* this.active.values();
   }
 }
 
-function isAt(it: Pending | Using, place: Place): boolean {
+function isAt(it: PendingAsk | ActiveSlot, place: BrokeredService): boolean {
   return it.broker === place.broker && it.ask.service === place.service;
 }
 
 /** Places, each once. */
-export class Places {
+export class BrokeredServiceSet {
   readonly #services = new Map<string, Set<string>>();
 
-  add(place: Place): void {
+  add(place: BrokeredService): void {
     const known = this.#services.get(place.broker) ?? new Set();
     this.#services.set(place.broker, known.add(place.service));
   }
 
-  *all(): Generator<Place> {
+  *all(): Generator<BrokeredService> {
     for (const [broker, services] of this.#services) {
       for (const service of services) yield { broker, service };
     }
--- a/packages/daemon/src/request/outcome.ts
+++ b/packages/daemon/src/request/outcome.ts
@@ -5,10 +5,10 @@
  */
 import * as Effect from "effect/Effect";
 import type { Refusal } from "./ask.ts";
-import type { CallerGone, Problem, Standing } from "./call.ts";
+import type { CallerGone, ExecutionOutcome, Problem } from "./call.ts";
 
 /** How one attempt ended. */
-export type AttemptEnd =
+export type AttemptResult =
   | { readonly _tag: "Complete"; readonly status: number }
   | { readonly _tag: "CallerLeft"; readonly reason: CallerGone["reason"] }
   | NotRun
@@ -26,7 +26,7 @@
 export interface Lost {
   readonly _tag: "Lost";
   /** `failed`: the runner had begun to answer; `unknown`: nothing came back. */
-  readonly standing: "failed" | "unknown";
+  readonly outcome: "failed" | "unknown";
   readonly code:
     | "runner_failed"
     | "runner_silent"
@@ -67,7 +67,7 @@
  */
 export function problemOf(
   end: NotRun | Lost,
-  before: Standing,
+  before: ExecutionOutcome,
   options: { readonly withheld?: boolean } = {},
 ): Problem {
   const status = STATUS_OF[end.code];
@@ -76,7 +76,7 @@
     const retryAfterMs = end.retryAfterMs ?? DEFAULT_RETRY_AFTER_MS;
     return { ...problem, outcome: before, retryAfterMs };
   }
-  const outcome = worse(before, end.standing);
+  const outcome = leastCertain(before, end.outcome);
   if (options.withheld !== true) return { ...problem, outcome };
   return { ...problem, outcome, retryAfterMs: DEFAULT_RETRY_AFTER_MS };
 }
@@ -91,7 +91,10 @@
 } as const;
 
 /** Tells the caller that no slot was granted. */
-export function problemOfRefusal(refusal: Refusal, before: Standing): Problem {
+export function problemOfRefusal(
+  refusal: Refusal,
+  before: ExecutionOutcome,
+): Problem {
   return {
     status: STATUS_OF_REFUSAL[refusal.code],
     code: refusal.code,
@@ -102,7 +105,10 @@
 }
 
 /** The standing that claims less: unknown, then failed, then not run. */
-export function worse(a: Standing, b: Standing): Standing {
+export function leastCertain(
+  a: ExecutionOutcome,
+  b: ExecutionOutcome,
+): ExecutionOutcome {
   if (a === "unknown" || b === "unknown") return "unknown";
   if (a === "failed" || b === "failed") return "failed";
   return "not-run";
@@ -133,18 +139,21 @@
 /** End of an attempt that may have run; the message goes by the code. */
 export function lost(
   code: Lost["code"],
-  more: Pick<Lost, "standing" | "resumable">,
+  more: Pick<Lost, "outcome" | "resumable">,
 ): Lost {
   return { _tag: "Lost", code, message: LOST_MESSAGES[code], ...more };
 }
 
 /** The caller's leaving ends the attempt as an ordinary value. */
-export function orGone(
-  relay: Effect.Effect<AttemptEnd, CallerGone>,
-): Effect.Effect<AttemptEnd> {
+export function catchDisconnect(
+  relay: Effect.Effect<AttemptResult, CallerGone>,
+): Effect.Effect<AttemptResult> {
   return Effect.catch(
     relay,
     (gone) =>
-      Effect.succeed<AttemptEnd>({ _tag: "CallerLeft", reason: gone.reason }),
+      Effect.succeed<AttemptResult>({
+        _tag: "CallerLeft",
+        reason: gone.reason,
+      }),
   );
 }
--- a/packages/daemon/src/request/placement_demand.ts
+++ b/packages/daemon/src/request/placement_demand.ts
@@ -5,7 +5,7 @@
  */
 import * as Effect from "effect/Effect";
 import type { LocalDemand } from "../process/placement/placement_demand.ts";
-import type { Call, CallRunner, Ending, Reply } from "./call.ts";
+import type { Call, CallResult, CallRunner, Reply } from "./call.ts";
 
 /** Counts each call as demand for its model, from its arrival to its end. */
 export class CountedCallRunner implements CallRunner {
@@ -17,7 +17,7 @@
     this.#counter = counter;
   }
 
-  run(call: Call, reply: Reply): Effect.Effect<Ending> {
+  run(call: Call, reply: Reply): Effect.Effect<CallResult> {
     const { model } = call;
     if (model === undefined) return this.#inner.run(call, reply);
     return Effect.acquireUseRelease(
--- a/packages/daemon/src/request/placement_demand_test.ts
+++ b/packages/daemon/src/request/placement_demand_test.ts
@@ -4,10 +4,10 @@
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
 import { LocalDemand } from "../process/placement/placement_demand.ts";
-import type { Call, CallRunner, Ending, Reply } from "./call.ts";
+import type { Call, CallResult, CallRunner, Reply } from "./call.ts";
 import { CountedCallRunner } from "./placement_demand.ts";
 
-const ENDING: Ending = { _tag: "Complete", status: 200 };
+const ENDING: CallResult = { _tag: "Complete", status: 200 };
 
 function callOf(model?: string): Call {
   const call = { requestId: "r", service: "pool" };
@@ -16,7 +16,7 @@
 
 test("a call counts from its arrival to its end, also when its caller leaves", async () => {
   const counter = new LocalDemand();
-  const end = Deferred.makeUnsafe<Ending>();
+  const end = Deferred.makeUnsafe<CallResult>();
   const inner: CallRunner = { run: () => Deferred.await(end) };
   const runner = new CountedCallRunner(inner, counter);
   const reply = {} as Reply;
--- a/packages/daemon/src/request/problems.ts
+++ b/packages/daemon/src/request/problems.ts
@@ -6,7 +6,7 @@
 import { STATUS_CODES } from "node:http";
 import { PROBLEM_STATUSES } from "../process/codes.ts";
 import type { ProblemCode } from "../process/codes.ts";
-import type { Header, Problem, Standing } from "./call.ts";
+import type { ExecutionOutcome, Header, Problem } from "./call.ts";
 
 const DEFAULT_RETRY_AFTER_MS = 1000;
 const TOO_MANY_REQUESTS = 429;
@@ -17,7 +17,7 @@
   code: ProblemCode,
   message: string,
   options: {
-    readonly outcome?: Standing;
+    readonly outcome?: ExecutionOutcome;
     readonly place?: string;
     readonly retryAfterMs?: number;
   } = {},
@@ -85,7 +85,7 @@
 }
 
 /** Writes a whole answer for a connection that had no valid request. */
-export function rawAnswer(problem: Problem, requestId: string): string {
+export function rawResponse(problem: Problem, requestId: string): string {
   const body = problemBody(problem, requestId);
   const headers: readonly Header[] = [
     { name: "umbermast-request-id", value: requestId },
--- a/packages/daemon/src/request/random_scheduler.ts
+++ b/packages/daemon/src/request/random_scheduler.ts
@@ -11,11 +11,11 @@
 import type { Scheduler } from "./scheduler.ts";
 import { noRunner } from "./refusals.ts";
 
-const GRANT_MS = 5_000;
+const GRANT_TIMEOUT_MS = 5_000;
 
 /** Grants every ask at once, at a live runner taken at random. */
 export class RandomScheduler implements Scheduler {
-  readonly #parts: {
+  readonly #dependencies: {
     readonly directory: RunnerDirectory;
     readonly clock: Clock;
     readonly log: Log;
@@ -29,12 +29,12 @@
     readonly log: Log;
     readonly random: () => number;
   }) {
-    this.#parts = parts;
+    this.#dependencies = parts;
   }
 
   acquire(ask: Ask): Effect.Effect<Grant, Refusal> {
     return Effect.suspend(() => {
-      const { directory, clock, log, random } = this.#parts;
+      const { directory, clock, log, random } = this.#dependencies;
       const live = directory.runners(ask.service).filter((runner) =>
         runner.state === "live" && !ask.excluded.includes(runner.name)
       );
@@ -49,7 +49,7 @@
       return Effect.succeed<Grant>({
         askId: ask.askId,
         runner,
-        expiresAt: clock.now() + GRANT_MS,
+        expiresAt: clock.now() + GRANT_TIMEOUT_MS,
         release: () => {},
       });
     });
--- a/packages/daemon/src/request/kept_reply.ts
+++ b/packages/daemon/src/request/recording_reply.ts
@@ -5,39 +5,39 @@
  */
 import type { KeptAnswer } from "@umbermast/coordination";
 import * as Effect from "effect/Effect";
-import type { AnswerHead, CallerGone, Problem, Reply } from "./call.ts";
+import type { CallerGone, Problem, Reply, ResponseHead } from "./call.ts";
 
 /**
  * Largest answer that is collected, in bytes. The claims keep less by default;
  * this only bounds memory while an answer is on its way.
  */
-const MAX_KEPT_BYTES = 65_536;
+const MAX_RECORDED_BYTES = 65_536;
 
 /**
  * Passes an answer on and keeps a copy while it is small. A caller that leaves
  * does not end the answer: a lost connection is the very case for which callers
  * give idempotency keys, and the second try is to find the whole answer.
  */
-export class KeptReply implements Reply {
+export class RecordingReply implements Reply {
   readonly #reply: Reply;
-  #head: AnswerHead | undefined;
+  #head: ResponseHead | undefined;
   #pieces: Uint8Array[] = [];
   #size = 0;
-  #whole = false;
-  #gone = false;
+  #complete = false;
+  #disconnected = false;
 
   constructor(reply: Reply) {
     this.#reply = reply;
   }
 
-  get begun(): boolean {
+  get headersSent(): boolean {
     return this.#head !== undefined;
   }
 
   /** The whole answer; `undefined` when it is not whole or was too long. */
-  get kept(): KeptAnswer | undefined {
-    if (this.#head === undefined || !this.#whole) return undefined;
-    if (this.#size > MAX_KEPT_BYTES) return undefined;
+  get recorded(): KeptAnswer | undefined {
+    if (this.#head === undefined || !this.#complete) return undefined;
+    if (this.#size > MAX_RECORDED_BYTES) return undefined;
     return {
       status: this.#head.status,
       headers: this.#head.headers,
@@ -45,41 +45,43 @@
     };
   }
 
-  begin(head: AnswerHead): void {
+  writeHead(head: ResponseHead): void {
     this.#head = head;
-    this.#reply.begin(head);
+    this.#reply.writeHead(head);
   }
 
   push(bytes: Uint8Array): boolean {
     this.#size += bytes.length;
-    if (this.#size <= MAX_KEPT_BYTES) this.#pieces.push(bytes);
+    if (this.#size <= MAX_RECORDED_BYTES) this.#pieces.push(bytes);
     else this.#pieces = [];
-    return this.#gone || this.#reply.push(bytes);
+    return this.#disconnected || this.#reply.push(bytes);
   }
 
-  room(): Effect.Effect<void, CallerGone> {
+  drained(): Effect.Effect<void, CallerGone> {
     return Effect.suspend(() =>
-      this.#gone
+      this.#disconnected
         ? Effect.void
-        : Effect.catch(this.#reply.room(), () => this.#leave)
+        : Effect.catch(this.#reply.drained(), () => this.#markDisconnected)
     );
   }
 
   write(bytes: Uint8Array): Effect.Effect<void, CallerGone> {
-    return Effect.suspend(() => this.push(bytes) ? Effect.void : this.room());
+    return Effect.suspend(() =>
+      this.push(bytes) ? Effect.void : this.drained()
+    );
   }
 
-  readonly #leave = Effect.sync(() => {
-    this.#gone = true;
+  readonly #markDisconnected = Effect.sync(() => {
+    this.#disconnected = true;
   });
 
   end(): void {
-    this.#whole = true;
+    this.#complete = true;
     this.#reply.end();
   }
 
-  breakOff(problem: Problem): void {
-    this.#reply.breakOff(problem);
+  abort(problem: Problem): void {
+    this.#reply.abort(problem);
   }
 
   refuse(problem: Problem): void {
--- a/packages/daemon/src/request/request_metrics.ts
+++ b/packages/daemon/src/request/request_metrics.ts
@@ -4,10 +4,10 @@
  * @module
  */
 import type { Metrics } from "../process/metrics.ts";
-import type { Call, Ending, Problem } from "./call.ts";
+import type { Call, CallResult, Problem } from "./call.ts";
 import type { RequestObserver } from "./caller_requests.ts";
 
-function outcomeOf(ending: Ending): string {
+function outcomeOf(ending: CallResult): string {
   if (ending._tag === "Complete") return "complete";
   if (ending._tag === "CallerLeft") return "caller-left";
   return ending.problem.outcome;
@@ -21,27 +21,30 @@
     this.#metrics = metrics;
   }
 
-  ended(
+  callEnded(
     call: Call,
-    options: { readonly ending: Ending; readonly answerAt: number | undefined },
+    options: {
+      readonly ending: CallResult;
+      readonly headersSentAt: number | undefined;
+    },
   ): void {
-    const { answerAt, ending } = options;
+    const { headersSentAt, ending } = options;
     this.#metrics.requestEnded({
       class: call.class,
       service: call.service,
       outcome: outcomeOf(ending),
       durationMs: Date.now() - call.arrivedAt,
-      ...(answerAt === undefined
+      ...(headersSentAt === undefined
         ? {}
-        : { answerMs: answerAt - call.arrivedAt }),
+        : { answerMs: headersSentAt - call.arrivedAt }),
     });
   }
 
-  refused(problem: Problem): void {
+  requestRefused(problem: Problem): void {
     this.#metrics.requestRefused(problem.code);
   }
 
   dropped(): void {
-    this.#metrics.connectionDropped();
+    this.#metrics.dropped();
   }
 }
--- a/packages/daemon/src/request/retrying_call_runner.ts
+++ b/packages/daemon/src/request/retrying_call_runner.ts
@@ -9,15 +9,20 @@
 import type { Grant, Refusal, Settlement } from "./ask.ts";
 import { Attempt, type AttemptServices } from "./attempt.ts";
 import { isPast } from "./attempt_limits.ts";
-import type { Call, CallRunner, Ending, Problem, Reply } from "./call.ts";
-import { askOf, type CallTerms, type Denial, type Journey } from "./journey.ts";
+import type { Call, CallResult, CallRunner, Problem, Reply } from "./call.ts";
 import {
-  type AttemptEnd,
+  type CallState,
+  type Denial,
+  nextAsk,
+  type SendGuard,
+} from "./call_state.ts";
+import {
+  type AttemptResult,
+  leastCertain,
   type Lost,
   type NotRun,
   problemOf,
   problemOfRefusal,
-  worse,
 } from "./outcome.ts";
 import type { Scheduler } from "./scheduler.ts";
 import { settlementOf } from "./settlement.ts";
@@ -25,11 +30,11 @@
 /** What the runner of calls needs of the daemon. */
 export interface CallServices extends AttemptServices {
   readonly scheduler: Scheduler;
-  readonly budget: RetryBudget;
+  readonly retryBudget: RetryBudget;
 }
 
 /** Why a call starts again, or does not. */
-type RetryVerdict =
+type RetryDecision =
   | "retry"
   | "already_begun"
   | "not_repeatable"
@@ -54,8 +59,8 @@
     this.#services = services;
   }
 
-  run(call: Call, reply: Reply): Effect.Effect<Ending> {
-    return this.runUnder(call, reply, undefined);
+  run(call: Call, reply: Reply): Effect.Effect<CallResult> {
+    return this.runGuarded(call, reply, undefined);
   }
 
   /**
@@ -64,83 +69,85 @@
    * uninterruptible region, so that an interruption that waits for the send's
    * end does not hide how it ended; waiting for a slot stays interruptible.
    */
-  runUnder(
+  runGuarded(
     call: Call,
     reply: Reply,
-    terms: CallTerms | undefined,
-  ): Effect.Effect<Ending> {
+    guard: SendGuard | undefined,
+  ): Effect.Effect<CallResult> {
     return Effect.gen({ self: this }, function* () {
-      const journey = this.#start(call, reply, terms);
+      const state = this.#initialState(call, reply, guard);
       for (;;) {
-        const step = yield* Effect.result(this.#tryOnce(journey));
+        const step = yield* Effect.result(this.#attemptOnce(state));
         if (step._tag === "Failure") {
           const failure = step.failure;
-          if (failure._tag === "Denial") return yield* failure.answer(reply);
-          return refuse(journey, problemAfter(journey, failure));
+          if (failure._tag === "Denial") return yield* failure.respond(reply);
+          return endWithProblem(state, problemOfFailure(state, failure));
         }
         const end = step.success;
         if (end._tag === "Complete") {
-          this.#services.budget.recordSuccess();
+          this.#services.retryBudget.recordSuccess();
           return end;
         }
         if (end._tag === "CallerLeft") return end;
-        const verdict = this.#retryVerdict(journey, end);
+        const verdict = this.#decideRetry(state, end);
         if (verdict !== "retry") {
           const withheld = verdict === "budget_spent";
-          const problem = problemOf(end, journey.standing, { withheld });
-          return refuse(journey, problem);
+          const problem = problemOf(end, state.outcome, { withheld });
+          return endWithProblem(state, problem);
         }
-        journey.last = end;
+        state.last = end;
       }
     });
   }
 
-  #start(
+  #initialState(
     call: Call,
     reply: Reply,
-    terms: CallTerms | undefined,
-  ): Journey {
+    guard: SendGuard | undefined,
+  ): CallState {
     const { clock } = this.#services;
     return {
       call,
       reply,
-      terms,
+      guard,
       deadlineAt: clock.monotonic() + (call.deadline - clock.now()),
-      standing: "not-run",
+      outcome: "not-run",
       attempts: 0,
-      asks: 0,
+      askCount: 0,
       excluded: [],
       last: undefined,
     };
   }
 
   /** One slot and one attempt in it; the slot is given back in every case. */
-  #tryOnce(journey: Journey): Effect.Effect<AttemptEnd, Refusal | Denial> {
+  #attemptOnce(
+    state: CallState,
+  ): Effect.Effect<AttemptResult, Refusal | Denial> {
     const { scheduler, clock, crashPoints } = this.#services;
     return Effect.uninterruptible(
       Effect.gen({ self: this }, function* () {
         const grant = yield* Effect.interruptible(
-          scheduler.acquire(askOf(journey)),
+          scheduler.acquire(nextAsk(state)),
         );
-        const { call, reply, deadlineAt, terms } = journey;
+        const { call, reply, deadlineAt, guard } = state;
         const attempt = new Attempt(this.#services, {
           call,
           reply,
           grant,
-          number: journey.asks,
-          grantUntil: clock.monotonic() + (grant.expiresAt - clock.now()),
+          number: state.askCount,
+          grantExpiresAt: clock.monotonic() + (grant.expiresAt - clock.now()),
           deadlineAt,
         });
-        if (terms !== undefined) {
+        if (guard !== undefined) {
           yield* Effect.onError(
-            Effect.interruptible(terms.permit),
+            Effect.interruptible(guard.permit),
             () =>
               Effect.sync(() =>
                 grant.release(settlementOf(attempt, undefined))
               ),
           );
         }
-        const run = terms === undefined
+        const run = guard === undefined
           ? Effect.interruptible(attempt.run())
           : attempt.run();
         const exit = yield* Effect.exit(run);
@@ -154,26 +161,26 @@
         if (crashPoints !== undefined) {
           yield* crashPoints.reached("release.after");
         }
-        this.#note(journey, grant, { end, settlement });
+        this.#recordAttempt(state, grant, { end, settlement });
         return yield* exit;
       }),
     );
   }
 
   /** Records the attempt's end in the journey and in the log. */
-  #note(
-    journey: Journey,
+  #recordAttempt(
+    state: CallState,
     grant: Grant,
     how: {
-      readonly end: AttemptEnd | undefined;
+      readonly end: AttemptResult | undefined;
       readonly settlement: Settlement;
     },
   ): void {
-    const { call } = journey;
+    const { call } = state;
     const { end, settlement } = how;
     this.#services.log.decision("attempt_ended", {
       requestId: call.requestId,
-      attempt: journey.asks,
+      attempt: state.askCount,
       runner: grant.runner.name,
       outcome: settlement.outcome,
       code: end !== undefined && "code" in end ? end.code : undefined,
@@ -181,38 +188,38 @@
       firstTokenMs: settlement.firstTokenMs,
     });
     if (end?._tag === "Lost") {
-      journey.standing = worse(journey.standing, end.standing);
+      state.outcome = leastCertain(state.outcome, end.outcome);
     }
     if (end?._tag === "NotRun" && end.code === "grant_expired") return;
-    journey.attempts += 1;
-    journey.excluded = [...journey.excluded, grant.runner.name];
+    state.attempts += 1;
+    state.excluded = [...state.excluded, grant.runner.name];
   }
 
   /** Decides whether a call starts again elsewhere, and logs why. */
-  #retryVerdict(journey: Journey, end: NotRun | Lost): RetryVerdict {
-    const verdict = this.#judge(journey, end);
+  #decideRetry(state: CallState, end: NotRun | Lost): RetryDecision {
+    const verdict = this.#evaluateRetry(state, end);
     this.#services.log.decision("retry_decided", {
-      requestId: journey.call.requestId,
+      requestId: state.call.requestId,
       verdict,
       cause: end.code,
-      attempts: journey.attempts,
+      attempts: state.attempts,
     });
     return verdict;
   }
 
-  #judge(journey: Journey, end: NotRun | Lost): RetryVerdict {
-    const { call, reply } = journey;
-    const { clock, settings, budget } = this.#services;
-    if (reply.begun) return "already_begun";
+  #evaluateRetry(state: CallState, end: NotRun | Lost): RetryDecision {
+    const { call, reply } = state;
+    const { clock, settings, retryBudget } = this.#services;
+    if (reply.headersSent) return "already_begun";
     if (end._tag === "Lost" && !call.repeatable) return "not_repeatable";
-    if (isPast(clock.monotonic(), journey.deadlineAt)) {
+    if (isPast(clock.monotonic(), state.deadlineAt)) {
       return "deadline_passed";
     }
-    if (journey.attempts >= settings.attempts) return "attempts_spent";
-    const unused = journey.asks - journey.attempts;
+    if (state.attempts >= settings.attempts) return "attempts_spent";
+    const unused = state.askCount - state.attempts;
     if (unused >= MAX_UNUSED_GRANTS) return "grants_unused";
     if (end.code === "grant_expired") return "retry";
-    if (!budget.take()) return "budget_spent";
+    if (!retryBudget.take()) return "budget_spent";
     return "retry";
   }
 }
@@ -221,18 +228,18 @@
  * When no other runner is left for a retry, the failure of the attempt says
  * more to the caller than the lack of another runner.
  */
-function problemAfter(journey: Journey, refusal: Refusal): Problem {
-  const { last, standing } = journey;
+function problemOfFailure(state: CallState, refusal: Refusal): Problem {
+  const { last, outcome } = state;
   if (last === undefined || refusal.code !== "no_runner") {
-    return problemOfRefusal(refusal, standing);
+    return problemOfRefusal(refusal, outcome);
   }
-  return problemOf(last, standing);
+  return problemOf(last, outcome);
 }
 
 /** Ends the caller's answer in the only way that is still open. */
-function refuse(journey: Journey, problem: Problem): Ending {
-  const { reply } = journey;
-  if (reply.begun) reply.breakOff(problem);
+function endWithProblem(state: CallState, problem: Problem): CallResult {
+  const { reply } = state;
+  if (reply.headersSent) reply.abort(problem);
   else reply.refuse(problem);
   return { _tag: "Ended", problem };
 }
--- a/packages/daemon/src/request/answer_head.ts
+++ b/packages/daemon/src/request/runner_headers.ts
@@ -3,12 +3,12 @@
  *
  * @module
  */
-import type { RunnerAnswer } from "../connection/runner_answer.ts";
-import type { AnswerHead, Call, Header } from "./call.ts";
-import { answerHeaders, headerLines } from "./end_to_end_headers.ts";
+import type { RunnerResponse } from "../connection/runner_response.ts";
+import type { Call, Header, ResponseHead } from "./call.ts";
+import { headerLines, responseHeaders } from "./end_to_end_headers.ts";
 
 /** What tells one attempt from another on the wire. */
-export interface AttemptMark {
+export interface AttemptIdentity {
   readonly attemptId: string;
   /** Seconds for which the engine keeps a dropped stream; absent: cancel at once. */
   readonly resumableS?: number;
@@ -19,12 +19,12 @@
 /** Headers of one attempt's request. */
 export function requestHeaders(
   call: Call,
-  mark: AttemptMark,
+  identity: AttemptIdentity,
 ): readonly Header[] {
   const headers = [
     ...call.headers,
     { name: "umbermast-request-id", value: call.requestId },
-    { name: "umbermast-attempt-id", value: mark.attemptId },
+    { name: "umbermast-attempt-id", value: identity.attemptId },
     { name: "umbermast-priority", value: String(call.tier) },
     { name: "umbermast-workspace", value: call.workspace },
     { name: "umbermast-class", value: call.class },
@@ -32,23 +32,23 @@
   if (call.idempotencyKey !== undefined) {
     headers.push({ name: "idempotency-key", value: call.idempotencyKey });
   }
-  if (mark.resumableS !== undefined) {
+  if (identity.resumableS !== undefined) {
     headers.push({
       name: "umbermast-resumable",
-      value: String(mark.resumableS),
+      value: String(identity.resumableS),
     });
   }
-  if (mark.resumeOffset !== undefined) {
+  if (identity.resumeOffset !== undefined) {
     headers.push({
       name: "umbermast-resume-offset",
-      value: String(mark.resumeOffset),
+      value: String(identity.resumeOffset),
     });
   }
   return headers;
 }
 
 /** The head that the caller is given for a runner's answer. */
-export function passedHead(answer: RunnerAnswer): AnswerHead {
-  const headers = answerHeaders(headerLines(answer.response.rawHeaders));
+export function forwardedHead(answer: RunnerResponse): ResponseHead {
+  const headers = responseHeaders(headerLines(answer.response.rawHeaders));
   return { status: answer.status, headers };
 }
--- a/packages/daemon/src/request/scheduling.ts
+++ b/packages/daemon/src/request/scheduling.ts
@@ -34,7 +34,7 @@
 }
 
 /** What a scheduler works with. */
-export interface SchedulerParts {
+export interface SchedulerDependencies {
   readonly directory: RunnerDirectory;
   readonly table: TableSource;
   readonly clock: Clock;
@@ -49,7 +49,7 @@
  * closes.
  */
 export function makeScheduler(
-  parts: SchedulerParts,
+  parts: SchedulerDependencies,
   settings: SchedulingSettings = {},
 ): Effect.Effect<Scheduler, never, Scope.Scope> {
   return Effect.gen(function* () {
@@ -75,7 +75,7 @@
     if (policy === "fifo") return new FifoScheduler({ ...parts, reports });
     const switches = { ...ALL_ENABLED, ...settings.switches };
     const host = new BrokerRegistry({ ...parts, reports, switches });
-    const scheduler = new BrokeredScheduler({ ...parts, host });
+    const scheduler = new BrokeredScheduler({ ...parts, registry: host });
     yield* host.start();
     yield* scheduler.start();
     return scheduler;
--- a/packages/daemon/src/request/settlement.ts
+++ b/packages/daemon/src/request/settlement.ts
@@ -5,25 +5,25 @@
  */
 import type { Settlement } from "./ask.ts";
 import type { Attempt } from "./attempt.ts";
-import type { AttemptEnd } from "./outcome.ts";
+import type { AttemptResult } from "./outcome.ts";
 
 /** Settles the slot of an attempt; `undefined` when it was interrupted. */
 export function settlementOf(
   attempt: Attempt,
-  end: AttemptEnd | undefined,
+  end: AttemptResult | undefined,
 ): Settlement {
-  const { meter } = attempt;
-  const { firstTokenMs, betweenTokensMs } = meter;
+  const { metrics } = attempt;
+  const { firstTokenMs, betweenTokensMs } = metrics;
   return {
     outcome: outcomeOf(end),
-    promptTokens: meter.promptTokens,
-    outputTokens: meter.tokens,
+    promptTokens: metrics.promptTokens,
+    outputTokens: metrics.tokens,
     ...(firstTokenMs !== undefined && { firstTokenMs }),
     ...(betweenTokensMs !== undefined && { betweenTokensMs }),
   };
 }
 
-function outcomeOf(end: AttemptEnd | undefined): Settlement["outcome"] {
+function outcomeOf(end: AttemptResult | undefined): Settlement["outcome"] {
   if (end === undefined) return "cancelled";
   switch (end._tag) {
     case "Complete":
--- a/packages/daemon/src/request/stream_relay.ts
+++ b/packages/daemon/src/request/stream_relay.ts
@@ -4,9 +4,9 @@
  * @module
  */
 import * as Effect from "effect/Effect";
-import type { RunnerAnswer } from "../connection/runner_answer.ts";
+import type { RunnerResponse } from "../connection/runner_response.ts";
 import type { Clock } from "@umbermast/coordination";
-import { passedHead } from "./answer_head.ts";
+import { forwardedHead } from "./runner_headers.ts";
 import type { AttemptSettings } from "./attempt_settings.ts";
 import type { CallerGone, Reply } from "./call.ts";
 import { EventScanner } from "./event_scanner.ts";
@@ -18,7 +18,7 @@
  * milliseconds. The answer is whole by then; the wait only lets the connection
  * be used again.
  */
-const TRAILER_MS = 250;
+const TRAILER_TIMEOUT_MS = 250;
 
 /** What the caller has of a streamed answer, over all attempts. */
 export class StreamProgress {
@@ -34,7 +34,7 @@
 }
 
 /** How a stream's relay ended. */
-export type StreamEnd =
+export type StreamResult =
   | { readonly _tag: "Whole" }
   | {
     readonly _tag: "Cut";
@@ -63,28 +63,28 @@
  * The caller's answer is ended here only when it is whole.
  */
 export function relayStream(
-  answer: RunnerAnswer,
+  answer: RunnerResponse,
   context: RelayContext,
-): Effect.Effect<StreamEnd, CallerGone> {
+): Effect.Effect<StreamResult, CallerGone> {
   const { reply, settings, progress } = context;
   const scanner = new EventScanner();
-  const take = taker(answer, scanner, context);
+  const take = makeChunkHandler(answer, scanner, context);
   return Effect.gen(function* () {
     let idleMs = context.firstMs;
     while (!scanner.done) {
-      const pumped = yield* Effect.result(answer.pump(idleMs, take));
-      if (pumped._tag === "Failure") return cut(pumped.failure.reason);
-      if (scanner.oversized) return cut("oversized");
-      if (scanner.failed) return cut("engine-error");
-      if (pumped.success) return cut("no-end-mark");
-      if (reply.begun) idleMs = settings.betweenTokensMs;
-      yield* reply.room();
+      const pumped = yield* Effect.result(answer.forEachChunk(idleMs, take));
+      if (pumped._tag === "Failure") return truncated(pumped.failure.reason);
+      if (scanner.oversized) return truncated("oversized");
+      if (scanner.failed) return truncated("engine-error");
+      if (pumped.success) return truncated("no-end-mark");
+      if (reply.headersSent) idleMs = settings.betweenTokensMs;
+      yield* reply.drained();
     }
-    if (!progress.finished) return cut("no-end-mark");
-    if (!reply.begun) reply.begin(passedHead(answer));
+    if (!progress.finished) return truncated("no-end-mark");
+    if (!reply.headersSent) reply.writeHead(forwardedHead(answer));
     yield* reply.write(DONE_EVENT);
     reply.end();
-    yield* Effect.ignore(answer.next(TRAILER_MS));
+    yield* Effect.ignore(answer.next(TRAILER_TIMEOUT_MS));
     return { _tag: "Whole" };
   });
 }
@@ -94,8 +94,8 @@
  * is full, when the stream is over, and after the first events, from which on
  * another limit of silence holds.
  */
-function taker(
-  answer: RunnerAnswer,
+function makeChunkHandler(
+  answer: RunnerResponse,
   scanner: EventScanner,
   context: RelayContext,
 ): (piece: Buffer) => boolean {
@@ -105,22 +105,22 @@
     const events = scanner.push(piece);
     const goesOn = !scanner.done && !scanner.failed && !scanner.oversized;
     if (events.length === 0) return goesOn;
-    note(progress, scanner, scanner.tokens - before);
+    recordTokens(progress, scanner, scanner.tokens - before);
     progress.lastAt = clock.monotonic();
     progress.firstAt ??= progress.lastAt;
-    const first = !reply.begun;
-    if (first) reply.begin(passedHead(answer));
+    const first = !reply.headersSent;
+    if (first) reply.writeHead(forwardedHead(answer));
     return reply.push(events) && goesOn && !first;
   };
 }
 
-function cut(
-  reason: Extract<StreamEnd, { readonly _tag: "Cut" }>["reason"],
-): StreamEnd {
+function truncated(
+  reason: Extract<StreamResult, { readonly _tag: "Cut" }>["reason"],
+): StreamResult {
   return { _tag: "Cut", reason };
 }
 
-function note(
+function recordTokens(
   progress: StreamProgress,
   scanner: EventScanner,
   tokens: number,
--- a/packages/daemon/src/routing.ts
+++ b/packages/daemon/src/routing.ts
@@ -56,7 +56,7 @@
       log,
       clock: SYSTEM_CLOCK,
       settings: settings.attempts,
-      budget: new RetryBudget(settings.retries),
+      retryBudget: new RetryBudget(settings.retries),
       scheduler,
     });
     return new IdempotentCallRunner(runner, { claims: fleet.claims, log });
--- a/packages/daemon/tests/attempt_identity_test.ts
+++ b/packages/daemon/tests/attempt_identity_test.ts
@@ -78,7 +78,7 @@
 
   await Effect.runPromise(bench.callRunner.run(jobCard(), reply));
 
-  assert.equal(reply.begun, false);
+  assert.equal(reply.headersSent, false);
   assert.equal(reply.problem?.outcome, "unknown");
   bench.connections.close();
   await runner.close();
--- a/packages/daemon/tests/call_fixture.ts
+++ b/packages/daemon/tests/call_fixture.ts
@@ -85,7 +85,7 @@
   const connections = new RunnerConnections();
   const callRunner = new RetryingCallRunner({
     scheduler,
-    budget,
+    retryBudget: budget,
     connections,
     clock: SYSTEM_CLOCK,
     log,
--- a/packages/daemon/tests/caller_connections_test.ts
+++ b/packages/daemon/tests/caller_connections_test.ts
@@ -4,7 +4,7 @@
 import type { TestContext } from "node:test";
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
-import type { Ending } from "../src/request/call.ts";
+import type { CallResult } from "../src/request/call.ts";
 import {
   answerOf,
   CHAT,
@@ -39,11 +39,11 @@
 /** Writes without end, until the caller's side gives up. */
 const flood: Play = (_call, reply) =>
   Effect.gen(function* () {
-    reply.begin(STREAM_HEAD);
+    reply.writeHead(STREAM_HEAD);
     while (true) yield* reply.write(BLOCK);
   }).pipe(
     Effect.catch(({ reason }) =>
-      Effect.succeed<Ending>({ _tag: "CallerLeft", reason })
+      Effect.succeed<CallResult>({ _tag: "CallerLeft", reason })
     ),
   );
 
@@ -262,7 +262,7 @@
 test("a stream that is broken off ends in an error event and no last chunk", async (context) => {
   const play: Play = (_call, reply) =>
     Effect.gen(function* () {
-      reply.begin(STREAM_HEAD);
+      reply.writeHead(STREAM_HEAD);
       yield* Effect.ignore(reply.write(Buffer.from("data: 1\n\n")));
       const problem = {
         status: 502,
@@ -270,7 +270,7 @@
         message: "Cannot finish",
         outcome: "failed",
       } as const;
-      reply.breakOff(problem);
+      reply.abort(problem);
       return { _tag: "Ended", problem } as const;
     });
   const { port } = await opened(context, { play });
--- a/packages/daemon/tests/caller_fixture.ts
+++ b/packages/daemon/tests/caller_fixture.ts
@@ -13,7 +13,7 @@
 import { DecisionHistory } from "../src/process/decisions.ts";
 import { LineLog } from "../src/process/log_lines.ts";
 import type { CallerLimits } from "../src/process/settings.ts";
-import type { Call, Ending, Reply } from "../src/request/call.ts";
+import type { Call, CallResult, Reply } from "../src/request/call.ts";
 import { CallerRequests } from "../src/request/caller_requests.ts";
 import { indexTable } from "../src/version/table_feed.ts";
 
@@ -77,7 +77,7 @@
 };
 
 /** Runs a call; what it returns is the ending. */
-export type Play = (call: Call, reply: Reply) => Effect.Effect<Ending>;
+export type Play = (call: Call, reply: Reply) => Effect.Effect<CallResult>;
 
 /** Answers every call with its own facts as JSON. */
 export const echo: Play = (call, reply) =>
@@ -87,7 +87,7 @@
       ...facts,
       body: Buffer.from(body).toString("utf8"),
     });
-    reply.begin({
+    reply.writeHead({
       status: 200,
       headers: [
         { name: "content-type", value: "application/json" },
@@ -99,7 +99,7 @@
     return { _tag: "Complete", status: 200 } as const;
   }).pipe(
     Effect.catch(({ reason }) =>
-      Effect.succeed<Ending>({ _tag: "CallerLeft", reason })
+      Effect.succeed<CallResult>({ _tag: "CallerLeft", reason })
     ),
   );
 
@@ -133,9 +133,13 @@
     log: new LineLog((line) => lines.push(line), {
       decisions: new DecisionHistory(),
     }),
-    observer: { ended: () => {}, refused: () => {}, dropped: () => {} },
+    observer: {
+      callEnded: () => {},
+      requestRefused: () => {},
+      dropped: () => {},
+    },
     table: () => inForce,
-    leaving: () => leaving,
+    isShuttingDown: () => leaving,
   });
   const server = await Effect.runPromise(openCallerServer(
     { address: "127.0.0.1", port: 0 },
--- a/packages/daemon/tests/reply_fixture.ts
+++ b/packages/daemon/tests/reply_fixture.ts
@@ -5,15 +5,15 @@
  */
 import * as Effect from "effect/Effect";
 import type {
-  AnswerHead,
   CallerGone,
   Problem,
   Reply,
+  ResponseHead,
 } from "../src/request/call.ts";
 
 /** A caller that records what it is given. */
 export class RecordingReply implements Reply {
-  head: AnswerHead | undefined;
+  head: ResponseHead | undefined;
   body = "";
   ended = false;
   problem: Problem | undefined;
@@ -24,11 +24,11 @@
   readonly #waiting: { readonly text: string; readonly wake: () => void }[] =
     [];
 
-  get begun(): boolean {
+  get headersSent(): boolean {
     return this.head !== undefined;
   }
 
-  begin(head: AnswerHead): void {
+  writeHead(head: ResponseHead): void {
     if (this.head !== undefined) throw new Error("The answer began twice");
     this.head = head;
   }
@@ -45,13 +45,13 @@
     return true;
   }
 
-  room(): Effect.Effect<void, CallerGone> {
+  drained(): Effect.Effect<void, CallerGone> {
     if (this.#writes <= this.goneAfter) return Effect.void;
     return Effect.fail({ _tag: "CallerGone", reason: "closed" });
   }
 
   write(bytes: Uint8Array): Effect.Effect<void, CallerGone> {
-    return this.push(bytes) ? Effect.void : this.room();
+    return this.push(bytes) ? Effect.void : this.drained();
   }
 
   end(): void {
@@ -59,12 +59,12 @@
     this.ended = true;
   }
 
-  breakOff(problem: Problem): void {
+  abort(problem: Problem): void {
     this.broken = problem;
   }
 
   refuse(problem: Problem): void {
-    if (this.begun) throw new Error("Refused after the head");
+    if (this.headersSent) throw new Error("Refused after the head");
     this.problem = problem;
   }
 
--- a/packages/daemon/tests/scheduling/daemons_fixture.ts
+++ b/packages/daemon/tests/scheduling/daemons_fixture.ts
@@ -56,7 +56,7 @@
         reports,
         switches: ALL_ENABLED,
       });
-      const scheduler = new BrokeredScheduler({ ...parts, host });
+      const scheduler = new BrokeredScheduler({ ...parts, registry: host });
       yield* host.start();
       yield* scheduler.start();
       return { name, host, scheduler, membership, directory, log };
--- a/packages/daemon/tests/whole_answer_test.ts
+++ b/packages/daemon/tests/whole_answer_test.ts
@@ -59,7 +59,7 @@
     bench.callRunner.run(jobCard({ requestId: "r2" }), whole),
   );
 
-  assert.equal(cut.begun, false);
+  assert.equal(cut.headersSent, false);
   assert.equal(cut.problem?.outcome, "failed");
   assert.equal(whole.body, ANSWER);
   assert.equal(whole.header("content-length"), String(ANSWER.length));
@@ -101,7 +101,7 @@
 
   await Effect.runPromise(bench.callRunner.run(jobCard(), reply));
 
-  assert.equal(reply.begun, true);
+  assert.equal(reply.headersSent, true);
   assert.equal(reply.ended, false);
   assert.equal(reply.broken?.code, "answer_broken");
   bench.connections.close();
