--- a/packages/daemon/src/connection/caller_server.ts
+++ b/packages/daemon/src/connection/caller_server.ts
@@ -12,8 +12,8 @@
 import { TrackedSet } from "../process/tracked_set.ts";
 import { connectionFault } from "./connection_fault.ts";
 import type { ConnectionFault } from "./connection_fault.ts";
-import { listen, placeOf } from "./listener.ts";
-import type { ListenAt } from "./listener.ts";
+import { addressOf, listen } from "./listener.ts";
+import type { ListenOptions } from "./listener.ts";
 
 /** Serves what comes on the connections. */
 export interface CallerHandler {
@@ -30,18 +30,18 @@
   /** The whole answer, head and body, to what is not a request. */
   faultResponse(fault: ConnectionFault): string;
   /** A connection beyond the limit was closed. */
-  dropped(): void;
+  connectionDropped(): void;
 }
 
 /** How often Node looks for connections past their limits. */
-const CHECK_INTERVAL_MS = 250;
+const TIMEOUT_CHECK_INTERVAL_MS = 250;
 /** Idle time after which the system probes whether a caller is still there. */
 const KEEP_ALIVE_PROBE_MS = 10_000;
 
 /** A callers' port that is open. */
 export interface CallerServer {
   /** Address and port, as `IP:PORT`. */
-  readonly place: string;
+  readonly address: string;
   /** Connections that are open. */
   readonly connections: number;
   /** Ends when every answer that has ended has also gone out. */
@@ -51,7 +51,7 @@
 }
 
 /** The last answer of each connection. */
-class LastAnswers {
+class LastResponses {
   readonly #last = new WeakMap<Duplex, ServerResponse>();
 
   set(socket: Duplex, response: ServerResponse): void {
@@ -67,7 +67,7 @@
    * Whether text on the connection would be taken for part of an answer, or
    * for the answer to a request that came whole and may be running.
    */
-  isOwed(socket: Duplex): boolean {
+  isAwaited(socket: Duplex): boolean {
     const last = this.#last.get(socket);
     if (last === undefined || last.writableEnded) return false;
     return last.headersSent || last.req.complete;
@@ -76,24 +76,26 @@
 
 /** Opens the callers' port. */
 export const openCallerServer = Effect.fnUntraced(function* (
-  at: ListenAt,
+  at: ListenOptions,
   options: { readonly limits: CallerLimits; readonly handler: CallerHandler },
 ) {
   const { limits, handler } = options;
-  const answers = new LastAnswers();
+  const responses = new LastResponses();
   // Node's own close counts a connection as idle once its answer has ended, and
   // destroys it with what a slow caller has not taken yet: that answer would be
   // cut off. So it is known here which answers have not gone out.
   const unsent = new TrackedSet<ServerResponse>();
   const serve = (request: IncomingMessage, response: ServerResponse) => {
-    const pipelined = answers.isOpen(request.socket);
-    answers.set(request.socket, response);
+    const pipelined = responses.isOpen(request.socket);
+    responses.set(request.socket, response);
     unsent.add(response);
     response.once("close", () => unsent.delete(response));
     handler.serve(request, response, { pipelined });
   };
   const refuse = (socket: Duplex, fault: ConnectionFault) => {
-    if (!socket.writable || answers.isOwed(socket)) return socket.destroy();
+    if (!socket.writable || responses.isAwaited(socket)) {
+      return socket.destroy();
+    }
     socket.end(handler.faultResponse(fault), () => socket.destroy());
   };
   const server = createServer({
@@ -102,7 +104,7 @@
     // Bodies have their own limit, whose error answer says what was late.
     requestTimeout: 0,
     keepAliveTimeout: limits.idleCallerMs,
-    connectionsCheckingInterval: CHECK_INTERVAL_MS,
+    connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
     highWaterMark: limits.callerBufferBytes,
     noDelay: true,
     keepAlive: true,
@@ -120,10 +122,10 @@
   server.on("clientError", (error: NodeJS.ErrnoException, socket) => {
     refuse(socket, connectionFault(error));
   });
-  server.on("drop", () => handler.dropped());
+  server.on("drop", () => handler.connectionDropped());
   yield* listen(server, at);
   const opened: CallerServer = {
-    place: placeOf(server),
+    address: addressOf(server),
     get connections() {
       return sockets.size;
     },
--- a/packages/daemon/src/connection/listener.ts
+++ b/packages/daemon/src/connection/listener.ts
@@ -8,7 +8,7 @@
 import * as Effect from "effect/Effect";
 
 /** Where to listen. */
-export interface ListenAt {
+export interface ListenOptions {
   /** IP address. */
   readonly address: string;
   /** 0 lets the system pick one. */
@@ -24,7 +24,7 @@
 /** Listens on an address. */
 export function listen(
   server: Server,
-  at: ListenAt,
+  at: ListenOptions,
 ): Effect.Effect<void, ListenFailed> {
   return Effect.callback<void, ListenFailed>((resume) => {
     const refused = (error: Error) => {
@@ -41,7 +41,7 @@
 }
 
 /** Writes the address a server is bound to as `IP:PORT`. */
-export function placeOf(server: Server): string {
+export function addressOf(server: Server): string {
   const { address, family, port } = server.address() as AddressInfo;
   return family === "IPv6" ? `[${address}]:${port}` : `${address}:${port}`;
 }
--- a/packages/daemon/src/connection/operator_server.ts
+++ b/packages/daemon/src/connection/operator_server.ts
@@ -7,11 +7,11 @@
 import { createServer } from "node:http";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import * as Effect from "effect/Effect";
-import { listen, placeOf } from "./listener.ts";
-import type { ListenAt } from "./listener.ts";
+import { addressOf, listen } from "./listener.ts";
+import type { ListenOptions } from "./listener.ts";
 
 /** An answer to an operator. */
-export interface OperatorAnswer {
+export interface OperatorResponse {
   readonly status: number;
   /** `application/json` unless said otherwise. */
   readonly contentType?: string;
@@ -21,16 +21,18 @@
 /** Answers one resource. */
 export type OperatorResource = (
   query: URLSearchParams,
-) => OperatorAnswer | Promise<OperatorAnswer>;
+) => OperatorResponse | Promise<OperatorResponse>;
 
 /** Takes the JSON that an operator posts to one resource. */
-export type OperatorIntake = (body: unknown) => OperatorAnswer;
+export type OperatorPostHandler = (body: unknown) => OperatorResponse;
 
 /** Resources by path. */
 export type OperatorResources = Readonly<Record<string, OperatorResource>>;
 
 /** What operators may post to, by path. */
-export type OperatorIntakes = Readonly<Record<string, OperatorIntake>>;
+export type OperatorPostHandlers = Readonly<
+  Record<string, OperatorPostHandler>
+>;
 
 const HEADER_TIMEOUT_MS = 5000;
 const BODY_TIMEOUT_MS = 5000;
@@ -40,42 +42,42 @@
 const BEARER = /^Bearer +(.+)$/i;
 
 /** Makes a JSON answer. */
-export function jsonAnswer(value: unknown, status = 200): OperatorAnswer {
+export function jsonResponse(value: unknown, status = 200): OperatorResponse {
   return { status, body: JSON.stringify(value) };
 }
 
-function errorAnswer(
+function errorResponse(
   status: number,
   code: string,
   message: string,
-): OperatorAnswer {
-  return jsonAnswer({ error: { code, message } }, status);
+): OperatorResponse {
+  return jsonResponse({ error: { code, message } }, status);
 }
 
 /**
  * Compares by digest and in constant time: a comparison that stops at the first
  * wrong character would let a caller guess the token character by character.
  */
-function sameSecret(given: string, expected: string): boolean {
+function secretsEqual(given: string, expected: string): boolean {
   const digest = (text: string) => createHash("sha256").update(text).digest();
   return timingSafeEqual(digest(given), digest(expected));
 }
 
-function isAllowed(request: IncomingMessage, token: string): boolean {
+function isAuthorized(request: IncomingMessage, token: string): boolean {
   const given = BEARER.exec(request.headers.authorization ?? "")?.[1];
-  return given !== undefined && sameSecret(given, token);
+  return given !== undefined && secretsEqual(given, token);
 }
 
-function send(response: ServerResponse, answer: OperatorAnswer): void {
-  response.writeHead(answer.status, {
-    "content-type": answer.contentType ?? "application/json",
-    "content-length": Buffer.byteLength(answer.body),
+function send(response: ServerResponse, result: OperatorResponse): void {
+  response.writeHead(result.status, {
+    "content-type": result.contentType ?? "application/json",
+    "content-length": Buffer.byteLength(result.body),
   });
-  response.end(answer.body);
+  response.end(result.body);
 }
 
 /** The body of a request; `undefined` when it is too long or broken off. */
-async function bodyOf(request: IncomingMessage): Promise<string | undefined> {
+async function readBody(request: IncomingMessage): Promise<string | undefined> {
   const chunks: Uint8Array[] = [];
   let bytes = 0;
   try {
@@ -90,72 +92,74 @@
   return Buffer.concat(chunks).toString("utf8");
 }
 
-async function take(
+async function handlePost(
   request: IncomingMessage,
-  intake: OperatorIntake,
-): Promise<OperatorAnswer> {
-  const text = await bodyOf(request);
+  postHandler: OperatorPostHandler,
+): Promise<OperatorResponse> {
+  const text = await readBody(request);
   if (text === undefined) {
     const message = `Cannot take a body above ${MAX_BODY_BYTES} bytes`;
-    return errorAnswer(413, "body_too_large", message);
+    return errorResponse(413, "body_too_large", message);
   }
   let body: unknown;
   try {
     body = JSON.parse(text);
   } catch {
-    return errorAnswer(400, "body_not_json", "Cannot read the body as JSON");
+    return errorResponse(400, "body_not_json", "Cannot read the body as JSON");
   }
-  return intake(body);
+  return postHandler(body);
 }
 
 /** What the operators' port serves, and to whom. */
-interface Served {
+interface RequestContext {
   readonly token: string;
   readonly resources: OperatorResources;
-  readonly intakes: OperatorIntakes;
+  readonly postHandlers: OperatorPostHandlers;
 }
 
-async function answerTo(
+async function handleRequest(
   request: IncomingMessage,
-  { token, resources, intakes }: Served,
-): Promise<OperatorAnswer> {
-  if (!isAllowed(request, token)) {
+  { token, resources, postHandlers }: RequestContext,
+): Promise<OperatorResponse> {
+  if (!isAuthorized(request, token)) {
     const message = 'Cannot answer: expected authorization "Bearer TOKEN"';
-    return errorAnswer(401, "token_invalid", message);
+    return errorResponse(401, "token_invalid", message);
   }
   const url = new URL(request.url ?? "/", "http://operators");
   const path = url.pathname;
   const resource = Object.hasOwn(resources, path) ? resources[path] : undefined;
-  const intake = Object.hasOwn(intakes, path) ? intakes[path] : undefined;
-  if (resource === undefined && intake === undefined) {
-    return errorAnswer(404, "path_unknown", `Cannot find "${path}"`);
+  const postHandler = Object.hasOwn(postHandlers, path)
+    ? postHandlers[path]
+    : undefined;
+  if (resource === undefined && postHandler === undefined) {
+    return errorResponse(404, "path_unknown", `Cannot find "${path}"`);
   }
   if (request.method === "GET" && resource !== undefined) {
     return await resource(url.searchParams);
   }
-  if (request.method === "POST" && intake !== undefined) {
-    return await take(request, intake);
+  if (request.method === "POST" && postHandler !== undefined) {
+    return await handlePost(request, postHandler);
   }
   const needed = resource === undefined ? "POST" : "GET";
   const message =
     `Cannot serve method "${request.method}": ${needed} is needed`;
-  return errorAnswer(405, "method_unsupported", message);
+  return errorResponse(405, "method_unsupported", message);
 }
 
 /** An operators' port that is open. */
 export interface OperatorServer {
   /** Address and port, as `IP:PORT`. */
-  readonly place: string;
+  readonly address: string;
   close(): void;
 }
 
 /** Opens the operators' port. */
 export const openOperatorServer = Effect.fnUntraced(function* (
-  at: ListenAt & { readonly token: string },
+  at: ListenOptions & { readonly token: string },
   resources: OperatorResources,
-  options: { readonly intakes?: OperatorIntakes } = {},
+  options: { readonly postHandlers?: OperatorPostHandlers } = {},
 ) {
-  const { intakes = {} } = options;
+  const { postHandlers = {} } = options;
   const server = createServer(
     {
       headersTimeout: HEADER_TIMEOUT_MS,
@@ -163,17 +167,20 @@
       noDelay: true,
     },
     (request, response) => {
-      answerTo(request, { token: at.token, resources, intakes }).then(
-        (answer) => send(response, answer),
+      handleRequest(request, { token: at.token, resources, postHandlers }).then(
+        (result) => send(response, result),
         () =>
-          send(response, errorAnswer(500, "internal", "Cannot answer: fault")),
+          send(
+            response,
+            errorResponse(500, "internal", "Cannot answer: fault"),
+          ),
       );
     },
   );
   server.maxConnections = MAX_CONNECTIONS;
   yield* listen(server, at);
   const opened: OperatorServer = {
-    place: placeOf(server),
+    address: addressOf(server),
     close: () => {
       server.close();
       server.closeAllConnections();
--- a/packages/daemon/src/connection/operator_server_test.ts
+++ b/packages/daemon/src/connection/operator_server_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import type { TestContext } from "node:test";
 import * as Effect from "effect/Effect";
-import { jsonAnswer, openOperatorServer } from "./operator_server.ts";
+import { jsonResponse, openOperatorServer } from "./operator_server.ts";
 
 const TOKEN = "operators-token";
 
@@ -10,14 +10,14 @@
   const server = await Effect.runPromise(openOperatorServer(
     { address: "127.0.0.1", port: 0, token: TOKEN },
     {
-      "/status": (query) => jsonAnswer({ q: query.get("q") }),
+      "/status": (query) => jsonResponse({ q: query.get("q") }),
       "/broken": () => {
         throw new Error("a fault of the test");
       },
     },
   ));
   context.after(() => server.close());
-  return `http://${server.place}`;
+  return `http://${server.address}`;
 }
 
 function get(
--- a/packages/daemon/src/connection/runner_response.ts
+++ b/packages/daemon/src/connection/runner_response.ts
@@ -36,7 +36,7 @@
 
 /** An answer whose head has come; its body is read piece by piece. */
 export class RunnerResponse {
-  readonly response: http.IncomingMessage;
+  readonly message: http.IncomingMessage;
   #wake: (() => void) | undefined;
   #ended = false;
   #failure: ResponseInterrupted["reason"] | undefined;
@@ -46,7 +46,7 @@
   #reads = 0;
 
   constructor(response: http.IncomingMessage) {
-    this.response = response;
+    this.message = response;
     const wake = () => this.#wake?.();
     response.on("readable", wake);
     response.on("end", () => {
@@ -65,11 +65,11 @@
   }
 
   get status(): number {
-    return this.response.statusCode ?? 0;
+    return this.message.statusCode ?? 0;
   }
 
   header(name: string): string | undefined {
-    const value = this.response.headers[name];
+    const value = this.message.headers[name];
     return Array.isArray(value) ? value[0] : value;
   }
 
@@ -119,7 +119,7 @@
   /** Closes the connection; the runner sees it dropped. */
   destroy(): void {
     clearTimeout(this.#timer);
-    this.response.destroy();
+    this.message.destroy();
   }
 
   /** Gives out what there is; `undefined` when more has to be awaited. */
@@ -127,7 +127,7 @@
     take: (bytes: Buffer) => boolean,
   ): Effect.Effect<boolean, ResponseInterrupted> | undefined {
     for (;;) {
-      const bytes = this.response.read() as Buffer | null;
+      const bytes = this.message.read() as Buffer | null;
       if (bytes === null) break;
       this.#reads += 1;
       if (!take(bytes)) return STOPPED;
@@ -151,7 +151,7 @@
         // Nobody waits any more, or something came meanwhile.
         if (this.#wake === undefined || this.#reads !== reads) return;
         this.#failure ??= "silent";
-        this.response.destroy();
+        this.message.destroy();
         this.#wake();
       });
     }, idleMs);
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -13,7 +13,10 @@
 import { openOperatorServer } from "./connection/operator_server.ts";
 import { joinFleet } from "./fleet.ts";
 import type { Fleet } from "./fleet.ts";
-import { operatorIntakes, operatorResources } from "./operator_resources.ts";
+import {
+  operatorPostHandlers,
+  operatorResources,
+} from "./operator_resources.ts";
 import { startPlacement } from "./placement.ts";
 import { DecisionHistory } from "./process/decisions.ts";
 import { Lifecycle } from "./process/lifecycle.ts";
@@ -28,21 +31,21 @@
 import { RequestMetrics } from "./request/request_metrics.ts";
 import { makeCallRunner } from "./routing.ts";
 
-const EXIT_WHOLE = 0;
-const EXIT_CUT_OFF = 1;
-const READINESS_CHECK_MS = 100;
+const EXIT_DRAINED = 0;
+const EXIT_INTERRUPTED = 1;
+const READINESS_INTERVAL_MS = 100;
 /** Time for interrupted requests to end, before their callers are cut off. */
-const INTERRUPTION_MS = 1000;
+const INTERRUPT_TIMEOUT_MS = 1000;
 /** Time for callers to read why their answers were cut off. */
-const CUT_OFF_FLUSH_MS = 1000;
+const INTERRUPT_FLUSH_TIMEOUT_MS = 1000;
 /** Time to record how claims ended; one that is not recorded stands. */
-const CLAIMS_DRAIN_MS = 2000;
+const CLAIMS_DRAIN_TIMEOUT_MS = 2000;
 
 /** An address could not be listened on. */
 export type StartFailed = ListenFailed | PeersListenFailed;
 
 /** What readiness needs. */
-function requirements(fleet: Fleet) {
+function readinessRequirements(fleet: Fleet) {
   return [
     {
       reason: "table_unread",
@@ -65,14 +68,14 @@
   options: { readonly signals: ShutdownSignals; readonly graceMs: number },
 ): Effect.Effect<number> {
   const cutOff = Effect.race(
-    Effect.as(options.signals.immediate, EXIT_CUT_OFF),
-    Effect.as(Effect.sleep(options.graceMs), EXIT_CUT_OFF),
+    Effect.as(options.signals.immediate, EXIT_INTERRUPTED),
+    Effect.as(Effect.sleep(options.graceMs), EXIT_INTERRUPTED),
   );
-  return Effect.race(Effect.as(requests.idle, EXIT_WHOLE), cutOff);
+  return Effect.race(Effect.as(requests.idle, EXIT_DRAINED), cutOff);
 }
 
 /** Ends when an effect has ended or its time is over. */
-function within(limitMs: number, effect: Effect.Effect<void>) {
+function waitAtMost(limitMs: number, effect: Effect.Effect<void>) {
   return Effect.race(effect, Effect.sleep(limitMs));
 }
 
@@ -80,7 +83,7 @@
 function stopRequests(requests: CallerRequests): Effect.Effect<void> {
   return Effect.gen(function* () {
     requests.interruptAll();
-    yield* within(INTERRUPTION_MS, requests.idle);
+    yield* waitAtMost(INTERRUPT_TIMEOUT_MS, requests.idle);
     requests.abandonAll();
   });
 }
@@ -99,7 +102,7 @@
 }
 
 /** Runs a daemon until it is told to end; see {@linkcode Lifecycle}. */
-function live(
+function runUntilSignal(
   settings: Settings,
   tools: {
     readonly log: Log;
@@ -111,7 +114,7 @@
   return Effect.gen(function* () {
     const signals = yield* listenForSignals;
     const fleet = yield* joinFleet(settings, log);
-    const lifecycle = new Lifecycle(log, requirements(fleet));
+    const lifecycle = new Lifecycle(log, readinessRequirements(fleet));
     metrics.observeGauges(() => ({
       requestsInFlight: requests.inFlight,
       callerConnections: callers.connections,
@@ -146,16 +149,16 @@
         requests,
         connections: () => callers.connections,
       }),
-      { intakes: operatorIntakes(fleet) },
+      { postHandlers: operatorPostHandlers(fleet) },
     );
     const { address, port } = fleet.node.membership.self;
     log.event("listening", {
-      callers: callers.place,
-      operators: operators.place,
+      callers: callers.address,
+      operators: operators.address,
       peers: `${address}:${port}`,
     });
     yield* Effect.sync(() => lifecycle.readiness()).pipe(
-      Effect.repeat(Schedule.spaced(READINESS_CHECK_MS)),
+      Effect.repeat(Schedule.spaced(READINESS_INTERVAL_MS)),
       Effect.forkScoped,
     );
     yield* signals.graceful;
@@ -166,11 +169,11 @@
     lifecycle.enter("stopping");
     yield* stopRequests(requests);
     const flushMs = settings.limits.callerWriteTimeoutMs;
-    yield* status === EXIT_WHOLE
-      ? within(flushMs, Effect.race(callers.flushed, signals.immediate))
-      : within(CUT_OFF_FLUSH_MS, callers.flushed);
+    yield* status === EXIT_DRAINED
+      ? waitAtMost(flushMs, Effect.race(callers.flushed, signals.immediate))
+      : waitAtMost(INTERRUPT_FLUSH_TIMEOUT_MS, callers.flushed);
     callers.close();
-    yield* within(CLAIMS_DRAIN_MS, fleet.claims.drain());
+    yield* waitAtMost(CLAIMS_DRAIN_TIMEOUT_MS, fleet.claims.drain());
     operators.close();
     log.event("stopped", { status });
     return status;
@@ -191,7 +194,7 @@
   process.stdout.on("error", () => {});
   const write = (line: string) => process.stdout.write(`${line}\n`);
   const metrics = new Metrics();
-  const warned = (code: string) => metrics.warningLogged(code);
-  const log = new LineLog(write, { decisions, onWarning: warned });
-  return Effect.scoped(live(settings, { log, decisions, metrics }));
+  const onWarning = (code: string) => metrics.warningLogged(code);
+  const log = new LineLog(write, { decisions, onWarning });
+  return Effect.scoped(runUntilSignal(settings, { log, decisions, metrics }));
 }
--- a/packages/daemon/src/operator_resources.ts
+++ b/packages/daemon/src/operator_resources.ts
@@ -5,9 +5,9 @@
  */
 import process from "node:process";
 import type { CoordinationNode } from "@umbermast/coordination";
-import { jsonAnswer } from "./connection/operator_server.ts";
+import { jsonResponse } from "./connection/operator_server.ts";
 import type {
-  OperatorIntakes,
+  OperatorPostHandlers,
   OperatorResources,
 } from "./connection/operator_server.ts";
 import type { Fleet } from "./fleet.ts";
@@ -20,7 +20,7 @@
 import { parseOffer } from "./version/table_offer.ts";
 
 /** The parts of the daemon that operators look into. */
-export interface ObservedParts {
+export interface OperatorContext {
   readonly settings: Settings;
   readonly lifecycle: Lifecycle;
   readonly metrics: Metrics;
@@ -36,7 +36,7 @@
 const HTTP_BAD_REQUEST = 400;
 const HTTP_UNAVAILABLE = 503;
 
-function statusOf(parts: ObservedParts) {
+function statusOf(parts: OperatorContext) {
   const { settings, lifecycle, node, feed, directory } = parts;
   const { ready, phase, reasons } = lifecycle.readiness();
   const { name, region, failureDomain, scheduler } = settings;
@@ -60,7 +60,7 @@
   };
 }
 
-function daemonsOf({ node }: ObservedParts) {
+function daemonsOf({ node }: OperatorContext) {
   const self = node.membership.self.name;
   return node.membership.view().members.map(({ member, state }) => ({
     ...member,
@@ -69,7 +69,7 @@
   }));
 }
 
-function tableOf({ feed, settings }: ObservedParts) {
+function tableOf({ feed, settings }: OperatorContext) {
   const current = feed.current();
   return {
     name: settings.name,
@@ -80,46 +80,49 @@
 }
 
 /** What operators may post: an accepted version of the table. */
-export function operatorIntakes(
+export function operatorPostHandlers(
   fleet: Pick<Fleet, "feed" | "offerTable">,
-): OperatorIntakes {
+): OperatorPostHandlers {
   return {
     "/table": (body) => {
       const offer = parseOffer(body);
       if (offer.isErr()) {
         const message = "Cannot take the offered table";
         const error = { code: "offer_invalid", message, findings: offer.error };
-        return jsonAnswer({ error }, HTTP_BAD_REQUEST);
+        return jsonResponse({ error }, HTTP_BAD_REQUEST);
       }
       fleet.offerTable(offer.value);
-      return jsonAnswer({ version: fleet.feed.current()?.version ?? null });
+      return jsonResponse({ version: fleet.feed.current()?.version ?? null });
     },
   };
 }
 
 /** The resources of the operators' port. */
-export function operatorResources(parts: ObservedParts): OperatorResources {
+export function operatorResources(parts: OperatorContext): OperatorResources {
   const { lifecycle, metrics, decisions, directory } = parts;
   return {
-    "/healthz": () => jsonAnswer({ healthy: true }),
+    "/healthz": () => jsonResponse({ healthy: true }),
     "/readyz": () => {
       const readiness = lifecycle.readiness();
       const status = readiness.ready ? HTTP_OK : HTTP_UNAVAILABLE;
-      return jsonAnswer(readiness, status);
+      return jsonResponse(readiness, status);
     },
     "/metrics": async () => ({ status: HTTP_OK, ...await metrics.render() }),
-    "/status": () => jsonAnswer(statusOf(parts)),
-    "/runners": () => jsonAnswer({ runners: directory.all() }),
-    "/daemons": () => jsonAnswer({ daemons: daemonsOf(parts) }),
-    "/table": () => jsonAnswer(tableOf(parts)),
+    "/status": () => jsonResponse(statusOf(parts)),
+    "/runners": () => jsonResponse({ runners: directory.all() }),
+    "/daemons": () => jsonResponse({ daemons: daemonsOf(parts) }),
+    "/table": () => jsonResponse(tableOf(parts)),
     "/decisions": (query) => {
       const requestId = query.get("request");
       if (requestId === null) {
         const message = 'Cannot look up decisions: expected "?request=ID"';
         const error = { code: "request_missing", message };
-        return jsonAnswer({ error }, HTTP_BAD_REQUEST);
+        return jsonResponse({ error }, HTTP_BAD_REQUEST);
       }
-      return jsonAnswer({ requestId, decisions: decisions.linesOf(requestId) });
+      return jsonResponse({
+        requestId,
+        decisions: decisions.linesOf(requestId),
+      });
     },
   };
 }
--- a/packages/daemon/src/request/attempt.ts
+++ b/packages/daemon/src/request/attempt.ts
@@ -62,7 +62,7 @@
   /** What the attempt has cost and delivered so far. */
   readonly metrics: AttemptMetrics;
   #response: RunnerResponse | undefined;
-  #sends = 0;
+  #sendCount = 0;
 
   constructor(services: AttemptServices, target: AttemptInput) {
     this.#services = services;
@@ -122,8 +122,8 @@
           "The slot's time passed before the send",
         );
       }
-      this.#sends += 1;
-      const attemptId = `${call.requestId}.${number}.${this.#sends}`;
+      this.#sendCount += 1;
+      const attemptId = `${call.requestId}.${number}.${this.#sendCount}`;
       const identity: AttemptIdentity = {
         attemptId,
         ...(this.#isResumable() && { resumableS: settings.resumableS }),
@@ -210,45 +210,45 @@
   }
 
   #relay(
-    answer: RunnerResponse,
+    response: RunnerResponse,
     expected: { readonly attemptId: string; readonly firstMs: number },
   ): Effect.Effect<AttemptResult> {
     // Something between both ends may cross or delay answers; only the echo
     // of this attempt's own id shows whose answer this is. Nothing of any
     // other, its refusal included, may be believed or delivered.
-    if (answer.header("umbermast-attempt-id") !== expected.attemptId) {
-      answer.destroy();
+    if (response.header("umbermast-attempt-id") !== expected.attemptId) {
+      response.destroy();
       this.#services.connections.dropIdle(this.#input.grant.runner);
       const resumable = this.#isResumable();
       return Effect.succeed(
         lost("answer_crossed", { outcome: "unknown", resumable }),
       );
     }
-    if (answer.header("umbermast-started") === "false") {
-      answer.destroy();
-      return Effect.succeed(refused(answer.header("retry-after")));
+    if (response.header("umbermast-started") === "false") {
+      response.destroy();
+      return Effect.succeed(refused(response.header("retry-after")));
     }
     const { call } = this.#input;
-    const streams = answer.header("content-type")?.startsWith(EVENT_STREAM);
+    const streams = response.header("content-type")?.startsWith(EVENT_STREAM);
     if (streams && call.streamed && call.model !== undefined) {
-      return catchDisconnect(this.#relayStream(answer, expected.firstMs));
+      return catchDisconnect(this.#relayStream(response, expected.firstMs));
     }
     // Asked for the rest of a stream, the engine gave something else.
-    if (this.#sends > 1) {
+    if (this.#sendCount > 1) {
       return Effect.succeed(notRun("runner_refused", "The stream is not held"));
     }
-    return catchDisconnect(this.#relayWhole(answer));
+    return catchDisconnect(this.#relayWhole(response));
   }
 
   #relayStream(
-    answer: RunnerResponse,
+    response: RunnerResponse,
     firstMs: number,
   ): Effect.Effect<AttemptResult, CallerGone> {
     const { reply } = this.#input;
     const { clock, settings, connections } = this.#services;
     const progress = this.metrics.progress;
     return Effect.gen({ self: this }, function* () {
-      const end = yield* relayStream(answer, {
+      const end = yield* relayStream(response, {
         reply,
         settings,
         clock,
@@ -256,7 +256,7 @@
         firstMs,
       });
       if (end._tag === "Whole") {
-        return { _tag: "Complete", status: answer.status } as const;
+        return { _tag: "Complete", status: response.status } as const;
       }
       const outcome = "failed";
       if (end.reason === "silent") {
@@ -274,20 +274,20 @@
   }
 
   #relayWhole(
-    answer: RunnerResponse,
+    response: RunnerResponse,
   ): Effect.Effect<AttemptResult, CallerGone> {
     const { call, reply } = this.#input;
     const { settings } = this.#services;
     return Effect.gen({ self: this }, function* () {
       // An engine's own failure is told as such, so that a repeatable request
       // can be tried elsewhere. A plain service's answers are all its own.
-      if (call.model !== undefined && answer.status >= 500) {
+      if (call.model !== undefined && response.status >= 500) {
         return lost("runner_failed", { outcome: "failed", resumable: false });
       }
-      const end = yield* relayBuffered(answer, { call, reply, settings });
+      const end = yield* relayBuffered(response, { call, reply, settings });
       if (end._tag === "Whole") {
         this.metrics.usage = end.usage;
-        return { _tag: "Complete", status: answer.status } as const;
+        return { _tag: "Complete", status: response.status } as const;
       }
       const code = end.reason === "silent" ? "runner_silent" : "answer_broken";
       return lost(code, { outcome: "failed", resumable: false });
--- a/packages/daemon/src/request/body_reader.ts
+++ b/packages/daemon/src/request/body_reader.ts
@@ -16,7 +16,7 @@
   );
 }
 
-function late(timeoutMs: number): Problem {
+function timedOut(timeoutMs: number): Problem {
   return problem(
     "body_timeout",
     `Cannot take the body: it did not come within ${timeoutMs} ms`,
@@ -63,7 +63,7 @@
       );
     };
     const timer = setTimeout(
-      () => fail(late(limits.bodyTimeoutMs)),
+      () => fail(timedOut(limits.bodyTimeoutMs)),
       limits.bodyTimeoutMs,
     );
     request.on("data", onData);
--- a/packages/daemon/src/request/buffered_relay.ts
+++ b/packages/daemon/src/request/buffered_relay.ts
@@ -34,18 +34,18 @@
  * too, and the declared length or the missing last chunk shows it.
  */
 export function relayBuffered(
-  answer: RunnerResponse,
+  response: RunnerResponse,
   context: BufferedRelayContext,
 ): Effect.Effect<BufferedResult, CallerGone> {
   return Effect.gen(function* () {
-    const held = yield* Effect.result(bufferBody(answer, context.settings));
+    const held = yield* Effect.result(bufferBody(response, context.settings));
     if (held._tag === "Failure") return truncated(held.failure.reason);
     const { pieces, ended } = held.success;
-    if (!ended) return yield* passThrough(answer, pieces, context);
+    if (!ended) return yield* passThrough(response, pieces, context);
     const body = Buffer.concat(pieces);
-    const verdict = checkComplete(answer, body, context.call);
+    const verdict = checkComplete(response, body, context.call);
     if (verdict._tag === "Cut") return verdict;
-    context.reply.writeHead(headWithLength(answer, body, context.call));
+    context.reply.writeHead(headWithLength(response, body, context.call));
     if (body.length > 0) yield* context.reply.write(body);
     context.reply.end();
     return verdict;
@@ -59,14 +59,14 @@
 }
 
 function bufferBody(
-  answer: RunnerResponse,
+  response: RunnerResponse,
   settings: AttemptSettings,
 ): Effect.Effect<BufferedBody, ResponseInterrupted> {
   return Effect.gen(function* () {
     const pieces: Buffer[] = [];
     let size = 0;
     while (size <= settings.heldAnswerBytes) {
-      const piece = yield* answer.next(settings.bodyIdleMs);
+      const piece = yield* response.next(settings.bodyIdleMs);
       if (piece === undefined) return { pieces, ended: true };
       pieces.push(piece);
       size += piece.length;
@@ -76,17 +76,17 @@
 }
 
 function passThrough(
-  answer: RunnerResponse,
+  response: RunnerResponse,
   pieces: readonly Buffer[],
   context: BufferedRelayContext,
 ): Effect.Effect<BufferedResult, CallerGone> {
   return Effect.gen(function* () {
     const { reply, settings } = context;
-    if (!hasDeclaredEnd(answer, context.call)) return truncated("no-end");
-    reply.writeHead(forwardedHead(answer));
+    if (!hasDeclaredEnd(response, context.call)) return truncated("no-end");
+    reply.writeHead(forwardedHead(response));
     for (const piece of pieces) yield* reply.write(piece);
     for (;;) {
-      const next = yield* Effect.result(answer.next(settings.bodyIdleMs));
+      const next = yield* Effect.result(response.next(settings.bodyIdleMs));
       if (next._tag === "Failure") return truncated(next.failure.reason);
       if (next.success === undefined) break;
       yield* reply.write(next.success);
@@ -103,12 +103,12 @@
  * the usage.
  */
 function checkComplete(
-  answer: RunnerResponse,
+  response: RunnerResponse,
   body: Buffer,
   call: Call,
 ): BufferedResult {
-  const declared = hasDeclaredEnd(answer, call);
-  const json = answer.header("content-type")?.includes("json") === true;
+  const declared = hasDeclaredEnd(response, call);
+  const json = response.header("content-type")?.includes("json") === true;
   if (!json) return declared ? complete(NO_USAGE) : truncated("no-end");
   if (call.model === undefined && declared) return complete(NO_USAGE);
   const value = parseJson(body.toString("utf8"));
@@ -116,20 +116,20 @@
   return complete(usageOf(value));
 }
 
-function hasDeclaredEnd(answer: RunnerResponse, call: Call): boolean {
+function hasDeclaredEnd(response: RunnerResponse, call: Call): boolean {
   if (call.method === "HEAD") return true;
-  if (answer.status === 204 || answer.status === 304) return true;
-  if (answer.header("content-length") !== undefined) return true;
-  return answer.header("transfer-encoding")?.includes("chunked") === true;
+  if (response.status === 204 || response.status === 304) return true;
+  if (response.header("content-length") !== undefined) return true;
+  return response.header("transfer-encoding")?.includes("chunked") === true;
 }
 
 /** Gives the exact length, so that the caller can check the answer too. */
 function headWithLength(
-  answer: RunnerResponse,
+  response: RunnerResponse,
   body: Buffer,
   call: Call,
 ): ResponseHead {
-  const head = forwardedHead(answer);
+  const head = forwardedHead(response);
   const headers: Header[] = [...head.headers];
   const known = headers.some((header) => header.name === "content-length");
   const bodiless = call.method === "HEAD" || head.status === 204 ||
--- a/packages/daemon/src/request/call_parser.ts
+++ b/packages/daemon/src/request/call_parser.ts
@@ -36,7 +36,7 @@
 }
 
 /** The facts that every call shares. */
-function commonFacts({ requestId, method, head, arrivedAt }: CallerRequest) {
+function commonFields({ requestId, method, head, arrivedAt }: CallerRequest) {
   return {
     requestId,
     method,
@@ -68,7 +68,7 @@
   const headers = requestHeaders(request.headers)
     .filter(({ name }) => name !== "accept-encoding");
   return ok({
-    ...commonFacts(request),
+    ...commonFields(request),
     ...facts.value,
     service: service.name,
     path: "/v1/chat/completions",
@@ -101,7 +101,7 @@
   },
 ): Call {
   return {
-    ...commonFacts(request),
+    ...commonFields(request),
     service: options.route.service,
     path: options.route.path,
     headers: requestHeaders(request.headers),
--- a/packages/daemon/src/request/caller_head.ts
+++ b/packages/daemon/src/request/caller_head.ts
@@ -27,7 +27,7 @@
 const PRINTABLE = /^[\x21-\x7e](?:[\x20-\x7e]*[\x21-\x7e])?$/;
 
 /** The one value of a header; a header given twice is ambiguous. */
-function single(
+function singleHeader(
   headers: readonly Header[],
   name: string,
 ): Result<string | undefined, string> {
@@ -53,7 +53,7 @@
   table: TableVersion,
 ): Result<Workspace, Problem> {
   const name = "authorization";
-  const value = single(headers, name);
+  const value = singleHeader(headers, name);
   if (value.isErr()) {
     return err(headerProblem("key_invalid", name, value.error));
   }
@@ -75,7 +75,7 @@
   options: { readonly table: TableVersion; readonly workspace: Workspace },
 ): Result<Class, Problem> {
   const name = "umbermast-class";
-  const value = single(headers, name);
+  const value = singleHeader(headers, name);
   if (value.isErr()) {
     return err(headerProblem("class_unknown", name, value.error));
   }
@@ -90,7 +90,7 @@
   headers: readonly Header[],
 ): Result<boolean | undefined, Problem> {
   const name = "umbermast-repeatable";
-  const value = single(headers, name);
+  const value = singleHeader(headers, name);
   if (value.isErr()) {
     return err(headerProblem("repeatable_invalid", name, value.error));
   }
@@ -106,7 +106,7 @@
   headers: readonly Header[],
 ): Result<string | undefined, Problem> {
   const name = "idempotency-key";
-  const value = single(headers, name);
+  const value = singleHeader(headers, name);
   if (value.isErr()) {
     return err(headerProblem("idempotency_key_invalid", name, value.error));
   }
--- a/packages/daemon/src/request/caller_requests.ts
+++ b/packages/daemon/src/request/caller_requests.ts
@@ -39,7 +39,7 @@
   /** A request was refused before it became a call. */
   requestRefused(problem: Problem): void;
   /** A connection beyond the limit was closed. */
-  dropped(): void;
+  connectionDropped(): void;
 }
 
 /** What serving needs from the process. */
@@ -150,8 +150,8 @@
     return rawResponse(found, requestId);
   }
 
-  dropped(): void {
-    this.#dependencies.observer.dropped();
+  connectionDropped(): void {
+    this.#dependencies.observer.connectionDropped();
   }
 
   #handle(arrival: ArrivedRequest, reply: HttpReply): Effect.Effect<void> {
--- a/packages/daemon/src/request/chat_body.ts
+++ b/packages/daemon/src/request/chat_body.ts
@@ -11,7 +11,7 @@
 import { problem } from "./problems.ts";
 
 /** Facts of a chat completion that decide its way. */
-export interface ChatFacts {
+export interface ChatParameters {
   readonly model: string;
   readonly streamed: boolean;
   readonly promptTokens: number;
@@ -99,7 +99,9 @@
 }
 
 /** Reads a chat completion's body. */
-export function parseChatBody(body: Uint8Array): Result<ChatFacts, Problem> {
+export function parseChatBody(
+  body: Uint8Array,
+): Result<ChatParameters, Problem> {
   const json = parseJson(body);
   if (json.isErr()) return err(json.error);
   const value = json.value;
--- a/packages/daemon/src/request/end_to_end_headers.ts
+++ b/packages/daemon/src/request/end_to_end_headers.ts
@@ -7,7 +7,7 @@
 import type { Header } from "./call.ts";
 
 /** Request headers that this daemon consumes or writes anew. */
-const OWN_REQUEST: ReadonlySet<string> = new Set([
+const CONSUMED_HEADERS: ReadonlySet<string> = new Set([
   "authorization",
   "content-length",
   "expect",
@@ -15,7 +15,7 @@
   "idempotency-key",
 ]);
 
-const OWN_PREFIX = "umbermast-";
+const RESERVED_PREFIX = "umbermast-";
 
 /** Pairs up Node's flat list of names and values, names in lower case. */
 export function headerLines(raw: readonly string[]): readonly Header[] {
@@ -45,11 +45,13 @@
 /** Headers of a caller's request that go to the runner. */
 export function requestHeaders(headers: readonly Header[]): readonly Header[] {
   return endToEnd(headers).filter(({ name }) =>
-    !OWN_REQUEST.has(name) && !name.startsWith(OWN_PREFIX)
+    !CONSUMED_HEADERS.has(name) && !name.startsWith(RESERVED_PREFIX)
   );
 }
 
 /** Headers of a runner's answer that go to the caller. */
 export function responseHeaders(headers: readonly Header[]): readonly Header[] {
-  return endToEnd(headers).filter(({ name }) => !name.startsWith(OWN_PREFIX));
+  return endToEnd(headers).filter(({ name }) =>
+    !name.startsWith(RESERVED_PREFIX)
+  );
 }
--- a/packages/daemon/src/request/event_scanner.ts
+++ b/packages/daemon/src/request/event_scanner.ts
@@ -38,8 +38,8 @@
   /** An event was longer than the bound. */
   oversized = false;
   /** The last token event, for its usage. */
-  last: Buffer = EMPTY;
-  #rest: Buffer = EMPTY;
+  lastEvent: Buffer = EMPTY;
+  #remainder: Buffer = EMPTY;
 
   /**
    * Takes the next bytes.
@@ -49,26 +49,26 @@
    */
   push(chunk: Buffer): Buffer {
     if (this.done || this.failed) return EMPTY;
-    const bytes = this.#rest.length === 0
+    const bytes = this.#remainder.length === 0
       ? chunk
-      : Buffer.concat([this.#rest, chunk]);
+      : Buffer.concat([this.#remainder, chunk]);
     let start = 0;
     for (;;) {
       const end = endOfEvent(bytes, start);
       if (end === -1) break;
-      this.#count(bytes.subarray(start, end));
+      this.#inspect(bytes.subarray(start, end));
       if (this.done || this.failed) {
-        this.#rest = EMPTY;
+        this.#remainder = EMPTY;
         return bytes.subarray(0, start);
       }
       start = end;
     }
-    this.#rest = start === bytes.length ? EMPTY : bytes.subarray(start);
-    if (this.#rest.length > MAX_EVENT_BYTES) this.oversized = true;
+    this.#remainder = start === bytes.length ? EMPTY : bytes.subarray(start);
+    if (this.#remainder.length > MAX_EVENT_BYTES) this.oversized = true;
     return start === bytes.length ? bytes : bytes.subarray(0, start);
   }
 
-  #count(event: Buffer): void {
+  #inspect(event: Buffer): void {
     const at = startOfData(event);
     if (at === -1) return;
     if (startsWith(event, at, DONE_MARK)) {
@@ -80,7 +80,7 @@
       return;
     }
     this.tokens += 1;
-    this.last = event;
+    this.lastEvent = event;
     if (!this.finished) this.finished = hasFinishReason(event);
   }
 }
--- a/packages/daemon/src/request/request_metrics.ts
+++ b/packages/daemon/src/request/request_metrics.ts
@@ -44,7 +44,7 @@
     this.#metrics.requestRefused(problem.code);
   }
 
-  dropped(): void {
-    this.#metrics.dropped();
+  connectionDropped(): void {
+    this.#metrics.connectionDropped();
   }
 }
--- a/packages/daemon/src/request/runner_headers.ts
+++ b/packages/daemon/src/request/runner_headers.ts
@@ -48,7 +48,7 @@
 }
 
 /** The head that the caller is given for a runner's answer. */
-export function forwardedHead(answer: RunnerResponse): ResponseHead {
-  const headers = responseHeaders(headerLines(answer.response.rawHeaders));
-  return { status: answer.status, headers };
+export function forwardedHead(response: RunnerResponse): ResponseHead {
+  const headers = responseHeaders(headerLines(response.message.rawHeaders));
+  return { status: response.status, headers };
 }
--- a/packages/daemon/src/request/stream_relay.ts
+++ b/packages/daemon/src/request/stream_relay.ts
@@ -63,16 +63,16 @@
  * The caller's answer is ended here only when it is whole.
  */
 export function relayStream(
-  answer: RunnerResponse,
+  response: RunnerResponse,
   context: RelayContext,
 ): Effect.Effect<StreamResult, CallerGone> {
   const { reply, settings, progress } = context;
   const scanner = new EventScanner();
-  const take = makeChunkHandler(answer, scanner, context);
+  const take = makeChunkHandler(response, scanner, context);
   return Effect.gen(function* () {
     let idleMs = context.firstMs;
     while (!scanner.done) {
-      const pumped = yield* Effect.result(answer.forEachChunk(idleMs, take));
+      const pumped = yield* Effect.result(response.forEachChunk(idleMs, take));
       if (pumped._tag === "Failure") return truncated(pumped.failure.reason);
       if (scanner.oversized) return truncated("oversized");
       if (scanner.failed) return truncated("engine-error");
@@ -81,10 +81,10 @@
       yield* reply.drained();
     }
     if (!progress.finished) return truncated("no-end-mark");
-    if (!reply.headersSent) reply.writeHead(forwardedHead(answer));
+    if (!reply.headersSent) reply.writeHead(forwardedHead(response));
     yield* reply.write(DONE_EVENT);
     reply.end();
-    yield* Effect.ignore(answer.next(TRAILER_TIMEOUT_MS));
+    yield* Effect.ignore(response.next(TRAILER_TIMEOUT_MS));
     return { _tag: "Whole" };
   });
 }
@@ -95,7 +95,7 @@
  * another limit of silence holds.
  */
 function makeChunkHandler(
-  answer: RunnerResponse,
+  response: RunnerResponse,
   scanner: EventScanner,
   context: RelayContext,
 ): (piece: Buffer) => boolean {
@@ -109,7 +109,7 @@
     progress.lastAt = clock.monotonic();
     progress.firstAt ??= progress.lastAt;
     const first = !reply.headersSent;
-    if (first) reply.writeHead(forwardedHead(answer));
+    if (first) reply.writeHead(forwardedHead(response));
     return reply.push(events) && goesOn && !first;
   };
 }
@@ -128,5 +128,5 @@
   if (tokens === 0) return;
   progress.tokens += tokens;
   progress.finished ||= scanner.finished;
-  progress.lastEvent = scanner.last;
+  progress.lastEvent = scanner.lastEvent;
 }
--- a/packages/daemon/src/version/table_feed.ts
+++ b/packages/daemon/src/version/table_feed.ts
@@ -129,11 +129,11 @@
         this.#log.event("table_in_force", { version, editId, editor });
         for (const listener of this.#listeners) listener(this.#current);
       },
-      (findings) => this.#refuse(version, findings),
+      (findings) => this.#reject(version, findings),
     );
   }
 
-  #refuse(version: number, findings: readonly Finding[]): void {
+  #reject(version: number, findings: readonly Finding[]): void {
     this.#log.warning("table_invalid", {
       version,
       inForce: this.#current?.version,
--- a/packages/daemon/tests/caller_fixture.ts
+++ b/packages/daemon/tests/caller_fixture.ts
@@ -136,7 +136,7 @@
     observer: {
       callEnded: () => {},
       requestRefused: () => {},
-      dropped: () => {},
+      connectionDropped: () => {},
     },
     table: () => inForce,
     isShuttingDown: () => leaving,
@@ -146,7 +146,7 @@
     { limits, handler: requests },
   ));
   return {
-    port: Number(server.place.split(":")[1]),
+    port: Number(server.address.split(":")[1]),
     server,
     requests,
     lines,
