--- a/packages/daemon/src/connection/caller_server.ts
+++ b/packages/daemon/src/connection/caller_server.ts
@@ -80,22 +80,20 @@
   options: { readonly limits: CallerLimits; readonly handler: CallerHandler },
 ) {
   const { limits, handler } = options;
-  const responses = new LastResponses();
+  const latest = new LastResponses();
   // Node's own close counts a connection as idle once its answer has ended, and
   // destroys it with what a slow caller has not taken yet: that answer would be
   // cut off. So it is known here which answers have not gone out.
   const unsent = new TrackedSet<ServerResponse>();
   const serve = (request: IncomingMessage, response: ServerResponse) => {
-    const pipelined = responses.isOpen(request.socket);
-    responses.set(request.socket, response);
+    const pipelined = latest.isOpen(request.socket);
+    latest.set(request.socket, response);
     unsent.add(response);
     response.once("close", () => unsent.delete(response));
     handler.serve(request, response, { pipelined });
   };
   const refuse = (socket: Duplex, fault: ConnectionFault) => {
-    if (!socket.writable || responses.isAwaited(socket)) {
-      return socket.destroy();
-    }
+    if (!socket.writable || latest.isAwaited(socket)) return socket.destroy();
     socket.end(handler.faultResponse(fault), () => socket.destroy());
   };
   const server = createServer({
