--- a/packages/daemon/src/process/scheduling/admission_control.ts
+++ b/packages/daemon/src/process/scheduling/admission_control.ts
@@ -24,8 +24,9 @@
 const EARLY_REFUSAL_FACTOR = 1.25;
 /** Share of requests whose time to the first token is within the margin. */
 const FIRST_TOKEN_QUANTILE = 0.9;
+/** Step of the quantile estimate per observation. */
 const FIRST_TOKEN_QUANTILE_STEP = 0.2;
-/** Bounds of the margin, as fractions of the target. */
+/** Bounds of the margin for the first token, as fractions of the target. */
 const MIN_MARGIN = 0.2;
 const MAX_MARGIN = 0.9;
 const MIN_RETRY_AFTER_MS = 100;
@@ -139,7 +140,7 @@
 
   /** Latest start time at which the ask's response meets the class's target. */
   #startBy(ask: AskMessage, arrivedAt: number): number {
-    const { pool, feedback: learning } = this.#dependencies;
+    const { pool, feedback } = this.#dependencies;
     const target = pool.classOf(ask.class)?.target;
     const bounds: number[] = [];
     if (target?.firstTokenMs !== undefined) {
@@ -153,7 +154,7 @@
         ask.workspace,
         ask.class,
       );
-      bounds.push(target.wholeAnswerMs - tokens * learning.medianStepMs());
+      bounds.push(target.wholeAnswerMs - tokens * feedback.medianStepMs());
     }
     return arrivedAt + Math.min(Infinity, ...bounds);
   }
--- a/packages/daemon/src/process/scheduling/broker.ts
+++ b/packages/daemon/src/process/scheduling/broker.ts
@@ -72,7 +72,7 @@
     this.#admission = new AdmissionControl({
       queue,
       pool,
-      feedback: feedback,
+      feedback,
       switches,
     });
     this.#replies = new BrokerReplies(service, dependencies);
@@ -209,7 +209,7 @@
 
   /**
    * Removes the asks of an entry that has left or failed. Its slots are freed
-   * after {@linkcode ENTRY_TIMEOUT_MS}.
+   * after `ENTRY_TIMEOUT_MS`.
    */
   entryGone(entry: string): void {
     for (const waiting of this.#state.waitingAsks(entry)) {
--- a/packages/daemon/src/process/scheduling/broker_assignment.ts
+++ b/packages/daemon/src/process/scheduling/broker_assignment.ts
@@ -34,7 +34,7 @@
  * unless all members are leaving.
  */
 export function brokerCandidates(view: View): readonly string[] {
-  const staying = view.members.filter((it) => it.state !== "leaving");
+  const staying = view.members.filter((member) => member.state !== "leaving");
   const chosen = staying.length > 0 ? staying : view.members;
-  return chosen.map((it) => it.member.name);
+  return chosen.map(({ member }) => member.name);
 }
--- a/packages/daemon/src/process/scheduling/broker_state.ts
+++ b/packages/daemon/src/process/scheduling/broker_state.ts
@@ -67,14 +67,14 @@
     if (entry === undefined) return [...this.#waiting.values()];
     const ids = this.#accounts.get(entry)?.waitingAsks ?? [];
     return [...ids].map((id) => this.#waiting.get(id))
-      .filter((it) => it !== undefined);
+      .filter((ask) => ask !== undefined);
   }
 
   /** Slots that an entry holds. */
   heldSlots(entry: string): readonly GrantedSlot[] {
     const ids = this.#accounts.get(entry)?.heldSlots ?? [];
     return [...ids].map((id) => this.#held.get(id))
-      .filter((it) => it !== undefined);
+      .filter((slot) => slot !== undefined);
   }
 
   addWaiting(waiting: WaitingAsk): void {
--- a/packages/daemon/src/process/scheduling/fair_queue.ts
+++ b/packages/daemon/src/process/scheduling/fair_queue.ts
@@ -81,10 +81,12 @@
 
   /** Applies a new table, which also reorders asks that already wait. */
   setTable(table: Table): void {
-    this.#classes = new Map(table.classes.map((it) => [it.name, it]));
+    this.#classes = new Map(
+      table.classes.map((definition) => [definition.name, definition]),
+    );
     this.#shares.setClasses(this.#classes);
     this.#highestTier = Math.min(
-      ...table.classes.map((it) => this.tierOf(it.name)),
+      ...table.classes.map((definition) => this.tierOf(definition.name)),
     );
     this.#weights = new Map(
       table.rows.map((row) => [flowKey(row.workspace, row.class), row.weight]),
@@ -147,7 +149,7 @@
 
   /** Flows with waiting asks, in order of service. */
   order(): readonly Flow[] {
-    const waiting = [...this.#flows.values()].filter((it) => it.length > 0);
+    const waiting = [...this.#flows.values()].filter((flow) => flow.length > 0);
     return waiting.sort((left, right) => this.#compare(left, right));
   }
 
--- a/packages/daemon/src/process/scheduling/fair_queue_test.ts
+++ b/packages/daemon/src/process/scheduling/fair_queue_test.ts
@@ -92,7 +92,7 @@
   }
   const countA = () =>
     Array.from({ length: 40 }, () => serve(queue))
-      .filter((it) => it.ask.workspace === "a").length;
+      .filter((served) => served.ask.workspace === "a").length;
   assert.equal(countA(), 30);
   queue.setTable(tableOf({ rows: rows.map((row) => ({ ...row, weight: 1 })) }));
   assert.equal(countA(), 20);
--- a/packages/daemon/src/process/scheduling/flow.ts
+++ b/packages/daemon/src/process/scheduling/flow.ts
@@ -68,6 +68,6 @@
    */
   head(now?: number): WaitingAsk | undefined {
     if (now === undefined) return this.#items[0];
-    return this.#items.find((it) => it.startBy >= now) ?? this.#items[0];
+    return this.#items.find((ask) => ask.startBy >= now) ?? this.#items[0];
   }
 }
--- a/packages/daemon/src/process/scheduling/grant_dispatcher.ts
+++ b/packages/daemon/src/process/scheduling/grant_dispatcher.ts
@@ -104,10 +104,10 @@
     },
   ): void {
     const { choice, now, order } = grant;
-    const { state: books, slots, replies: answers, queue } = this.#dependencies;
-    books.removeWaiting(waiting);
+    const { state, slots, replies, queue } = this.#dependencies;
+    state.removeWaiting(waiting);
     const held = slots.take(waiting, { runner: choice.runner.name, now });
-    answers.grant(held, waiting.ask, {
+    replies.grant(held, waiting.ask, {
       choice,
       order,
       waitedMs: now - waiting.arrivedAt,
--- a/packages/daemon/src/process/scheduling/load_reports.ts
+++ b/packages/daemon/src/process/scheduling/load_reports.ts
@@ -119,8 +119,10 @@
   }
 
   #runnersToPoll(directory: RunnerDirectory): ReadonlyMap<string, Runner> {
-    const watched = [...this.#watched].flatMap((it) => directory.runners(it));
-    return new Map(watched.map((it) => [keyOf(it), it]));
+    const watched = [...this.#watched].flatMap((service) =>
+      directory.runners(service)
+    );
+    return new Map(watched.map((runner) => [keyOf(runner), runner]));
   }
 
   #pollRunner(runner: Runner): Effect.Effect<void> {
--- a/packages/daemon/src/process/scheduling/runner_feedback.ts
+++ b/packages/daemon/src/process/scheduling/runner_feedback.ts
@@ -83,7 +83,7 @@
 
   /** Median time between tokens over the runners; a default without data. */
   medianStepMs(): number {
-    return this.#median(this.#pool.live().map((it) => it.name)) ??
+    return this.#median(this.#pool.live().map((runner) => runner.name)) ??
       DEFAULT_STEP_MS;
   }
 
@@ -118,7 +118,7 @@
   #tightestTarget(state: RunnerState): number | undefined {
     const targets = state.classes
       .map((name) => this.#pool.classOf(name)?.target.betweenTokensMs)
-      .filter((it) => it !== undefined);
+      .filter((target) => target !== undefined);
     return targets.length === 0 ? undefined : Math.min(...targets);
   }
 
@@ -138,8 +138,8 @@
 
   #isStraggler(runner: string): boolean {
     const ownStepMs = this.#pool.state(runner).stepMs;
-    const others = this.#pool.live().map((it) => it.name)
-      .filter((it) => it !== runner);
+    const others = this.#pool.live().map((other) => other.name)
+      .filter((other) => other !== runner);
     const median = this.#median(others);
     if (ownStepMs === undefined || median === undefined) return false;
     return ownStepMs > STRAGGLER_MIN_STEP_MS &&
@@ -148,8 +148,8 @@
 
   #median(runners: readonly string[]): number | undefined {
     const steps = runners
-      .map((it) => this.#pool.state(it).stepMs)
-      .filter((it) => it !== undefined)
+      .map((runner) => this.#pool.state(runner).stepMs)
+      .filter((stepMs) => stepMs !== undefined)
       .sort((left, right) => left - right);
     return steps[steps.length >> 1];
   }
@@ -159,17 +159,17 @@
    * service without runners would refuse requests that this one might serve.
    */
   #isLastInService(runner: string): boolean {
-    return this.#pool.live().every((it) =>
-      it.name === runner ||
-      this.#pool.state(it.name).ejection.cause !== undefined
+    return this.#pool.live().every((other) =>
+      other.name === runner ||
+      this.#pool.state(other.name).ejection.cause !== undefined
     );
   }
 
-  /** At most half may be ejected: if most are slow, the cause is congestion. */
+  /** Whether one more may be ejected: at most half, as most being slow is congestion. */
   #mayEject(): boolean {
     const live = this.#pool.live();
-    const ejected = live.filter((it) =>
-      this.#pool.state(it.name).ejection.cause !== undefined
+    const ejected = live.filter((runner) =>
+      this.#pool.state(runner.name).ejection.cause !== undefined
     );
     return (ejected.length + 1) * 2 <= live.length;
   }
--- a/packages/daemon/src/process/scheduling/runner_pool.ts
+++ b/packages/daemon/src/process/scheduling/runner_pool.ts
@@ -59,8 +59,12 @@
 
   /** Applies a new table. */
   setTable(table: Table, service: string): void {
-    this.#classes = new Map(table.classes.map((it) => [it.name, it]));
-    this.#service = table.services.find((it) => it.name === service);
+    this.#classes = new Map(
+      table.classes.map((definition) => [definition.name, definition]),
+    );
+    this.#service = table.services.find((definition) =>
+      definition.name === service
+    );
     for (const state of this.#states.values()) {
       state.limit.setBase(this.#baseSlots);
     }
@@ -74,7 +78,7 @@
   setRunners(runners: readonly Runner[]): readonly GrantedSlot[] {
     const lost: GrantedSlot[] = [];
     const incarnations = new Map(
-      runners.map((it) => [it.name, it.incarnation]),
+      runners.map((runner) => [runner.name, runner.incarnation]),
     );
     for (const previous of this.#runners) {
       if (incarnations.get(previous.name) === previous.incarnation) continue;
@@ -96,7 +100,7 @@
 
   /** Runners that accept new requests. */
   live(): readonly Runner[] {
-    return this.#runners.filter((it) => it.state === "live");
+    return this.#runners.filter((runner) => runner.state === "live");
   }
 
   /** A class of the current table. */
@@ -115,16 +119,19 @@
       readonly share?: number;
     },
   ): Choice | Busy | None {
-    const candidates = this.#runners.filter((it) =>
-      it.state === "live" && !ask.excluded.includes(it.name) &&
-      this.state(it.name).report?.leaving !== true
+    const candidates = this.#runners.filter((runner) =>
+      runner.state === "live" && !ask.excluded.includes(runner.name) &&
+      this.state(runner.name).report?.leaving !== true
     );
     if (candidates.length === 0) return { _tag: "None" };
     const probe = this.#chooseProbe(candidates, at.now);
     if (probe !== undefined) return probe;
-    const inService = candidates.filter((it) => this.#isInService(it));
-    const open = (inService.length > 0 ? inService : candidates).filter((it) =>
-      this.#hasFreeSlot(it, at) && this.state(it.name).ejection.admits(at.now)
+    const inService = candidates.filter((runner) => this.#isInService(runner));
+    const open = (inService.length > 0 ? inService : candidates).filter((
+      runner,
+    ) =>
+      this.#hasFreeSlot(runner, at) &&
+      this.state(runner.name).ejection.admits(at.now)
     );
     if (open.length === 0) return { _tag: "Busy" };
     if (!at.highest && !this.#leavesHeadroom(at.now)) return { _tag: "Busy" };
@@ -145,7 +152,9 @@
     const preferred = this.#switches.affinity
       ? this.#affinity.find(ask.prefixDigest)
       : undefined;
-    const affine = ranked.find((it) => it.runner.name === preferred);
+    const affine = ranked.find((candidate) =>
+      candidate.runner.name === preferred
+    );
     const chosen = affine !== undefined &&
         affine.occupancy <= least.occupancy + AFFINITY_MARGIN
       ? affine
@@ -157,16 +166,19 @@
       _tag: "Choice",
       runner: chosen.runner,
       why: chosen === affine ? "affinity" : "least_occupied",
-      runnersUp: ranked.filter((it) => it !== chosen).slice(0, MAX_RUNNERS_UP)
-        .map((it) => it.runner.name),
+      runnersUp: ranked.filter((candidate) => candidate !== chosen).slice(
+        0,
+        MAX_RUNNERS_UP,
+      )
+        .map((candidate) => candidate.runner.name),
     };
   }
 
   /** Chooses an ejected runner whose backoff has elapsed for one probe request. */
   #chooseProbe(possible: readonly Runner[], now: number): Choice | undefined {
     if (!this.#switches.ejection) return undefined;
-    const due = possible.find((it) =>
-      !this.#isInService(it) && this.state(it.name).ejection.admits(now)
+    const due = possible.find((runner) =>
+      !this.#isInService(runner) && this.state(runner.name).ejection.admits(now)
     );
     if (due === undefined) return undefined;
     return { _tag: "Choice", runner: due, why: "probe", runnersUp: [] };
--- a/packages/daemon/src/process/scheduling/runner_state.ts
+++ b/packages/daemon/src/process/scheduling/runner_state.ts
@@ -1,5 +1,5 @@
 /**
- * A broker's state of one runner.
+ * The state of one runner at a broker.
  *
  * @module
  */
--- a/packages/daemon/src/process/scheduling/slot_limit.ts
+++ b/packages/daemon/src/process/scheduling/slot_limit.ts
@@ -1,5 +1,5 @@
 /**
- * Adaptive limit of a runner's concurrent requests: additive increase and
+ * Adaptive limit on a runner's concurrent requests: additive increase and
  * multiplicative decrease (AIMD) on observed latency.
  *
  * @module
