--- a/packages/daemon/src/process/placement/placement_plan.ts
+++ b/packages/daemon/src/process/placement/placement_plan.ts
@@ -118,20 +118,20 @@
     !engine.refused.has(model);
 }
 
-function byFewestModels(one: EngineState, other: EngineState): number {
-  return modelCount(one) - modelCount(other) ||
-    one.requests - other.requests || byName(one, other);
+function byFewestModels(left: EngineState, right: EngineState): number {
+  return modelCount(left) - modelCount(right) ||
+    left.requests - right.requests || byName(left, right);
 }
 
-function byMostModels(one: EngineState, other: EngineState): number {
-  return modelCount(other) - modelCount(one) ||
-    one.requests - other.requests || byName(one, other);
+function byMostModels(left: EngineState, right: EngineState): number {
+  return modelCount(right) - modelCount(left) ||
+    left.requests - right.requests || byName(left, right);
 }
 
 function modelCount({ models, loading }: EngineState): number {
   return models.size + loading.size;
 }
 
-function byName(one: EngineState, other: EngineState): number {
-  return one.runner < other.runner ? -1 : 1;
+function byName(left: EngineState, right: EngineState): number {
+  return left.runner < right.runner ? -1 : 1;
 }
--- a/packages/daemon/src/process/placement/placement_targets.ts
+++ b/packages/daemon/src/process/placement/placement_targets.ts
@@ -5,9 +5,9 @@
  */
 
 /** Consecutive rounds of higher demand before the target is raised. */
-const RAISE_ROUNDS = 2;
+const ROUNDS_TO_RAISE = 2;
 /** Consecutive rounds of lower demand before the target is lowered by one. */
-const LOWER_ROUNDS = 6;
+const ROUNDS_TO_LOWER = 6;
 /** Planned utilization of the slots of a runner by a copy. */
 const PLANNED_UTILIZATION = 0.7;
 
@@ -47,11 +47,11 @@
     target.roundsAbove = desired > target.copies ? target.roundsAbove + 1 : 0;
     const isBelow = desired < target.copies && demand.hasQuorum;
     target.roundsBelow = isBelow ? target.roundsBelow + 1 : 0;
-    if (target.roundsAbove >= RAISE_ROUNDS) {
+    if (target.roundsAbove >= ROUNDS_TO_RAISE) {
       target.copies = desired;
       target.roundsAbove = 0;
     }
-    if (target.roundsBelow >= LOWER_ROUNDS) {
+    if (target.roundsBelow >= ROUNDS_TO_LOWER) {
       target.copies -= 1;
       target.roundsBelow = 0;
     }
@@ -65,7 +65,7 @@
     const copies = Math.max(1, demand.copies);
     const created = {
       copies,
-      roundsAbove: wanted > copies ? RAISE_ROUNDS : 0,
+      roundsAbove: wanted > copies ? ROUNDS_TO_RAISE : 0,
       roundsBelow: 0,
     };
     this.#targets.set(demand.model, created);
--- a/packages/daemon/src/process/scheduling/admission_control.ts
+++ b/packages/daemon/src/process/scheduling/admission_control.ts
@@ -58,9 +58,9 @@
   /** Adds the estimates to an ask that an entry has just sent. */
   estimate(
     entry: string,
-    asked: { readonly ask: AskMessage; readonly now: number },
+    received: { readonly ask: AskMessage; readonly now: number },
   ): WaitingAsk {
-    const { ask, now } = asked;
+    const { ask, now } = received;
     const arrivedAt = now - ask.waitedMs;
     return {
       ask,
@@ -142,9 +142,9 @@
   #startBy(ask: AskMessage, arrivedAt: number): number {
     const { pool, feedback } = this.#dependencies;
     const target = pool.classOf(ask.class)?.target;
-    const bounds: number[] = [];
+    const latestStarts: number[] = [];
     if (target?.firstTokenMs !== undefined) {
-      bounds.push(
+      latestStarts.push(
         target.firstTokenMs -
           this.#firstTokenMargin(ask.class, target.firstTokenMs),
       );
@@ -154,9 +154,11 @@
         ask.workspace,
         ask.class,
       );
-      bounds.push(target.wholeAnswerMs - tokens * feedback.medianStepMs());
+      latestStarts.push(
+        target.wholeAnswerMs - tokens * feedback.medianStepMs(),
+      );
     }
-    return arrivedAt + Math.min(Infinity, ...bounds);
+    return arrivedAt + Math.min(Infinity, ...latestStarts);
   }
 
   /** Time reserved for the first token, from recent observations. */
--- a/packages/daemon/src/process/scheduling/broker_replies.ts
+++ b/packages/daemon/src/process/scheduling/broker_replies.ts
@@ -6,7 +6,7 @@
 import type { Log } from "../log.ts";
 import type { AskMessage, EntryMessage } from "./messages.ts";
 import type { Refusal } from "./admission_control.ts";
-import type { Choice } from "./runner_pool.ts";
+import type { RunnerChoice } from "./runner_pool.ts";
 import type { GrantedSlot } from "./runner_state.ts";
 import type { WaitingAsk } from "./waiting_ask.ts";
 
@@ -16,7 +16,7 @@
 
 /** Details of a grant, for the log. */
 export interface GrantDetails {
-  readonly choice: Choice;
+  readonly choice: RunnerChoice;
   /** Rule by which the ask was served before the others. */
   readonly order: "tier" | "minimum_share";
   readonly waitedMs: number;
--- a/packages/daemon/src/process/scheduling/broker_state.ts
+++ b/packages/daemon/src/process/scheduling/broker_state.ts
@@ -89,8 +89,8 @@
 
   /** Adds a slot and replaces an earlier one of the same ask. */
   addHeld(held: GrantedSlot): void {
-    const former = this.#held.get(held.askId);
-    if (former !== undefined) this.removeHeld(former);
+    const previous = this.#held.get(held.askId);
+    if (previous !== undefined) this.removeHeld(previous);
     this.#held.set(held.askId, held);
     this.#countClass(held.class, 1);
     this.#account(held.entry).heldSlots.add(held.askId);
--- a/packages/daemon/src/process/scheduling/broker_test.ts
+++ b/packages/daemon/src/process/scheduling/broker_test.ts
@@ -102,27 +102,33 @@
   // would attract every request. It must get none while it is ejected, then one
   // probe, and requests as usual after the probe succeeds.
   const bench = brokerWith({ runners: [runnerOf("bad"), runnerOf("good")] });
-  const ask = () => {
+  const requestSlot = () => {
     const message = askOf();
     bench.broker.ask("entry-1", message);
     const last = bench.sent.at(-1)?.message;
     assert.ok(last?.type === "grant");
     return { askId: message.askId, runner: last.runner };
   };
-  const end = (askId: string, outcome: "failed" | "complete") =>
+  const endAttempt = (askId: string, outcome: "failed" | "complete") =>
     bench.broker.release("entry-1", {
       type: "release",
       service: SERVICE,
       askId,
       settlement: { outcome, promptTokens: 1, outputTokens: 0 },
     });
-  const first = ask();
+  const first = requestSlot();
   assert.equal(first.runner, "bad");
-  end(first.askId, "failed");
-  assert.deepEqual([ask().runner, ask().runner], ["good", "good"]);
+  endAttempt(first.askId, "failed");
+  assert.deepEqual([requestSlot().runner, requestSlot().runner], [
+    "good",
+    "good",
+  ]);
   bench.clock.advance(600);
-  const probe = ask();
+  const probe = requestSlot();
   assert.equal(probe.runner, "bad");
-  end(probe.askId, "complete");
-  assert.deepEqual([ask().runner, ask().runner], ["bad", "bad"]);
+  endAttempt(probe.askId, "complete");
+  assert.deepEqual([requestSlot().runner, requestSlot().runner], [
+    "bad",
+    "bad",
+  ]);
 });
--- a/packages/daemon/src/process/scheduling/fair_queue.ts
+++ b/packages/daemon/src/process/scheduling/fair_queue.ts
@@ -223,8 +223,9 @@
   }
 
   #compare(left: Flow, right: Flow): number {
-    const deficits = this.#deficit(right.class) - this.#deficit(left.class);
-    if (deficits !== 0) return deficits;
+    const deficitDifference = this.#deficit(right.class) -
+      this.#deficit(left.class);
+    if (deficitDifference !== 0) return deficitDifference;
     const tierDifference = this.tierOf(left.class) - this.tierOf(right.class);
     if (tierDifference !== 0) return tierDifference;
     if (this.#switches.fairQueueing && left.startTag !== right.startTag) {
@@ -285,8 +286,8 @@
   }
 
   #shedBefore(left: Flow, right: Flow): boolean {
-    const tiers = this.tierOf(left.class) - this.tierOf(right.class);
-    if (tiers !== 0) return tiers > 0;
+    const tierDifference = this.tierOf(left.class) - this.tierOf(right.class);
+    if (tierDifference !== 0) return tierDifference > 0;
     return left.bytes / this.#weightOf(left.workspace, left.class) >
       right.bytes / this.#weightOf(right.workspace, right.class);
   }
--- a/packages/daemon/src/process/scheduling/fair_queue_test.ts
+++ b/packages/daemon/src/process/scheduling/fair_queue_test.ts
@@ -140,8 +140,8 @@
         const offer = queue.offer(waitingOf({ ...step, arrivedAt: index }));
         for (const shed of offer.shed) {
           const tier = queue.tierOf(shed.ask.class);
-          for (const left of queue.all()) {
-            assert.ok(queue.tierOf(left.ask.class) <= tier);
+          for (const remaining of queue.all()) {
+            assert.ok(queue.tierOf(remaining.ask.class) <= tier);
           }
         }
         assert.ok(queue.length <= bounds.count);
@@ -165,7 +165,7 @@
     maxLength: 300,
   });
   fc.assert(
-    fc.property(shares, costs, ({ low, middle }, drawn) => {
+    fc.property(shares, costs, ({ low, middle }, drawnCosts) => {
       const classes = [
         classOf("quote", 0),
         classOf("query", 1, { minimumShare: middle }),
@@ -181,19 +181,19 @@
           ) {
             continue;
           }
-          const cost = drawn[index % drawn.length]!;
+          const cost = drawnCosts[index % drawnCosts.length]!;
           queue.offer(waitingOf({ class: it.name, cost, arrivedAt: index }));
         }
       };
-      for (let index = 0; index < drawn.length; index++) {
+      for (let index = 0; index < drawnCosts.length; index++) {
         refill(index);
         const next = serve(queue);
         total += next.cost;
         const name = next.ask.class;
         served.set(name, (served.get(name) ?? 0) + next.cost);
         for (const it of classes) {
-          const owed = it.minimumShare * total - (served.get(it.name) ?? 0);
-          assert.ok(owed <= 4_000, `${it.name} lacks ${owed}`);
+          const deficit = it.minimumShare * total - (served.get(it.name) ?? 0);
+          assert.ok(deficit <= 4_000, `${it.name} lacks ${deficit}`);
         }
       }
     }),
--- a/packages/daemon/src/process/scheduling/grant_dispatcher.ts
+++ b/packages/daemon/src/process/scheduling/grant_dispatcher.ts
@@ -7,7 +7,7 @@
 import type { BrokerState } from "./broker_state.ts";
 import type { FairQueue } from "./fair_queue.ts";
 import type { Flow } from "./flow.ts";
-import type { Choice, RunnerPool } from "./runner_pool.ts";
+import type { RunnerChoice, RunnerPool } from "./runner_pool.ts";
 import type { SlotLedger } from "./slot_ledger.ts";
 import type { WaitingAsk } from "./waiting_ask.ts";
 
@@ -89,7 +89,7 @@
     const { queue, pool, members } = this.#dependencies;
     return pool.choose(ask, {
       now,
-      highest: queue.isHighest(ask.class) ||
+      mayUseHeadroom: queue.isHighest(ask.class) ||
         queue.isBelowMinimumShare(ask.class),
       share: ask.alone ? 1 / Math.max(1, members()) : 1,
     });
@@ -98,7 +98,7 @@
   #grant(
     waiting: WaitingAsk,
     grant: {
-      readonly choice: Choice;
+      readonly choice: RunnerChoice;
       readonly now: number;
       readonly order: "tier" | "minimum_share";
     },
--- a/packages/daemon/src/process/scheduling/runner_pool.ts
+++ b/packages/daemon/src/process/scheduling/runner_pool.ts
@@ -22,7 +22,7 @@
 const MAX_RUNNERS_UP = 2;
 
 /** A runner chosen for an ask. */
-export interface Choice {
+export interface RunnerChoice {
   readonly _tag: "Choice";
   readonly runner: Runner;
   readonly why: "affinity" | "least_occupied" | "probe";
@@ -114,11 +114,11 @@
     at: {
       readonly now: number;
       /** Whether the ask may use the slots reserved for the highest tier. */
-      readonly highest: boolean;
+      readonly mayUseHeadroom: boolean;
       /** Usable share of each runner's slots; 1 by default. */
       readonly share?: number;
     },
-  ): Choice | Busy | None {
+  ): RunnerChoice | Busy | None {
     const candidates = this.#runners.filter((runner) =>
       runner.state === "live" && !ask.excluded.includes(runner.name) &&
       this.state(runner.name).report?.leaving !== true
@@ -127,22 +127,24 @@
     const probe = this.#chooseProbe(candidates, at.now);
     if (probe !== undefined) return probe;
     const inService = candidates.filter((runner) => this.#isInService(runner));
-    const open = (inService.length > 0 ? inService : candidates).filter((
+    const available = (inService.length > 0 ? inService : candidates).filter((
       runner,
     ) =>
       this.#hasFreeSlot(runner, at) &&
       this.state(runner.name).ejection.admits(at.now)
     );
-    if (open.length === 0) return { _tag: "Busy" };
-    if (!at.highest && !this.#leavesHeadroom(at.now)) return { _tag: "Busy" };
-    return this.#chooseBest(ask, { open, now: at.now });
+    if (available.length === 0) return { _tag: "Busy" };
+    if (!at.mayUseHeadroom && !this.#leavesHeadroom(at.now)) {
+      return { _tag: "Busy" };
+    }
+    return this.#chooseBest(ask, { available: available, now: at.now });
   }
 
   #chooseBest(
     ask: AskMessage,
-    at: { readonly open: readonly Runner[]; readonly now: number },
-  ): Choice {
-    const ranked = at.open
+    at: { readonly available: readonly Runner[]; readonly now: number },
+  ): RunnerChoice {
+    const ranked = at.available
       .map((runner) => ({
         runner,
         occupancy: this.state(runner.name).occupancy(at.now),
@@ -175,13 +177,16 @@
   }
 
   /** Chooses an ejected runner whose backoff has elapsed for one probe request. */
-  #chooseProbe(possible: readonly Runner[], now: number): Choice | undefined {
+  #chooseProbe(
+    candidates: readonly Runner[],
+    now: number,
+  ): RunnerChoice | undefined {
     if (!this.#switches.ejection) return undefined;
-    const due = possible.find((runner) =>
+    const probed = candidates.find((runner) =>
       !this.#isInService(runner) && this.state(runner.name).ejection.admits(now)
     );
-    if (due === undefined) return undefined;
-    return { _tag: "Choice", runner: due, why: "probe", runnersUp: [] };
+    if (probed === undefined) return undefined;
+    return { _tag: "Choice", runner: probed, why: "probe", runnersUp: [] };
   }
 
   #isInService(runner: Runner): boolean {
--- a/packages/daemon/src/process/scheduling/slot_limit.ts
+++ b/packages/daemon/src/process/scheduling/slot_limit.ts
@@ -53,9 +53,12 @@
    */
   setCapacity(slots: number): void {
     if (slots <= 0) return;
-    const least = Math.max(1, this.#base * MIN_REPORTED_FACTOR);
-    this.#ceiling = Math.min(this.#base * MAX_FACTOR, Math.max(least, slots));
-    this.#capacity = Math.min(this.#base, Math.max(least, slots));
+    const minSlots = Math.max(1, this.#base * MIN_REPORTED_FACTOR);
+    this.#ceiling = Math.min(
+      this.#base * MAX_FACTOR,
+      Math.max(minSlots, slots),
+    );
+    this.#capacity = Math.min(this.#base, Math.max(minSlots, slots));
     this.#value = Math.min(this.#value, this.#ceiling);
   }
 
@@ -89,15 +92,15 @@
     if (first > DECREASE_THRESHOLD) {
       return this.#decrease(at.now, this.#capacity);
     }
-    const worst = Math.max(between, first);
-    if (worst > INCREASE_THRESHOLD || !at.saturated) return;
+    const highestRatio = Math.max(between, first);
+    if (highestRatio > INCREASE_THRESHOLD || !at.saturated) return;
     this.#value = Math.min(this.#ceiling, this.#value + 1 / this.#value);
   }
 
-  #decrease(now: number, least: number): void {
+  #decrease(now: number, minimum: number): void {
     if (now - this.#decreasedAt < DECREASE_INTERVAL_MS) return;
-    if (this.#value <= least) return;
+    if (this.#value <= minimum) return;
     this.#decreasedAt = now;
-    this.#value = Math.max(1, least, this.#value * DECREASE_FACTOR);
+    this.#value = Math.max(1, minimum, this.#value * DECREASE_FACTOR);
   }
 }
