--- a/packages/daemon/src/process/scheduling/broker_assignment.ts
+++ b/packages/daemon/src/process/scheduling/broker_assignment.ts
@@ -36,5 +36,5 @@
 export function brokerCandidates(view: View): readonly string[] {
   const staying = view.members.filter((member) => member.state !== "leaving");
   const chosen = staying.length > 0 ? staying : view.members;
-  return chosen.map(({ member }) => member.name);
+  return chosen.map((listed) => listed.member.name);
 }
--- a/packages/daemon/src/process/scheduling/broker_registry.ts
+++ b/packages/daemon/src/process/scheduling/broker_registry.ts
@@ -158,7 +158,7 @@
   }
 
   #viewChanged(view: View): void {
-    const present = new Set(view.members.map(({ member }) => member.name));
+    const present = new Set(view.members.map((listed) => listed.member.name));
     for (const gone of this.#members) {
       if (present.has(gone)) continue;
       for (const broker of this.#brokers.values()) broker.entryGone(gone);
--- a/packages/daemon/src/process/scheduling/fair_queue_test.ts
+++ b/packages/daemon/src/process/scheduling/fair_queue_test.ts
@@ -175,14 +175,17 @@
       const served = new Map<string, number>();
       let total = 0;
       const refill = (index: number) => {
-        for (const it of classes) {
+        for (const definition of classes) {
           if (
-            queue.backlog({ workspace: "member-1", class: it.name }).count > 0
+            queue.backlog({ workspace: "member-1", class: definition.name })
+              .count > 0
           ) {
             continue;
           }
           const cost = drawnCosts[index % drawnCosts.length]!;
-          queue.offer(waitingOf({ class: it.name, cost, arrivedAt: index }));
+          queue.offer(
+            waitingOf({ class: definition.name, cost, arrivedAt: index }),
+          );
         }
       };
       for (let index = 0; index < drawnCosts.length; index++) {
@@ -191,9 +194,10 @@
         total += next.cost;
         const name = next.ask.class;
         served.set(name, (served.get(name) ?? 0) + next.cost);
-        for (const it of classes) {
-          const deficit = it.minimumShare * total - (served.get(it.name) ?? 0);
-          assert.ok(deficit <= 4_000, `${it.name} lacks ${deficit}`);
+        for (const definition of classes) {
+          const deficit = definition.minimumShare * total -
+            (served.get(definition.name) ?? 0);
+          assert.ok(deficit <= 4_000, `${definition.name} lacks ${deficit}`);
         }
       }
     }),
