--- a/packages/router/src/connection/check_count.ts
+++ b/packages/router/src/connection/check_non_negative.ts
@@ -9,7 +9,7 @@
  *
  * @throws {TypeError} otherwise, with the name of the field.
  */
-export function checkCount(value: unknown, field: string): number {
+export function checkNonNegative(value: unknown, field: string): number {
   if (typeof value === "number" && value >= 0 && value < Infinity) return value;
   throw new TypeError(`Invalid state update: "${field}" is not a count`);
 }
--- a/packages/router/src/connection/crash_encoding.ts
+++ b/packages/router/src/connection/crash_encoding.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { checkCount } from "./check_count.ts";
+import { checkNonNegative } from "./check_non_negative.ts";
 import type { CrashAges, RunnerCrash } from "./crash_ages.ts";
 
 type PackedCrash = readonly [
@@ -54,8 +54,8 @@
     runner: String(runner),
     runs: rowsOf(runs, RUN_FIELDS).map(([fingerprint, started, ended]) => ({
       fingerprint: String(fingerprint),
-      startedAgoMs: checkCount(started, "crashes.startedAgoMs"),
-      endedAgoMs: checkCount(ended, "crashes.endedAgoMs"),
+      startedAgoMs: checkNonNegative(started, "crashes.startedAgoMs"),
+      endedAgoMs: checkNonNegative(ended, "crashes.endedAgoMs"),
     })),
   };
 }
@@ -66,13 +66,13 @@
     crashed: crashed.map(unpackCrash),
     responses: rowsOf(responses, RESPONSE_FIELDS).map(([fingerprint, ago]) => ({
       fingerprint: String(fingerprint),
-      agoMs: checkCount(ago, "crashes.agoMs"),
+      agoMs: checkNonNegative(ago, "crashes.agoMs"),
     })),
   };
 }
 
 /** Whether a crash report is not empty. */
-export function hasCrashes(
+export function hasReports(
   { crashed, responses }: CrashAges,
 ): boolean {
   return crashed.length + responses.length > 0;
--- a/packages/router/src/connection/peer_encoding.ts
+++ b/packages/router/src/connection/peer_encoding.ts
@@ -4,9 +4,9 @@
  * @module
  */
 import { compressItem, expandItem } from "./compressed_item.ts";
-import { checkCount } from "./check_count.ts";
+import { checkNonNegative } from "./check_non_negative.ts";
 import { NO_CRASHES } from "./crash_ages.ts";
-import { hasCrashes, packCrashes, unpackCrashes } from "./crash_encoding.ts";
+import { hasReports, packCrashes, unpackCrashes } from "./crash_encoding.ts";
 import type { PackedCrashes } from "./crash_encoding.ts";
 import type { Contact } from "../process/contact.ts";
 import type { DeadContact } from "../process/contact_book.ts";
@@ -39,7 +39,7 @@
   unreadTokens: number,
   workTokens: number,
   memoryTokens: number,
-  tight: number,
+  tightStreams: number,
   waiting: readonly PackedWaiting[],
   answered: number,
   failed: number,
@@ -104,7 +104,7 @@
     load.unreadTokens,
     load.workTokens,
     load.memoryTokens,
-    load.tight,
+    load.tightStreams,
     load.waiting.map(({ rank, ageMs, unreadTokens, leftMs, requests }) =>
       [rank, ageMs, unreadTokens, leftMs, requests] as const
     ),
@@ -119,8 +119,8 @@
     rank,
     ageMs,
     leftMs,
-    requests: checkCount(requests, "waiting.requests"),
-    unreadTokens: checkCount(unreadTokens, "waiting.unreadTokens"),
+    requests: checkNonNegative(requests, "waiting.requests"),
+    unreadTokens: checkNonNegative(unreadTokens, "waiting.unreadTokens"),
   };
 }
 
@@ -129,18 +129,24 @@
  * all requests to the runner.
  */
 function unpackLoad(packed: PackedLoad): RunnerLoadEntry {
-  const [runner, inFlight, unreadTokens, workTokens, memoryTokens, tight] =
-    packed;
+  const [
+    runner,
+    inFlight,
+    unreadTokens,
+    workTokens,
+    memoryTokens,
+    tightStreams,
+  ] = packed;
   const [, , , , , , waiting, answered, failed] = packed;
   return {
     runner,
-    inFlight: checkCount(inFlight, "inFlight"),
-    unreadTokens: checkCount(unreadTokens, "unreadTokens"),
-    workTokens: checkCount(workTokens, "workTokens"),
-    memoryTokens: checkCount(memoryTokens, "memoryTokens"),
-    tight: checkCount(tight, "tight"),
-    answered: checkCount(answered, "answered"),
-    failed: checkCount(failed, "failed"),
+    inFlight: checkNonNegative(inFlight, "inFlight"),
+    unreadTokens: checkNonNegative(unreadTokens, "unreadTokens"),
+    workTokens: checkNonNegative(workTokens, "workTokens"),
+    memoryTokens: checkNonNegative(memoryTokens, "memoryTokens"),
+    tightStreams: checkNonNegative(tightStreams, "tight"),
+    answered: checkNonNegative(answered, "answered"),
+    failed: checkNonNegative(failed, "failed"),
     waiting: waiting.map(unpackWaiting),
   };
 }
@@ -185,8 +191,10 @@
 function unpackLimit([runner, agoMs, perS]: PackedLimit): LimitAge {
   return {
     runner: String(runner),
-    agoMs: checkCount(agoMs, "limits.agoMs"),
-    perS: perS === undefined ? undefined : checkCount(perS, "limits.perS"),
+    agoMs: checkNonNegative(agoMs, "limits.agoMs"),
+    perS: perS === undefined
+      ? undefined
+      : checkNonNegative(perS, "limits.perS"),
   };
 }
 
@@ -210,7 +218,7 @@
 function packOptionalFields(state: StateUpdate): PackedOptionalFields {
   const { crashes, limits, timeMs, usage, lease } = state;
   const fields: PackedOptionalFields = [
-    hasCrashes(crashes) ? packCrashes(crashes) : undefined,
+    hasReports(crashes) ? packCrashes(crashes) : undefined,
     limits.length === 0 ? undefined : limits.map(packLimit),
     timeMs,
     usage.length === 0 ? undefined : usage.map(packUsage),
@@ -229,21 +237,24 @@
 function unpackUsage([incarnation, window, packed]: PackedUsage): UsageCount {
   const counts: WorkspaceCount[] = [];
   for (let index = 0; index + 1 < packed.length; index += 2) {
-    const requests = checkCount(packed[index + 1] as number, "usage.counts");
+    const requests = checkNonNegative(
+      packed[index + 1] as number,
+      "usage.counts",
+    );
     counts.push([String(packed[index]), requests]);
   }
   return {
     incarnation: String(incarnation),
-    window: checkCount(window, "usage.window"),
+    window: checkNonNegative(window, "usage.window"),
     counts,
   };
 }
 
 function unpackLease([revision, holderId, agoMs]: PackedLease): LeaseAge {
   return {
-    revision: checkCount(revision, "lease.revision"),
+    revision: checkNonNegative(revision, "lease.revision"),
     holderId: String(holderId),
-    agoMs: checkCount(agoMs, "lease.agoMs"),
+    agoMs: checkNonNegative(agoMs, "lease.agoMs"),
   };
 }
 
@@ -263,14 +274,16 @@
     loads: loads.map(unpackLoad),
     parts: parts.map(unpackParts),
     members: {
-      fleet: checkCount(fleet, "members.fleet"),
-      domain: checkCount(domain, "members.domain"),
+      fleet: checkNonNegative(fleet, "members.fleet"),
+      domain: checkNonNegative(domain, "members.domain"),
     },
     contacts: unpackContacts(contacts),
     gone: gone.map(unpackDead),
     crashes: crashes === undefined ? NO_CRASHES : unpackCrashes(crashes),
     limits: limits.map(unpackLimit),
-    timeMs: timeMs === undefined ? undefined : checkCount(timeMs, "timeMs"),
+    timeMs: timeMs === undefined
+      ? undefined
+      : checkNonNegative(timeMs, "timeMs"),
     usage: usage.map(unpackUsage),
     lease: lease && unpackLease(lease),
   };
--- a/packages/router/src/connection/peer_link_test.ts
+++ b/packages/router/src/connection/peer_link_test.ts
@@ -72,7 +72,7 @@
       unreadTokens: 17_000,
       workTokens: 30_000,
       memoryTokens: 40_000,
-      tight: 0,
+      tightStreams: 0,
       answered: 70,
       failed: 9,
       waiting: [{
--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -169,10 +169,10 @@
     const { own, peers, random } = this.#context;
     return {
       waitMs: () => watchWaitMs([own, ...peers()], random()),
-      active: () =>
+      shouldRead: () =>
         peers().length === 0 || isWatcher(own, [own, ...peers()]) ||
         (!hasData() && this.#isUninformed(follower())),
-      untilActive: () => this.#checks.next(),
+      untilNextCheck: () => this.#checks.next(),
     };
   }
 
--- a/packages/router/src/process/autoscaler.ts
+++ b/packages/router/src/process/autoscaler.ts
@@ -90,7 +90,10 @@
     });
   }
 
-  recordNoneLeft({ service, failureDomain }: RunnerOrder, now: number): void {
+  recordNoRunnersLeft(
+    { service, failureDomain }: RunnerOrder,
+    now: number,
+  ): void {
     this.#depletedUntil.set(
       poolKey(service, failureDomain),
       now + UNAVAILABLE_DEPLETION_MS,
--- a/packages/router/src/process/feed.ts
+++ b/packages/router/src/process/feed.ts
@@ -69,9 +69,9 @@
    */
   waitMs(): number;
   /** Whether to read the store now. */
-  active(): boolean;
-  /** Resolves when {@linkcode active} should be checked again. */
-  untilActive(): Promise<void>;
+  shouldRead(): boolean;
+  /** Resolves when {@linkcode shouldRead} should be checked again. */
+  untilNextCheck(): Promise<void>;
 }
 
 /** Backoff in ms after the first failure; doubled up to the maximum. */
@@ -87,8 +87,8 @@
 /** Is notified when the store becomes unavailable, and when it responds again. */
 export interface ConnectivityListener {
   lost(reason: string): void;
-  /** @param afterMs duration of the failure, in ms. */
-  regained(afterMs: number): void;
+  /** @param outageMs duration of the failure, in ms. */
+  regained(outageMs: number): void;
 }
 
 /** Follows a feed until it is stopped, with a backoff after failures. */
@@ -134,8 +134,8 @@
   /** Follows the feed until {@linkcode stop} is called. */
   async run(): Promise<void> {
     while (!this.#stopped) {
-      if (this.#timing.active()) await this.#tryStep();
-      else await this.#timing.untilActive();
+      if (this.#timing.shouldRead()) await this.#tryStep();
+      else await this.#timing.untilNextCheck();
     }
   }
 
--- a/packages/router/src/process/feed_test.ts
+++ b/packages/router/src/process/feed_test.ts
@@ -54,8 +54,8 @@
       },
       timing: {
         waitMs: () => 1,
-        active: () => true,
-        untilActive: () => Promise.resolve(),
+        shouldRead: () => true,
+        untilNextCheck: () => Promise.resolve(),
       },
     });
     void follower.run();
@@ -131,8 +131,8 @@
     connectivity: { lost: () => follower.restartWatch(), regained() {} },
     timing: {
       waitMs: () => 1,
-      active: () => true,
-      untilActive: () => Promise.resolve(),
+      shouldRead: () => true,
+      untilNextCheck: () => Promise.resolve(),
     },
   });
   void follower.run();
@@ -161,8 +161,8 @@
     connectivity: { lost() {}, regained() {} },
     timing: {
       waitMs: () => 1,
-      active: () => true,
-      untilActive: () => Promise.resolve(),
+      shouldRead: () => true,
+      untilNextCheck: () => Promise.resolve(),
     },
   });
   void follower.run();
--- a/packages/router/src/process/load_totals.ts
+++ b/packages/router/src/process/load_totals.ts
@@ -22,7 +22,7 @@
   /** Most tokens that all requests in flight may hold in the KV cache. */
   readonly memoryTokens: number;
   /** Streams with a tight event-gap target. */
-  readonly tight: number;
+  readonly tightStreams: number;
 }
 
 /** Zero load. */
@@ -31,7 +31,7 @@
   unreadTokens: 0,
   workTokens: 0,
   memoryTokens: 0,
-  tight: 0,
+  tightStreams: 0,
   answered: 0,
   failed: 0,
 };
@@ -43,7 +43,7 @@
     unreadTokens: one.unreadTokens + other.unreadTokens,
     workTokens: one.workTokens + other.workTokens,
     memoryTokens: one.memoryTokens + other.memoryTokens,
-    tight: one.tight + other.tight,
+    tightStreams: one.tightStreams + other.tightStreams,
     answered: one.answered + other.answered,
     failed: one.failed + other.failed,
   };
@@ -56,7 +56,7 @@
     unreadTokens: one.unreadTokens - other.unreadTokens,
     workTokens: one.workTokens - other.workTokens,
     memoryTokens: one.memoryTokens - other.memoryTokens,
-    tight: one.tight - other.tight,
+    tightStreams: one.tightStreams - other.tightStreams,
     answered: one.answered - other.answered,
     failed: one.failed - other.failed,
   };
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -119,7 +119,7 @@
       unreadTokens: placed.unreadTokens,
       workTokens: placed.unreadTokens,
       memoryTokens: placed.memoryTokens,
-      tight: placed.tight ? 1 : 0,
+      tightStreams: placed.tight ? 1 : 0,
     });
   }
 
@@ -143,7 +143,7 @@
       inFlight: -1,
       workTokens: -placed.unreadTokens,
       memoryTokens: -placed.memoryTokens,
-      tight: placed.tight ? -1 : 0,
+      tightStreams: placed.tight ? -1 : 0,
     });
   }
 
--- a/packages/router/src/process/runner_load_test.ts
+++ b/packages/router/src/process/runner_load_test.ts
@@ -9,7 +9,7 @@
   unreadTokens: 50,
   workTokens: 70,
   memoryTokens: 90,
-  tight: 1,
+  tightStreams: 1,
   answered: 0,
   failed: 0,
 };
@@ -22,7 +22,7 @@
     unreadTokens: 100,
     workTokens: 100,
     memoryTokens: 120,
-    tight: 1,
+    tightStreams: 1,
     answered: 0,
     failed: 0,
   });
--- a/packages/router/src/process/runner_order.ts
+++ b/packages/router/src/process/runner_order.ts
@@ -27,7 +27,7 @@
     now: number,
   ): readonly RunnerOrder[];
   /** Records that the platform has no runners left for an order. */
-  recordNoneLeft(order: RunnerOrder, now: number): void;
+  recordNoRunnersLeft(order: RunnerOrder, now: number): void;
 }
 
 /** Whether both are for the same service, failure domain and kind. */
--- a/packages/router/src/request/admission.ts
+++ b/packages/router/src/request/admission.ts
@@ -38,8 +38,8 @@
  * Returns the factor by which a request's limits exceed those of the least
  * urgent rank.
  */
-export function urgencyFactor(ranksBelow: number): number {
-  return WORK_FACTOR_PER_RANK ** Math.min(MAX_RANK_STEPS, ranksBelow);
+export function urgencyFactor(lessUrgentRanks: number): number {
+  return WORK_FACTOR_PER_RANK ** Math.min(MAX_RANK_STEPS, lessUrgentRanks);
 }
 
 /**
@@ -64,12 +64,12 @@
   const load = fleet.loads.of(runner.id);
   const { workTokens, unreadTokens, inFlight, memoryTokens } = load.total;
   const ahead = load.queue.workAhead(demand.queueKey, fleet.now);
-  const { engine, ranksBelow } = demand;
-  const steps = Math.min(MAX_RANK_STEPS, ranksBelow);
+  const { engine, lessUrgentRanks } = demand;
+  const steps = Math.min(MAX_RANK_STEPS, lessUrgentRanks);
   const share = Math.min(1, FILL_SHARE + FILL_SHARE_PER_RANK * steps);
   const neededTokens = memoryTokens + demand.promptTokens +
     demand.maxOutputTokens;
-  const factor = urgencyFactor(ranksBelow);
+  const factor = urgencyFactor(lessUrgentRanks);
   return prefillMs(workTokens) > MAX_WORK_MS * factor ||
     prefillMs(unreadTokens + ahead.unreadTokens) > MAX_BACKLOG_MS * factor ||
     inFlight + ahead.requests >= share * engine!.slots ||
@@ -87,8 +87,8 @@
   demand: Demand,
   runner: Runner,
 ): boolean {
-  const { tight, unreadTokens } = fleet.loads.of(runner.id).total;
-  if (tight === 0) return false;
+  const { tightStreams, unreadTokens } = fleet.loads.of(runner.id).total;
+  if (tightStreams === 0) return false;
   const { prompt, promptTokens } = demand;
   const cached = fleet.prefixes.cachedTokens(runner.id, prompt, fleet.now);
   return prefillMs(unreadTokens + promptTokens - cached) > MAX_TIGHT_PREFILL_MS;
--- a/packages/router/src/request/admission_test.ts
+++ b/packages/router/src/request/admission_test.ts
@@ -42,7 +42,7 @@
     gapTargetMs: 400,
     queueKey: queueKeyOf(1, 0),
     awaitedRunner: undefined,
-    ranksBelow: 2,
+    lessUrgentRanks: 2,
     engine: {
       slots: SLOTS,
       memoryTokens: 500_000,
--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -12,7 +12,7 @@
 import type { ResponseHead } from "./dialect.ts";
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
-import { logRunnerChosen } from "./exchange_log.ts";
+import { logRunnerChosen } from "./decision_log.ts";
 import type { Outcome } from "./outcome.ts";
 import type { LocalOutcomes } from "./local_outcomes.ts";
 import type { RunnerChoice } from "./placement.ts";
--- a/packages/router/src/request/completion_check.ts
+++ b/packages/router/src/request/completion_check.ts
@@ -15,7 +15,7 @@
   /** Tokens that the caller expects in the response; 0 if it states none. */
   readonly outputTokens: number;
   /** Number of less urgent ranks. */
-  readonly ranksBelow: number;
+  readonly lessUrgentRanks: number;
   /**
    * Current milliseconds per token at the runner; `undefined` while unknown.
    */
@@ -37,7 +37,7 @@
  * @example
  * ```ts
  * finishesInTime({ remainingMs: 4_000, prefillTokens: 500, outputTokens: 200,
- *   msPerToken: 40, ranksBelow: 0 }); // false
+ *   msPerToken: 40, lessUrgentRanks: 0 }); // false
  * ```
  */
 export function finishesInTime(expected: ExpectedResponse): boolean {
@@ -46,9 +46,9 @@
     prefillTokens,
     outputTokens,
     msPerToken,
-    ranksBelow,
+    lessUrgentRanks,
   } = expected;
   if (msPerToken === undefined) return true;
   const neededMs = prefillMs(prefillTokens) + outputTokens * msPerToken;
-  return neededMs <= remainingMs * urgencyFactor(ranksBelow);
+  return neededMs <= remainingMs * urgencyFactor(lessUrgentRanks);
 }
--- a/packages/router/src/request/completion_check_test.ts
+++ b/packages/router/src/request/completion_check_test.ts
@@ -19,7 +19,7 @@
     remainingMs: 8_000,
     prefillTokens: 3_000,
     outputTokens: tokens,
-    ranksBelow: 0,
+    lessUrgentRanks: 0,
     msPerToken,
   };
 }
@@ -42,7 +42,7 @@
 test("an urgent response is not refused because of less urgent load", () => {
   const response = { ...responseOf(300, 40) };
   assert.equal(finishesInTime(response), false);
-  assert.equal(finishesInTime({ ...response, ranksBelow: 2 }), true);
+  assert.equal(finishesInTime({ ...response, lessUrgentRanks: 2 }), true);
 });
 
 test("no response is refused before a pace is known", () => {
--- a/packages/router/src/request/demand.ts
+++ b/packages/router/src/request/demand.ts
@@ -26,7 +26,7 @@
   /** Id of the runner that the request waits for. */
   readonly awaitedRunner: string | undefined;
   /** Number of less urgent ranks. */
-  readonly ranksBelow: number;
+  readonly lessUrgentRanks: number;
   /** Absent for a plain service. */
   readonly engine: Engine | undefined;
 }
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -8,7 +8,7 @@
 import type { RequestHead } from "./dialect.ts";
 import type { Caller } from "./caller.ts";
 import type { Daemon } from "./daemon.ts";
-import { logQuarantine } from "./exchange_log.ts";
+import { logQuarantine } from "./decision_log.ts";
 import { fingerprintOf } from "./fingerprint.ts";
 import { outcomeName } from "./outcome.ts";
 import type { Outcome } from "./outcome.ts";
--- a/packages/router/src/request/placement_test.ts
+++ b/packages/router/src/request/placement_test.ts
@@ -52,7 +52,7 @@
     gapTargetMs: 800,
     queueKey: { rank: 2, arrivedAt: 0, startBy: Infinity },
     awaitedRunner: undefined,
-    ranksBelow: 0,
+    lessUrgentRanks: 0,
     engine: ENGINE,
   };
 }
@@ -68,7 +68,7 @@
     targetMs: 300,
     gapTargetMs: 200,
     queueKey: { rank: 0, arrivedAt: 0, startBy: Infinity },
-    ranksBelow: 2,
+    lessUrgentRanks: 2,
   };
 }
 
--- a/packages/router/src/request/routed_request.ts
+++ b/packages/router/src/request/routed_request.ts
@@ -5,7 +5,7 @@
  */
 import type { IncomingMessage } from "node:http";
 import type { Route, Service, Workspace } from "../version/configuration.ts";
-import { destinationAt } from "../version/routing_table.ts";
+import { pickDestination } from "../version/routing_table.ts";
 import type { RoutingTable } from "../version/routing_table.ts";
 import type { RequestHead } from "./dialect.ts";
 import type { Refusal } from "./caller.ts";
@@ -30,7 +30,7 @@
   /** Rank by which an engine selects requests to preempt. */
   readonly preemptionRank: number;
   /** Number of less urgent ranks. */
-  readonly ranksBelow: number;
+  readonly lessUrgentRanks: number;
 }
 
 /**
@@ -59,7 +59,7 @@
   if (route === undefined) return { status: 404, code: "no_route" };
   const workspace = authenticate(table, route, head);
   if (workspace === "unknown") return { status: 401, code: "unknown_key" };
-  const name = destinationAt(route, daemon.random());
+  const name = pickDestination(route, daemon.random());
   const service = name === undefined ? undefined : table.service(name);
   if (service === undefined) {
     return {
@@ -77,7 +77,7 @@
     version: table.version,
     rank,
     preemptionRank: table.preemptionRank(route, workspace),
-    ranksBelow: table.ranksBelow(rank),
+    lessUrgentRanks: table.lessUrgentRanks(rank),
   };
 }
 
--- a/packages/router/src/request/runner_cost.ts
+++ b/packages/router/src/request/runner_cost.ts
@@ -180,7 +180,7 @@
     : AWAY_FROM_HOME_MS;
   const wrongPoolMs = wrongPoolCostMs(demand, reserved);
   const tightDelayMs = !tight && waitMs + ownPrefillMs > MAX_TIGHT_PREFILL_MS
-    ? DELAYED_TIGHT_STREAM_MS * load.total.tight
+    ? DELAYED_TIGHT_STREAM_MS * load.total.tightStreams
     : 0;
   const usedShare = load.total.inFlight / demand.engine!.slots;
   const batchMs = load.total.inFlight * BATCH_SLOWDOWN_MS +
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -12,7 +12,7 @@
   logCapacityWait,
   logLimitsReached,
   logOverload,
-} from "./exchange_log.ts";
+} from "./decision_log.ts";
 import { finishesInTime } from "./completion_check.ts";
 import { chooseRunner, hasCapacity } from "./placement.ts";
 import type { RunnerChoice } from "./placement.ts";
@@ -218,7 +218,7 @@
    * would.
    */
   #finishesInTime(choice: RunnerChoice, remainingMs: number): boolean {
-    const { head, service, ranksBelow } = this.#routed;
+    const { head, service, lessUrgentRanks } = this.#routed;
     if (service.engine === undefined) return true;
     const msPerToken = this.#daemon.streamPace(service.name)
       .msPerToken(choice.runner.id, this.#daemon.now());
@@ -229,7 +229,7 @@
         head.maxOutputTokens,
         head.expectedOutputTokens ?? 0,
       ),
-      ranksBelow,
+      lessUrgentRanks,
       msPerToken,
     });
   }
@@ -291,7 +291,7 @@
   }
 
   #demand(awaitedRunner?: string): Demand {
-    const { head, route, service, ranksBelow } = this.#routed;
+    const { head, route, service, lessUrgentRanks } = this.#routed;
     return {
       prompt: head.prompt,
       promptTokens: head.promptTokens,
@@ -302,7 +302,7 @@
       gapTargetMs: route.gapTargetMs,
       queueKey: this.#queueKey,
       awaitedRunner,
-      ranksBelow,
+      lessUrgentRanks,
       engine: service.engine,
     };
   }
--- a/packages/router/src/version/routing_table.ts
+++ b/packages/router/src/version/routing_table.ts
@@ -128,7 +128,7 @@
   }
 
   /** Number of classes of requests that are less urgent than a rank. */
-  ranksBelow(rank: number): number {
+  lessUrgentRanks(rank: number): number {
     return this.#urgencies.length - 1 - rank;
   }
 }
@@ -167,7 +167,10 @@
  *
  * @param point in [0, 1), from a random number generator.
  */
-export function destinationAt(route: Route, point: number): string | undefined {
+export function pickDestination(
+  route: Route,
+  point: number,
+): string | undefined {
   const total = route.destinations.reduce((sum, { weight }) => sum + weight, 0);
   let remaining = point * total;
   for (const { service, weight } of route.destinations) {
--- a/packages/router/src/version/routing_table_test.ts
+++ b/packages/router/src/version/routing_table_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Configuration, Route } from "./configuration.ts";
-import { destinationAt, RoutingTable } from "./routing_table.ts";
+import { pickDestination, RoutingTable } from "./routing_table.ts";
 
 function route(fields: Partial<Route>): Route {
   return {
@@ -70,7 +70,12 @@
     [quote, cutSheet].map((each) => table.rank(each, workspace))
   );
   assert.deepEqual(ranks, [0, 1, 2, 3]);
-  assert.deepEqual(ranks.map((rank) => table.ranksBelow(rank)), [3, 2, 1, 0]);
+  assert.deepEqual(ranks.map((rank) => table.lessUrgentRanks(rank)), [
+    3,
+    2,
+    1,
+    0,
+  ]);
   assert.equal(table.workspace("k")?.name, "w");
 });
 
@@ -99,7 +104,7 @@
     routes.map((each) => table.rank(each, workspace)),
     [0, 3],
   );
-  assert.deepEqual([0, 3].map((rank) => table.ranksBelow(rank)), [3, 0]);
+  assert.deepEqual([0, 3].map((rank) => table.lessUrgentRanks(rank)), [3, 0]);
 });
 
 test("requests are split by the weights of the destinations", () => {
@@ -109,7 +114,7 @@
       { service: "b", weight: 10 },
     ],
   });
-  assert.equal(destinationAt(split, 0.89), "a");
-  assert.equal(destinationAt(split, 0.91), "b");
-  assert.equal(destinationAt(route({}), 0.5), undefined);
+  assert.equal(pickDestination(split, 0.89), "a");
+  assert.equal(pickDestination(split, 0.91), "b");
+  assert.equal(pickDestination(route({}), 0.5), undefined);
 });
--- a/packages/router/tests/leader_test.ts
+++ b/packages/router/tests/leader_test.ts
@@ -176,7 +176,7 @@
     runners: 5,
   };
   let desired: readonly RunnerOrder[] = [order];
-  fixture.demand = { desiredOrders: () => desired, recordNoneLeft() {} };
+  fixture.demand = { desiredOrders: () => desired, recordNoRunnersLeft() {} };
   fixture.start("a");
   await fixture.clock.advance(FIRST_CALL_MS + 5_000);
   assert.deepEqual(fixture.api.orders, [order]);
