--- a/packages/daemon/src/process/placement/order_history.ts
+++ b/packages/daemon/src/process/placement/order_history.ts
@@ -20,7 +20,7 @@
 
 interface RecentOrder {
   readonly effect: "loading" | "unloaded" | "refused";
-  readonly until: number;
+  readonly expiresAt: number;
 }
 
 /**
@@ -54,8 +54,8 @@
     const retentionMs = effect === "refused"
       ? REFUSAL_RETENTION_MS
       : this.#reportLagMs;
-    const until = this.#clock.monotonic() + retentionMs;
-    orders.set(order.model, { effect, until });
+    const expiresAt = this.#clock.monotonic() + retentionMs;
+    orders.set(order.model, { effect, expiresAt });
     this.#recentOrders.set(key, orders);
   }
 
@@ -66,8 +66,8 @@
       new Map<string, RecentOrder>();
     const recentModels = (effect: RecentOrder["effect"]) =>
       new Set(
-        [...orders].filter(([, given]) =>
-          given.effect === effect && given.until > now
+        [...orders].filter(([, order]) =>
+          order.effect === effect && order.expiresAt > now
         ).map(([model]) => model),
       );
     const unloaded = recentModels("unloaded");
--- a/packages/daemon/src/process/placement/placement_plan.ts
+++ b/packages/daemon/src/process/placement/placement_plan.ts
@@ -77,15 +77,15 @@
 ): PlacementDecision | undefined {
   const holders = engines.filter(({ models }) => models.has(model));
   const loading = engines.filter(({ loading }) => loading.has(model));
-  const present = holders.length + loading.length;
-  const figures =
+  const total = holders.length + loading.length;
+  const reason =
     `wanted=${copies} holding=${holders.length} loading=${loading.length}`;
-  if (present < copies) {
+  if (total < copies) {
     const eligible = engines.filter((engine) => canLoad(engine, model));
     return toDecision(
       { order: "load", model },
       eligible.sort(byFewestModels),
-      figures,
+      reason,
     );
   }
   // A copy that is still loading may fail, so it does not count as a surplus.
@@ -95,7 +95,7 @@
   return toDecision(
     { order: "unload", model },
     removable.sort(byMostModels),
-    figures,
+    reason,
   );
 }
 
--- a/packages/daemon/src/process/placement/placement_task.ts
+++ b/packages/daemon/src/process/placement/placement_task.ts
@@ -166,11 +166,11 @@
     const { model, order, reason, runnersUp } = decision;
     const runner = runners().find(({ name }) => name === decision.runner);
     if (runner === undefined) return Effect.succeed(false);
-    const { orderHistory: memory, tenure } = term;
+    const { orderHistory, tenure } = term;
     return Effect.map(
       orders.send(runner, { order, model }, { tenure }),
       (outcome) => {
-        memory.record(runner, decision, outcome);
+        orderHistory.record(runner, decision, outcome);
         log.event("placement_decision", {
           service,
           order,
