--- a/packages/daemon/src/process/placement/placement_demand.ts
+++ b/packages/daemon/src/process/placement/placement_demand.ts
@@ -64,14 +64,14 @@
   readonly #membership: Membership;
   readonly #peers: Peers;
 
-  constructor(parts: {
+  constructor(dependencies: {
     readonly counter: LocalDemand;
     readonly membership: Membership;
     readonly peers: Peers;
   }) {
-    this.#local = parts.counter;
-    this.#membership = parts.membership;
-    this.#peers = parts.peers;
+    this.#local = dependencies.counter;
+    this.#membership = dependencies.membership;
+    this.#peers = dependencies.peers;
     this.#peers.handle(
       CHANNEL,
       () => Effect.sync(() => [...this.#local.counts()]),
--- a/packages/daemon/src/process/scheduling/broker_finder.ts
+++ b/packages/daemon/src/process/scheduling/broker_finder.ts
@@ -14,12 +14,12 @@
   #ranks: ReadonlyMap<string, readonly string[]> = new Map();
   #cacheKey = "";
 
-  constructor(parts: {
+  constructor(dependencies: {
     readonly membership: Membership | undefined;
     readonly directory: RunnerDirectory;
   }) {
-    this.#membership = parts.membership;
-    this.#directory = parts.directory;
+    this.#membership = dependencies.membership;
+    this.#directory = dependencies.directory;
   }
 
   /** This daemon's name; empty when it has no peers. */
--- a/packages/daemon/src/process/scheduling/broker_replies.ts
+++ b/packages/daemon/src/process/scheduling/broker_replies.ts
@@ -30,13 +30,13 @@
   readonly #log: Log;
   readonly #send: (entry: string, message: EntryMessage) => void;
 
-  constructor(service: string, parts: {
+  constructor(service: string, dependencies: {
     readonly log: Log;
     readonly send: (entry: string, message: EntryMessage) => void;
   }) {
     this.#service = service;
-    this.#log = parts.log;
-    this.#send = parts.send;
+    this.#log = dependencies.log;
+    this.#send = dependencies.send;
   }
 
   /** Logs and sends a new grant. */
--- a/packages/daemon/src/process/scheduling/cost_estimator.ts
+++ b/packages/daemon/src/process/scheduling/cost_estimator.ts
@@ -10,8 +10,8 @@
 
 const DEFAULT_OUTPUT_TOKENS = 100;
 /** Quantile of the output lengths that is the estimate. */
-const QUANTILE = 0.6;
-const STEP = 0.16;
+const OUTPUT_QUANTILE = 0.6;
+const QUANTILE_STEP = 0.16;
 const MAX_ENTRIES = 10_000;
 
 /** Cost of tokens served, in tokens of output. At least 1. */
@@ -21,12 +21,13 @@
 
 /** Tracks a decayed quantile of output lengths per workspace and class. */
 export class CostEstimator {
-  readonly #outputs = new Map<string, DecayedQuantile>();
+  readonly #outputQuantiles = new Map<string, DecayedQuantile>();
 
   /** Expected number of output tokens. */
   expectedOutputTokens(workspace: string, className: string): number {
-    return this.#outputs.get(keyOf(workspace, className))?.value ??
-      this.#outputs.get(keyOf("", className))?.value ?? DEFAULT_OUTPUT_TOKENS;
+    return this.#outputQuantiles.get(keyOf(workspace, className))?.value ??
+      this.#outputQuantiles.get(keyOf("", className))?.value ??
+      DEFAULT_OUTPUT_TOKENS;
   }
 
   /** Records the output length of a complete response. */
@@ -39,12 +40,14 @@
   }
 
   #observe(key: string, tokens: number): void {
-    let quantile = this.#outputs.get(key);
+    let quantile = this.#outputQuantiles.get(key);
     if (quantile === undefined) {
       // Names come from the table, but successive edits may introduce many.
-      if (this.#outputs.size >= MAX_ENTRIES) this.#outputs.clear();
-      quantile = new DecayedQuantile(QUANTILE, STEP);
-      this.#outputs.set(key, quantile);
+      if (this.#outputQuantiles.size >= MAX_ENTRIES) {
+        this.#outputQuantiles.clear();
+      }
+      quantile = new DecayedQuantile(OUTPUT_QUANTILE, QUANTILE_STEP);
+      this.#outputQuantiles.set(key, quantile);
     }
     quantile.observe(tokens);
   }
--- a/packages/daemon/src/process/scheduling/row_limits.ts
+++ b/packages/daemon/src/process/scheduling/row_limits.ts
@@ -11,7 +11,7 @@
 const MS_PER_SECOND = 1_000;
 
 /** Token buckets and requests in flight of one row. */
-interface Usage {
+interface RowUsage {
   requests: number;
   tokens: number;
   refilledAt: number;
@@ -20,7 +20,7 @@
 
 /** Applies each row's rate limits (token buckets) and limit of requests in flight. */
 export class RowLimits {
-  readonly #usage = new Map<string, Usage>();
+  readonly #usage = new Map<string, RowUsage>();
 
   /** Whether the row may start a request now. */
   admits(row: Row | undefined, now: number): boolean {
@@ -70,7 +70,7 @@
     return this.#usage.get(keyOf(key))?.inFlight ?? 0;
   }
 
-  #usageOf(row: Row, now: number): Usage {
+  #usageOf(row: Row, now: number): RowUsage {
     const key = keyOf(row);
     let usage = this.#usage.get(key);
     if (usage === undefined) {
--- a/packages/daemon/src/process/scheduling/runner_pool.ts
+++ b/packages/daemon/src/process/scheduling/runner_pool.ts
@@ -137,7 +137,7 @@
     if (!at.mayUseHeadroom && !this.#leavesHeadroom(at.now)) {
       return { _tag: "Busy" };
     }
-    return this.#chooseBest(ask, { available: available, now: at.now });
+    return this.#chooseBest(ask, { available, now: at.now });
   }
 
   #chooseBest(
--- a/packages/daemon/src/process/scheduling/runner_state.ts
+++ b/packages/daemon/src/process/scheduling/runner_state.ts
@@ -32,10 +32,10 @@
   readonly limit: SlotLimit;
   readonly ejection = new Ejection();
   readonly #held = new Map<string, GrantedSlot>();
-  readonly #byClass = new Map<string, number>();
+  readonly #countByClass = new Map<string, number>();
   #peak = 0;
   #previousPeak = 0;
-  #peakSince = 0;
+  #windowStartedAt = 0;
   #stepMs: number | undefined;
   #report: LoadReport | undefined;
 
@@ -63,13 +63,16 @@
 
   /** Classes of the requests at this runner. */
   get classes(): readonly string[] {
-    return [...this.#byClass.keys()];
+    return [...this.#countByClass.keys()];
   }
 
   hold(held: GrantedSlot): void {
     if (this.#held.has(held.askId)) return;
     this.#held.set(held.askId, held);
-    this.#byClass.set(held.class, (this.#byClass.get(held.class) ?? 0) + 1);
+    this.#countByClass.set(
+      held.class,
+      (this.#countByClass.get(held.class) ?? 0) + 1,
+    );
     this.#peak = Math.max(this.#peak, this.inFlight);
   }
 
@@ -77,9 +80,9 @@
     const held = this.#held.get(askId);
     if (held === undefined) return undefined;
     this.#held.delete(askId);
-    const remaining = (this.#byClass.get(held.class) ?? 1) - 1;
-    if (remaining > 0) this.#byClass.set(held.class, remaining);
-    else this.#byClass.delete(held.class);
+    const remaining = (this.#countByClass.get(held.class) ?? 1) - 1;
+    if (remaining > 0) this.#countByClass.set(held.class, remaining);
+    else this.#countByClass.delete(held.class);
     return held;
   }
 
@@ -128,8 +131,8 @@
   }
 
   #rotatePeakWindow(now: number): void {
-    if (now - this.#peakSince < LAG_WINDOW_MS) return;
-    this.#peakSince = now;
+    if (now - this.#windowStartedAt < LAG_WINDOW_MS) return;
+    this.#windowStartedAt = now;
     this.#previousPeak = this.#peak;
     this.#peak = this.inFlight;
   }
--- a/packages/daemon/src/process/scheduling/slot_ledger.ts
+++ b/packages/daemon/src/process/scheduling/slot_ledger.ts
@@ -24,14 +24,14 @@
   readonly #limits = new RowLimits();
   #rows: RowIndex;
 
-  constructor(parts: {
+  constructor(dependencies: {
     readonly pool: RunnerPool;
     readonly state: BrokerState;
     readonly table: Table;
   }) {
-    this.#pool = parts.pool;
-    this.#state = parts.state;
-    this.#rows = new RowIndex(parts.table);
+    this.#pool = dependencies.pool;
+    this.#state = dependencies.state;
+    this.#rows = new RowIndex(dependencies.table);
   }
 
   /** Applies a new table; its limits include requests already in flight. */
