--- a/packages/daemon/src/process/scheduling/broker_registry.ts
+++ b/packages/daemon/src/process/scheduling/broker_registry.ts
@@ -151,6 +151,7 @@
     this.#dependencies.reports.stopWatching(service);
   }
 
+  /** Validates and handles a message from a peer. */
   #receiveRaw(from: string, message: unknown): void {
     const parsed = parseBrokerMessage(message);
     if (parsed !== undefined) return this.receive(from, parsed);
--- a/packages/daemon/src/process/scheduling/cost_estimator.ts
+++ b/packages/daemon/src/process/scheduling/cost_estimator.ts
@@ -11,6 +11,7 @@
 const DEFAULT_OUTPUT_TOKENS = 100;
 /** Quantile of the output lengths that is the estimate. */
 const OUTPUT_QUANTILE = 0.6;
+/** Step of the quantile estimate per observation. */
 const QUANTILE_STEP = 0.16;
 const MAX_ENTRIES = 10_000;
 
--- a/packages/daemon/src/process/scheduling/messages.ts
+++ b/packages/daemon/src/process/scheduling/messages.ts
@@ -9,9 +9,9 @@
 import * as Exit from "effect/Exit";
 import * as Schema from "effect/Schema";
 
-/** Channel of messages from entries to brokers. */
+/** Channel for messages from entries to brokers. */
 export const TO_BROKER = "broker";
-/** Channel of messages from brokers to entries. */
+/** Channel for messages from brokers to entries. */
 export const TO_ENTRY = "entry";
 
 const MAX_NAME_LENGTH = 256;
--- a/packages/daemon/src/process/scheduling/service_rate.ts
+++ b/packages/daemon/src/process/scheduling/service_rate.ts
@@ -5,6 +5,7 @@
  */
 
 const WINDOW_MS = 1_000;
+/** Weight of a new window in the smoothed rate. */
 const SMOOTHING = 0.3;
 const MS_PER_SECOND = 1_000;
 
