--- a/packages/daemon/src/fleet.ts
+++ b/packages/daemon/src/fleet.ts
@@ -72,10 +72,10 @@
 
 function joinPeers(
   settings: Settings,
-  parts: { readonly log: Log; readonly digest: CompositeDigest },
+  dependencies: { readonly log: Log; readonly digest: CompositeDigest },
 ) {
   const { name, region, failureDomain, peers, platform } = settings;
-  const { log, digest } = parts;
+  const { log, digest } = dependencies;
   return Effect.gen(function* () {
     const hostList = yield* followHostList({
       url: platform.hostsUrl ?? platform.url,
@@ -142,13 +142,13 @@
   );
 }
 
-function followTable(parts: {
+function followTable(dependencies: {
   readonly store: Store;
   readonly node: CoordinationNode;
   readonly digest: CompositeDigest;
   readonly log: Log;
 }) {
-  const { store, node, digest, log } = parts;
+  const { store, node, digest, log } = dependencies;
   return Effect.gen(function* () {
     const published = new PublishedValue<unknown>({
       store,
--- a/packages/daemon/src/operator_resources.ts
+++ b/packages/daemon/src/operator_resources.ts
@@ -36,8 +36,8 @@
 const HTTP_BAD_REQUEST = 400;
 const HTTP_UNAVAILABLE = 503;
 
-function statusOf(parts: OperatorContext) {
-  const { settings, lifecycle, node, feed, directory } = parts;
+function statusOf(context: OperatorContext) {
+  const { settings, lifecycle, node, feed, directory } = context;
   const { ready, phase, reasons } = lifecycle.readiness();
   const { name, region, failureDomain, scheduler } = settings;
   return {
@@ -50,8 +50,8 @@
     reasons,
     scheduler,
     tableVersion: feed.current()?.version ?? 0,
-    requestsInFlight: parts.requests.inFlight,
-    callerConnections: parts.connections(),
+    requestsInFlight: context.requests.inFlight,
+    callerConnections: context.connections(),
     daemons: node.membership.view().members.length,
     runners: directory.all().length,
     platformCurrent: node.hostList.current(),
@@ -98,8 +98,8 @@
 }
 
 /** The resources of the operators' port. */
-export function operatorResources(parts: OperatorContext): OperatorResources {
-  const { lifecycle, metrics, decisions, directory } = parts;
+export function operatorResources(context: OperatorContext): OperatorResources {
+  const { lifecycle, metrics, decisions, directory } = context;
   return {
     "/healthz": () => jsonResponse({ healthy: true }),
     "/readyz": () => {
@@ -108,10 +108,10 @@
       return jsonResponse(readiness, status);
     },
     "/metrics": async () => ({ status: HTTP_OK, ...await metrics.render() }),
-    "/status": () => jsonResponse(statusOf(parts)),
+    "/status": () => jsonResponse(statusOf(context)),
     "/runners": () => jsonResponse({ runners: directory.all() }),
-    "/daemons": () => jsonResponse({ daemons: daemonsOf(parts) }),
-    "/table": () => jsonResponse(tableOf(parts)),
+    "/daemons": () => jsonResponse({ daemons: daemonsOf(context) }),
+    "/table": () => jsonResponse(tableOf(context)),
     "/decisions": (query) => {
       const requestId = query.get("request");
       if (requestId === null) {
--- a/packages/daemon/src/request/admission.ts
+++ b/packages/daemon/src/request/admission.ts
@@ -21,20 +21,20 @@
 import { routeOf } from "./route.ts";
 import type { Route } from "./route.ts";
 
-/** A request as it arrived. */
+/** A request as received, before any check. */
 export interface ArrivedRequest {
   readonly requestId: string;
   readonly request: IncomingMessage;
   readonly headers: readonly Header[];
-  /** An earlier answer on the same connection has not ended. */
+  /** Whether an earlier response on the same connection is still open. */
   readonly pipelined: boolean;
-  /** As many requests as may be held at once were held when it came. */
+  /** Whether the limit of concurrent requests was reached on arrival. */
   readonly overLimit: boolean;
   /** Epoch milliseconds. */
   readonly arrivedAt: number;
 }
 
-/** A request whose head is right; its body has not been read. */
+/** A request whose head is valid and whose body has not been read. */
 export interface AdmittedRequest {
   readonly route: Route;
   readonly table: TableVersion;
@@ -43,13 +43,13 @@
 
 const CONTINUE = /^100-continue$/i;
 
-/** Checks what the connection's protocol asks of a request. */
+/** Checks pipelining, the HTTP version, expectations and transfer codings. */
 function checkProtocol(
   { request, pipelined }: ArrivedRequest,
 ): Result<void, Problem> {
   if (pipelined) {
-    // Answers on one connection go out in order, so this one would wait for
-    // the whole of the one before it, holding a slot and its bytes.
+    // Responses on one connection are sent in order, so this one would wait for
+    // the end of the previous one, holding a slot and its buffered bytes.
     return err(problem(
       "pipelining_unsupported",
       "Cannot take a request before the answer to the one before it has ended",
@@ -74,8 +74,8 @@
   if (coding === undefined || coding.toLowerCase() === "chunked") {
     return ok(undefined);
   }
-  // With any other coding this end and one behind it could disagree on where
-  // the body stops, and a second request could be smuggled in it.
+  // With any other coding, the daemon and the runner could disagree on where the
+  // body ends, which allows request smuggling.
   return err(problem(
     "transfer_encoding_unsupported",
     `Cannot read transfer-encoding "${coding}": only "chunked" is supported`,
@@ -92,7 +92,7 @@
   return findPlainService(options.table, route.service);
 }
 
-/** Checks the head of a request against the table in force. */
+/** Checks the head of a request against the current table. */
 export function admit(
   arrival: ArrivedRequest,
   table: TableVersion | undefined,
@@ -119,7 +119,7 @@
   });
 }
 
-/** Makes the call of an admitted request and its body. */
+/** Builds the call of an admitted request and its body. */
 export function buildCall(
   admission: AdmittedRequest,
   body: Uint8Array,
--- a/packages/daemon/src/request/ask.ts
+++ b/packages/daemon/src/request/ask.ts
@@ -1,5 +1,5 @@
 /**
- * What a request asks of the scheduler, and what it is granted.
+ * Asks for slots at runners, and the grants and refusals that answer them.
  *
  * @module
  */
@@ -20,11 +20,11 @@
   readonly class: string;
   /** Prompt tokens, estimated from the body. */
   readonly promptTokens: number;
-  /** Bounds the output, when the caller gave a bound. */
+  /** Maximum number of output tokens, if the caller set one. */
   readonly maxTokens?: number;
-  /** Digest of the prompt's beginning, for prefix affinity. */
+  /** Digest of the prompt's prefix, for prefix affinity. */
   readonly prefixDigest?: string;
-  /** Epoch milliseconds after which the answer is of no use. */
+  /** Epoch milliseconds after which the response is useless. */
   readonly deadline: number;
   /** Names of runners that this request must not be given again. */
   readonly excluded: readonly string[];
@@ -34,9 +34,9 @@
 export interface Grant {
   readonly askId: string;
   readonly runner: Runner;
-  /** Epoch milliseconds after which the slot may not be used for a new send. */
+  /** Epoch milliseconds after which no new send may use the slot. */
   readonly expiresAt: number;
-  /** Gives the slot back. Later calls have no effect. */
+  /** Releases the slot. Later calls have no effect. */
   release(settlement: Settlement): void;
 }
 
@@ -50,6 +50,6 @@
     | "no_runner"
     | "leaving";
   readonly message: string;
-  /** When the caller should come back, in milliseconds. */
+  /** Suggested retry delay, in milliseconds. */
   readonly retryAfterMs: number;
 }
--- a/packages/daemon/src/request/attempt.ts
+++ b/packages/daemon/src/request/attempt.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt: a request sent to one runner, and its answer relayed.
+ * One attempt: sends a request to one runner and relays its response.
  *
  * @module
  */
@@ -30,7 +30,7 @@
 import { relayStream } from "./stream_relay.ts";
 import { relayBuffered } from "./buffered_relay.ts";
 
-/** What attempts need of the daemon. */
+/** Services that attempts use. */
 export interface AttemptServices {
   readonly connections: RunnerConnections;
   readonly clock: Clock;
@@ -40,7 +40,7 @@
   readonly crashPoints?: CrashPoints;
 }
 
-/** One caller's request on its way through its attempts. */
+/** The request, grant and deadlines of one attempt. */
 export interface AttemptInput {
   readonly call: Call;
   readonly reply: Reply;
@@ -55,11 +55,11 @@
 
 const EVENT_STREAM = "text/event-stream";
 
-/** Sends one request and relays its answer; resumes a stream that breaks. */
+/** Sends one request and relays its response; resumes interrupted streams. */
 export class Attempt {
   readonly #services: AttemptServices;
   readonly #input: AttemptInput;
-  /** What the attempt has cost and delivered so far. */
+  /** Token counts and timings so far. */
   readonly metrics: AttemptMetrics;
   #response: RunnerResponse | undefined;
   #sendCount = 0;
@@ -70,7 +70,7 @@
     this.metrics = new AttemptMetrics(target.call);
   }
 
-  /** Runs to the end. After interruption, `abandon` must be called. */
+  /** Runs the attempt to its end. After an interruption, call `abandon`. */
   run(): Effect.Effect<AttemptResult> {
     return Effect.gen({ self: this }, function* () {
       let end = yield* this.#send({});
@@ -88,8 +88,9 @@
   }
 
   /**
-   * Drops the connection and stops the run at the engine. Without the order
-   * an engine that keeps streams for a resume would run on for nobody.
+   * Closes the connection and cancels the run at the engine. Without the
+   * cancellation, an engine that keeps streams for a resume would go on
+   * generating tokens that are never read.
    */
   abandon(): void {
     this.#response?.destroy();
@@ -100,8 +101,8 @@
 
   #isResumable(): boolean {
     const { call } = this.#input;
-    // An engine that does not know of resumes takes one for a new request.
-    // For a request that may not be repeated that would be a second run.
+    // An engine without support for resumes treats one as a new request, which
+    // would run a non-repeatable request twice.
     return call.streamed && call.model !== undefined && call.repeatable;
   }
 
@@ -114,8 +115,8 @@
       if (crashPoints !== undefined) {
         yield* crashPoints.reached("send.before_bytes");
       }
-      // A daemon that was paused wakes with grants that the broker has given
-      // to others since; using one would overload the runner.
+      // While this daemon was paused, the broker may have granted its slots to
+      // others; sending under an expired grant would overload the runner.
       if (resume.offset === undefined && clock.monotonic() >= grantExpiresAt) {
         return notRun(
           "grant_expired",
@@ -143,11 +144,11 @@
           path: call.path,
           headers: requestHeaders(call, identity),
           body: call.body,
-          // A kept connection may have gone silent unseen: a quote sent on it
-          // would wait until its deadline for an engine that never got it. It
-          // may also have been closed, and its reset does not tell whether the
-          // request had arrived. A new connection has just been answered, and
-          // one that was refused is proof that nothing had arrived.
+          // A reused connection may have failed silently: a request sent on it
+          // would wait until its deadline for an engine that never received it.
+          // It may also have been closed, and a reset does not show whether the
+          // request had arrived. A new connection is known to work, and a
+          // refused connection proves that nothing has arrived.
           fresh: true,
         },
         limits,
@@ -166,7 +167,7 @@
     });
   }
 
-  /** Asks for the rest of a broken stream; `undefined` when there is none to have. */
+  /** Requests the rest of an interrupted stream; `undefined` if unavailable. */
   #resume(end: Lost): Effect.Effect<AttemptResult | undefined> {
     const { call, grant } = this.#input;
     return Effect.gen({ self: this }, function* () {
@@ -183,7 +184,7 @@
     });
   }
 
-  /** Whether the deadline passed before the answer began. */
+  /** Whether the deadline passed before the response started. */
   #isPastDeadline(): boolean {
     const { call, deadlineAt } = this.#input;
     if (!call.streamed || this.metrics.progress.tokens > 0) return false;
@@ -198,7 +199,7 @@
     if (!failure.mayHaveArrived) {
       return notRun("runner_unreachable", "The runner cannot be reached");
     }
-    // Nothing that still comes would be of use, so it is not asked for.
+    // After the deadline the rest of the stream is useless, so no resume follows.
     if (this.#isPastDeadline()) {
       return lost("deadline_passed", { outcome: "unknown", resumable: false });
     }
@@ -213,9 +214,9 @@
     response: RunnerResponse,
     expected: { readonly attemptId: string; readonly firstMs: number },
   ): Effect.Effect<AttemptResult> {
-    // Something between both ends may cross or delay answers; only the echo
-    // of this attempt's own id shows whose answer this is. Nothing of any
-    // other, its refusal included, may be believed or delivered.
+    // An intermediary may mix up or delay responses; only the echoed attempt id
+    // shows that a response belongs to this attempt. No part of any other
+    // response, not even its refusal, may be trusted or delivered.
     if (response.header("umbermast-attempt-id") !== expected.attemptId) {
       response.destroy();
       this.#services.connections.dropIdle(this.#input.grant.runner);
@@ -233,7 +234,7 @@
     if (streams && call.streamed && call.model !== undefined) {
       return catchDisconnect(this.#relayStream(response, expected.firstMs));
     }
-    // Asked for the rest of a stream, the engine gave something else.
+    // The engine answered a resume with something other than a stream.
     if (this.#sendCount > 1) {
       return Effect.succeed(notRun("runner_refused", "The stream is not held"));
     }
@@ -279,8 +280,9 @@
     const { call, reply } = this.#input;
     const { settings } = this.#services;
     return Effect.gen({ self: this }, function* () {
-      // An engine's own failure is told as such, so that a repeatable request
-      // can be tried elsewhere. A plain service's answers are all its own.
+      // An engine's 5xx counts as a failed attempt, so that a repeatable request
+      // can be retried at another runner. Responses of plain services are always
+      // forwarded, whatever their status.
       if (call.model !== undefined && response.status >= 500) {
         return lost("runner_failed", { outcome: "failed", resumable: false });
       }
--- a/packages/daemon/src/request/broker_link.ts
+++ b/packages/daemon/src/request/broker_link.ts
@@ -1,5 +1,5 @@
 /**
- * What this daemon tells the brokers.
+ * Sends this daemon's asks, heartbeats and snapshots to brokers.
  *
  * @module
  */
@@ -19,7 +19,7 @@
   PendingAsk,
 } from "./local_requests.ts";
 
-/** What a link works with. */
+/** Collaborators of the link. */
 export interface BrokerLinkDependencies {
   readonly requests: LocalRequests;
   readonly finder: BrokerFinder;
@@ -32,25 +32,25 @@
   readonly peers?: Peers;
 }
 
-/** Sends to brokers at other daemons and at this one. */
+/** Sends messages to brokers at other daemons and at this one. */
 export class BrokerLink {
   readonly #dependencies: BrokerLinkDependencies;
 
-  constructor(parts: BrokerLinkDependencies) {
-    this.#dependencies = parts;
+  constructor(dependencies: BrokerLinkDependencies) {
+    this.#dependencies = dependencies;
   }
 
-  /** Gives a sign of life, with counts that the broker sets against its books. */
+  /** Sends heartbeats with counts that the broker compares with its state. */
   heartbeat(broker: string): void {
     const services = this.#dependencies.requests.servicesAt(broker);
     const someService = this.#dependencies.directory.services()[0];
-    const asked = services.size === 0 && someService !== undefined
+    const probed = services.size === 0 && someService !== undefined
       ? [someService]
       : services;
-    for (const service of asked) {
-      const place = { broker, service };
-      const waiting = this.#dependencies.requests.pendingAt(place).length;
-      const held = this.#dependencies.requests.activeAt(place).length;
+    for (const service of probed) {
+      const target = { broker, service };
+      const waiting = this.#dependencies.requests.pendingAt(target).length;
+      const held = this.#dependencies.requests.activeAt(target).length;
       this.#sendExpectingReply(broker, {
         type: "beat",
         service,
@@ -60,9 +60,9 @@
     }
   }
 
-  /** Tells a place all that is there; what is not listed is gone. */
-  sendSnapshot(place: BrokeredService): void {
-    const held = this.#dependencies.requests.activeAt(place).map((
+  /** Sends a full snapshot; the broker drops asks and slots that it omits. */
+  sendSnapshot(target: BrokeredService): void {
+    const held = this.#dependencies.requests.activeAt(target).map((
       { ask, runner },
     ) => ({
       askId: ask.askId,
@@ -71,23 +71,23 @@
       class: ask.class,
       promptTokens: ask.promptTokens,
     }));
-    const waiting = this.#dependencies.requests.pendingAt(place).map((it) =>
-      it.ask.askId
+    const waiting = this.#dependencies.requests.pendingAt(target).map((entry) =>
+      entry.ask.askId
     );
-    const { service } = place;
-    this.send(place.broker, { type: "present", service, waiting, held });
+    const { service } = target;
+    this.send(target.broker, { type: "present", service, waiting, held });
   }
 
-  /** Asks for a slot, also again. */
+  /** Asks for a slot, or repeats an ask. */
   ask(pending: PendingAsk, excluded?: string): void {
     const { ask, epoch, broker } = pending;
-    const { deadline, ...told } = ask;
+    const { deadline, ...fields } = ask;
     const remainingMs = Math.max(0, deadline - this.#dependencies.clock.now());
     const rank = this.#dependencies.finder.rank(ask.service);
     const isBroker = rank.slice(0, 2).includes(broker);
     this.#sendExpectingReply(broker, {
       type: "ask",
-      ...told,
+      ...fields,
       epoch,
       remainingMs,
       waitedMs: this.#waitedMs(pending, remainingMs),
@@ -99,19 +99,19 @@
   }
 
   /**
-   * Milliseconds since the request arrived. A retry asks anew, so the time of
-   * its ask would send it to the end of the queue; what is left of the class's
-   * timeout tells how long its caller has waited.
+   * Returns the milliseconds since the request arrived. A retry makes a new ask,
+   * whose age would put it at the end of the queue, so the waiting time is
+   * derived from the remaining part of the class's timeout.
    */
   #waitedMs(pending: PendingAsk, remainingMs: number): number {
     const { ask, askedAt } = pending;
     const timeoutMs = this.#dependencies.table.current().classes
-      .find((it) => it.name === ask.class)?.timeoutMs ?? 0;
+      .find((entry) => entry.name === ask.class)?.timeoutMs ?? 0;
     const sinceAsk = this.#dependencies.clock.monotonic() - askedAt;
     return Math.max(0, sinceAsk, timeoutMs - remainingMs);
   }
 
-  /** Sends what the broker has to answer. */
+  /** Sends a message that the broker must reply to. */
   #sendExpectingReply(broker: string, message: BrokerMessage): void {
     if (broker !== this.#dependencies.finder.self) {
       this.#dependencies.replyTracker.requestSent(broker);
@@ -119,7 +119,7 @@
     this.send(broker, message);
   }
 
-  /** Sends to a broker, be it this daemon. */
+  /** Sends a message to a broker, which may be local. */
   send(broker: string, message: BrokerMessage): void {
     if (broker === this.#dependencies.finder.self) {
       return this.#dependencies.registry.receive(broker, message);
--- a/packages/daemon/src/request/brokered_scheduler.ts
+++ b/packages/daemon/src/request/brokered_scheduler.ts
@@ -1,9 +1,9 @@
 /**
- * Asks the broker of a service for a slot, wherever the broker is.
+ * Acquires slots from the broker of a service, local or remote.
  *
- * This daemon holds the truth about its own requests: what waits and what holds
- * a slot. The broker's state is a copy that is rebuilt from here whenever the
- * broker changes, forgets or falls silent.
+ * This daemon is authoritative for its own requests: which of them wait and
+ * which hold a slot. The broker's state is a copy that is rebuilt from here
+ * whenever the broker changes, loses its state or stops replying.
  *
  * @module
  */
@@ -35,18 +35,18 @@
 import { deadlinePassed, refusalOf } from "./refusals.ts";
 import type { Scheduler } from "./scheduler.ts";
 
-/** Beats while something waits at a broker: its silence is noticed by them. */
+/** Heartbeat interval while an ask waits at a broker, to detect its failure. */
 const HEARTBEAT_MS = 200;
-/** Beats while slots are only held there: a sign of life is enough. */
+/** Heartbeat interval while slots are only held, which needs only liveness. */
 const HELD_HEARTBEAT_MS = 2_000;
-/** A broker that answers no beat for this long is passed over by tier 0. */
+/** Time without a reply after which tier 0 skips a broker. */
 const REPLY_TIMEOUT_MS = 600;
-/** Each lower tier waits this much longer, so that higher ones fall back first. */
+/** Additional time per lower tier, so that higher tiers fall back first. */
 const REPLY_TIMEOUT_STEP_MS = 200;
 const MAX_REPLY_TIMEOUT_MS = 2_000;
 const RETRY_MS = 1_000;
 
-/** What the scheduler works with. */
+/** Collaborators of the scheduler. */
 export interface BrokeredDependencies {
   readonly registry: BrokerRegistry;
   readonly directory: RunnerDirectory;
@@ -58,7 +58,7 @@
   readonly membership?: Membership;
 }
 
-/** Gets slots from brokers. */
+/** Acquires slots from brokers. */
 export class BrokeredScheduler implements Scheduler {
   readonly #dependencies: BrokeredDependencies;
   readonly #finder: BrokerFinder;
@@ -66,35 +66,35 @@
   readonly #local = new LocalRequests();
   readonly #link: BrokerLink;
 
-  constructor(parts: BrokeredDependencies) {
-    this.#dependencies = parts;
+  constructor(dependencies: BrokeredDependencies) {
+    this.#dependencies = dependencies;
     this.#finder = new BrokerFinder({
-      membership: parts.membership,
-      directory: parts.directory,
+      membership: dependencies.membership,
+      directory: dependencies.directory,
     });
-    this.#replyTracker = new ReplyTracker(parts.clock);
+    this.#replyTracker = new ReplyTracker(dependencies.clock);
     this.#link = new BrokerLink({
-      ...parts,
+      ...dependencies,
       requests: this.#local,
       finder: this.#finder,
       replyTracker: this.#replyTracker,
     });
-    parts.registry.connectLocalEntry((message) =>
+    dependencies.registry.connectLocalEntry((message) =>
       this.#receive(this.#finder.self, message)
     );
   }
 
-  /** Serves answers and follows the view until the scope closes. */
+  /** Handles replies and membership changes until the scope closes. */
   start(): Effect.Effect<void, never, Scope.Scope> {
     return Effect.gen({ self: this }, function* () {
       const { peers, membership, log } = this.#dependencies;
       peers?.handle(TO_ENTRY, (from, message) =>
         Effect.sync(() => {
-          const read = parseEntryMessage(message);
-          if (read !== undefined) return this.#receive(from, read);
+          const parsed = parseEntryMessage(message);
+          if (parsed !== undefined) return this.#receive(from, parsed);
           log.warning("scheduler_message_malformed", { from });
         }));
-      const ends = [
+      const subscriptions = [
         membership?.subscribe(() => this.#reassign()),
         peers?.subscribe((peer, state) => {
           if (state === "up") this.#resyncAll(peer);
@@ -102,7 +102,7 @@
       ];
       yield* Effect.addFinalizer(() =>
         Effect.sync(() => {
-          for (const end of ends) end?.();
+          for (const unsubscribe of subscriptions) unsubscribe?.();
         })
       );
       yield* Effect.forkScoped(this.#sendHeartbeats());
@@ -117,8 +117,8 @@
         ask,
         askedAt: this.#now,
         resume,
-        // The caller gets its final answer at the deadline whatever happens to
-        // the broker meanwhile.
+        // The caller gets its final response at the deadline, even if the broker
+        // fails meanwhile.
         timer: setTimeout(() => this.#expire(pending), left),
         epoch: 1,
         broker: this.#brokerFor(ask),
@@ -134,16 +134,17 @@
   }
 
   #sendHeartbeats(): Effect.Effect<never> {
-    let beats = 0;
+    let count = 0;
     return Effect.forever(Effect.gen({ self: this }, function* () {
       yield* Effect.sleep(HEARTBEAT_MS);
       this.#reassign();
-      beats += 1;
-      const all = beats % (HELD_HEARTBEAT_MS / HEARTBEAT_MS) === 0;
+      count += 1;
+      const all = count % (HELD_HEARTBEAT_MS / HEARTBEAT_MS) === 0;
       const brokers = all
         ? this.#local.brokers()
         : this.#local.brokersWithPending();
-      // A silent one is asked on, so that its return is noticed.
+      // Brokers whose replies are overdue still get heartbeats, to detect their
+      // recovery.
       for (
         const broker of new Set([
           ...brokers,
@@ -155,49 +156,52 @@
     }));
   }
 
-  /** Moves what is at a daemon that is no longer the one to ask. */
+  /** Moves asks and slots whose broker has changed to the new broker. */
   #reassign(): void {
     const members = this.#dependencies.membership?.view().members ?? [];
-    this.#replyTracker.retain(new Set(members.map((it) => it.member.name)));
-    const left = new BrokeredServiceSet();
-    const reached = new BrokeredServiceSet();
-    const move = (it: PendingAsk | ActiveSlot): boolean => {
-      const broker = this.#brokerFor(it.ask);
-      const { service } = it.ask;
-      if (broker === it.broker) return false;
-      left.add({ broker: it.broker, service });
-      reached.add({ broker, service });
-      it.broker = broker;
+    this.#replyTracker.retain(
+      new Set(members.map((entry) => entry.member.name)),
+    );
+    const previous = new BrokeredServiceSet();
+    const current = new BrokeredServiceSet();
+    const move = (entry: PendingAsk | ActiveSlot): boolean => {
+      const broker = this.#brokerFor(entry.ask);
+      const { service } = entry.ask;
+      if (broker === entry.broker) return false;
+      previous.add({ broker: entry.broker, service });
+      current.add({ broker, service });
+      entry.broker = broker;
       return true;
     };
-    const asked = [...this.#local.pending.values()].filter(move);
-    for (const it of this.#local.active.values()) move(it);
-    // What is in use goes before what waits: a broker that hears of the waiting
-    // first would grant them slots that are in use.
-    for (const place of reached.all()) this.#link.sendSnapshot(place);
-    for (const pending of asked) this.#askAgain(pending);
-    for (const place of left.all()) this.#link.sendSnapshot(place);
+    const moved = [...this.#local.pending.values()].filter(move);
+    for (const entry of this.#local.active.values()) move(entry);
+    // Slots in use are sent before asks: a broker that received the asks first
+    // would grant them slots that are in use.
+    for (const target of current.all()) this.#link.sendSnapshot(target);
+    for (const pending of moved) this.#askAgain(pending);
+    for (const target of previous.all()) this.#link.sendSnapshot(target);
   }
 
   /**
-   * The daemon to ask: the broker, or the first of its successors that answers.
-   * A higher tier passes a silent one over earlier, so that it is not behind
-   * lower ones at the successor.
+   * Returns the daemon to ask: the broker, or its successor if the broker does
+   * not reply, or this daemon if neither does. A higher tier skips an
+   * unresponsive broker earlier, so that its asks are not queued behind those of
+   * lower tiers at the successor.
    */
   #brokerFor(ask: Ask): string {
     const [first, second] = this.#finder.rank(ask.service);
-    const patience = this.#replyTimeoutMs(ask.class);
-    const answers = (name: string) =>
+    const timeoutMs = this.#replyTimeoutMs(ask.class);
+    const isResponsive = (name: string) =>
       name === this.#finder.self ||
-      !this.#replyTracker.isOverdue(name, patience);
-    if (first !== undefined && answers(first)) return first;
-    if (second !== undefined && answers(second)) return second;
+      !this.#replyTracker.isOverdue(name, timeoutMs);
+    if (first !== undefined && isResponsive(first)) return first;
+    if (second !== undefined && isResponsive(second)) return second;
     return this.#finder.self;
   }
 
   #replyTimeoutMs(className: string): number {
     const tier = this.#dependencies.table.current().classes
-      .find((it) => it.name === className)?.tier ?? MAX_REPLY_TIMEOUT_MS;
+      .find((entry) => entry.name === className)?.tier ?? MAX_REPLY_TIMEOUT_MS;
     return Math.min(
       MAX_REPLY_TIMEOUT_MS,
       REPLY_TIMEOUT_MS + tier * REPLY_TIMEOUT_STEP_MS,
@@ -218,17 +222,17 @@
   }
 
   #handleGrant(from: string, message: GrantMessage): void {
-    const using = this.#local.active.get(message.askId);
-    // The same grant again: the broker did not know that it had arrived.
-    if (using?.runner === message.runner && using.broker === from) return;
+    const slot = this.#local.active.get(message.askId);
+    // A repeated grant: the broker did not know that the first one had arrived.
+    if (slot?.runner === message.runner && slot.broker === from) return;
     const pending = this.#local.pending.get(message.askId);
     if (pending?.broker !== from || pending.epoch !== message.epoch) {
       return this.#returnSlot(from, message);
     }
     const runner = this.#dependencies.directory.find(message.runner);
     if (runner === undefined || runner.state === "leaving") {
-      // The broker does not know yet that the runner leaves; it must get
-      // nothing new, so the slot goes back and the ask is made again.
+      // The broker does not know yet that the runner is leaving. The runner must
+      // get no new requests, so the slot is returned and the ask repeated.
       this.#returnSlot(from, message);
       return this.#askAgain(pending, message.runner);
     }
@@ -257,18 +261,18 @@
     );
   }
 
-  /** Tells a broker that a slot it granted is not wanted here. */
+  /** Returns an unused slot to the broker that granted it. */
   #returnSlot(broker: string, grant: GrantMessage): void {
     const { service, askId } = grant;
     this.#link.send(broker, { type: "withdraw", service, askId });
   }
 
   #release(askId: string, settlement: Settlement): void {
-    const using = this.#local.active.get(askId);
-    if (using === undefined) return;
+    const slot = this.#local.active.get(askId);
+    if (slot === undefined) return;
     this.#local.active.delete(askId);
-    const { service } = using.ask;
-    this.#link.send(using.broker, {
+    const { service } = slot.ask;
+    this.#link.send(slot.broker, {
       type: "release",
       service,
       askId,
@@ -293,20 +297,20 @@
     this.#local.pending.delete(pending.ask.askId);
   }
 
-  /** A link is back, and may have lost what was under way. */
+  /** Resends everything to a reconnected broker, since messages may be lost. */
   #resyncAll(broker: string): void {
     for (const service of this.#local.servicesAt(broker)) {
       this.#resync({ broker, service });
     }
   }
 
-  /** Presents all that is at a place and asks anew for what waits there. */
-  #resync(place: BrokeredService): void {
-    this.#link.sendSnapshot(place);
-    for (const pending of this.#local.pendingAt(place)) this.#link.ask(pending);
+  /** Sends a snapshot to a brokered service and repeats the asks that wait. */
+  #resync(target: BrokeredService): void {
+    this.#link.sendSnapshot(target);
+    for (const entry of this.#local.pendingAt(target)) this.#link.ask(entry);
   }
 
-  /** Asks again; an answer to the former ask is not taken any more. */
+  /** Repeats an ask in a new epoch; replies to the earlier ask are ignored. */
   #askAgain(pending: PendingAsk, excluded?: string): void {
     pending.epoch += 1;
     this.#link.ask(pending, excluded);
--- a/packages/daemon/src/request/buffered_relay.ts
+++ b/packages/daemon/src/request/buffered_relay.ts
@@ -1,5 +1,5 @@
 /**
- * Passes a whole answer on to the caller once it is known to be complete.
+ * Relays a non-streamed response to the caller once it is known to be complete.
  *
  * @module
  */
@@ -13,12 +13,12 @@
 import type { Call, CallerGone, Header, Reply, ResponseHead } from "./call.ts";
 import { parseJson, type Usage, usageOf } from "./usage.ts";
 
-/** How the relay of a whole answer ended. */
+/** How the relay of a non-streamed response ended. */
 export type BufferedResult =
   | { readonly _tag: "Whole"; readonly usage: Usage }
   | { readonly _tag: "Cut"; readonly reason: "reset" | "silent" | "no-end" };
 
-/** What a relay needs besides the answer. */
+/** Collaborators and limits of the relay. */
 export interface BufferedRelayContext {
   readonly call: Call;
   readonly reply: Reply;
@@ -28,10 +28,11 @@
 const NO_USAGE: Usage = { promptTokens: undefined, outputTokens: undefined };
 
 /**
- * Reads up to `heldAnswerBytes` before the caller sees anything, so that a
- * broken answer can still be replaced or told as an error. A longer answer is
- * passed on as it comes; when that one breaks, the caller's connection breaks
- * too, and the declared length or the missing last chunk shows it.
+ * Buffers up to `heldAnswerBytes` before anything is sent to the caller, so that
+ * an interrupted response can still be replaced by a retry or an error. A longer
+ * response is relayed as it arrives; if it is interrupted, the caller's
+ * connection is closed too, and the caller detects the truncation by the
+ * declared length or the missing last chunk.
  */
 export function relayBuffered(
   response: RunnerResponse,
@@ -97,10 +98,10 @@
 }
 
 /**
- * An answer that neither declares its length nor ends in a last chunk ends
- * when the connection closes, which a crash looks like too. It counts as whole
- * only if it is JSON that parses. An engine's JSON is always parsed: it holds
- * the usage.
+ * Checks that a response is complete. One that neither declares its length nor
+ * ends in a last chunk ends when the connection closes, which also happens when
+ * the runner crashes; it counts as complete only if it is valid JSON. JSON of an
+ * engine is always parsed, since it contains the usage.
  */
 function checkComplete(
   response: RunnerResponse,
@@ -123,7 +124,7 @@
   return response.header("transfer-encoding")?.includes("chunked") === true;
 }
 
-/** Gives the exact length, so that the caller can check the answer too. */
+/** Adds the exact length, so that the caller can detect a truncated response. */
 function headWithLength(
   response: RunnerResponse,
   body: Buffer,
--- a/packages/daemon/src/request/call_state.ts
+++ b/packages/daemon/src/request/call_state.ts
@@ -1,5 +1,5 @@
 /**
- * A call's way through its attempts.
+ * The state of a call across its attempts.
  *
  * @module
  */
@@ -8,19 +8,19 @@
 import type { Call, CallResult, ExecutionOutcome, Reply } from "./call.ts";
 import type { Lost, NotRun } from "./outcome.ts";
 
-/** Why a call may not be sent, and the answer that its caller gets instead. */
+/** A call that may not be sent, with the response that its caller gets instead. */
 export interface Denial {
   readonly _tag: "Denial";
   respond(reply: Reply): Effect.Effect<CallResult>;
 }
 
-/** Conditions of one call beyond those of all calls. */
+/** Decides whether a call may be sent. */
 export interface SendGuard {
-  /** Asked while a slot is held, right before each send. */
+  /** Evaluated immediately before each send, while a slot is held. */
   readonly permit: Effect.Effect<void, Denial>;
 }
 
-/** What is known of a call between its attempts. */
+/** Mutable state of a call that is kept between its attempts. */
 export interface CallState {
   readonly call: Call;
   readonly reply: Reply;
@@ -28,16 +28,16 @@
   /** Monotonic milliseconds. */
   readonly deadlineAt: number;
   outcome: ExecutionOutcome;
-  /** Attempts that may have reached a runner, or were refused by one. */
+  /** Attempts that may have reached a runner or were refused by it. */
   attempts: number;
-  /** Slots asked for. */
+  /** Slots requested so far. */
   askCount: number;
   excluded: readonly string[];
-  /** End of the attempt before, when it was not the call's end. */
+  /** Result of the previous attempt; `undefined` before the first retry. */
   last: NotRun | Lost | undefined;
 }
 
-/** Counts a further ask of the call, and gives it an id of its own. */
+/** Builds the next ask of the call, with its own id, and counts it. */
 export function nextAsk(state: CallState): Ask {
   const { call } = state;
   state.askCount += 1;
--- a/packages/daemon/src/request/caller_requests.ts
+++ b/packages/daemon/src/request/caller_requests.ts
@@ -1,5 +1,5 @@
 /**
- * Serves callers' requests, each in a fibre of its own.
+ * Serves callers' requests, each in its own fiber.
  *
  * @module
  */
@@ -25,32 +25,32 @@
 import { modelList } from "./model_list.ts";
 import { problem, rawResponse } from "./problems.ts";
 
-/** Counts ended requests. */
+/** Observes the ends of requests, for metrics. */
 export interface RequestObserver {
-  /** A call that was run has ended. */
+  /** Reports the result of a call. */
   callEnded(
     call: Call,
     options: {
       readonly ending: CallResult;
-      /** Epoch milliseconds of the answer's head; undefined without one. */
+      /** Epoch milliseconds of the response's head; undefined without one. */
       readonly headersSentAt: number | undefined;
     },
   ): void;
-  /** A request was refused before it became a call. */
+  /** Reports a request that was refused before it became a call. */
   requestRefused(problem: Problem): void;
-  /** A connection beyond the limit was closed. */
+  /** Reports a connection that was closed because of the connection limit. */
   connectionDropped(): void;
 }
 
-/** What serving needs from the process. */
+/** Collaborators and limits of the request handler. */
 export interface CallerDependencies {
   readonly runner: CallRunner;
   readonly limits: CallerLimits;
   readonly log: Log;
   readonly observer: RequestObserver;
-  /** The table in force; undefined until one has been read. */
+  /** The current table; undefined until one has been read. */
   readonly table: () => TableVersion | undefined;
-  /** Whether the daemon is leaving and takes no new requests. */
+  /** Whether the daemon is shutting down and takes no new requests. */
   readonly isShuttingDown: () => boolean;
 }
 
@@ -59,7 +59,7 @@
   readonly reply: HttpReply;
 }
 
-/** What an ending shows in the log. */
+/** Builds the log fields of a call's result. */
 function resultFields(ending: CallResult) {
   if (ending._tag === "Complete") {
     return { outcome: "complete", status: ending.status };
@@ -86,21 +86,21 @@
     this.#dependencies = environment;
   }
 
-  /** Requests being served. */
+  /** Number of requests being served. */
   get inFlight(): number {
     return this.#active.size;
   }
 
-  /** Ends when no request is being served. */
+  /** Completes when no request is being served. */
   readonly idle: Effect.Effect<void> = this.#active.whenEmpty;
 
-  /** Interrupts every request; each answer gets a broken end. */
+  /** Interrupts every request; each open response is aborted. */
   interruptAll(): void {
     this.#stopped = true;
     for (const { fiber } of this.#active) fiber.interruptUnsafe();
   }
 
-  /** Gives a broken end to answers whose fibres cannot be interrupted. */
+  /** Aborts the responses of requests whose fibers cannot be interrupted. */
   abandonAll(): void {
     for (const { reply } of this.#active) this.#abandon(reply);
   }
@@ -127,9 +127,9 @@
     const fiber = Effect.runFork(this.#handle(arrival, reply));
     const held = { fiber, reply };
     this.#active.add(held);
-    // The caller has left: what it asked for is of no use, so the fibre is
-    // interrupted at once and with it the engine's work. A write that gave up
-    // on a slow caller fails by itself and says so.
+    // When the caller disconnects, the fiber is interrupted immediately, which
+    // also cancels the engine's work. A write that times out on a slow caller
+    // fails by itself with that reason.
     response.once("close", () => {
       if (response.writableFinished || reply.gone?.reason === "slow") return;
       fiber.interruptUnsafe();
@@ -232,7 +232,7 @@
     });
   }
 
-  /** The fibre ended without an ending: it was interrupted, or has a fault. */
+  /** Handles a fiber that was interrupted or failed with a defect. */
   #handleFailure(
     arrival: ArrivedRequest,
     { reply, cause }: {
@@ -252,7 +252,7 @@
     this.#abandon(reply);
   }
 
-  /** What an interruption means: the caller has left, or the daemon stops. */
+  /** Result of an interrupted call: the caller disconnected, or the daemon stops. */
   #interruptionResult(reply: HttpReply): CallResult {
     if (this.#stopped) {
       return { _tag: "Ended", problem: this.#unfinishedProblem(reply) };
--- a/packages/daemon/src/request/fifo_scheduler.ts
+++ b/packages/daemon/src/request/fifo_scheduler.ts
@@ -1,5 +1,5 @@
 /**
- * Baseline: one queue a daemon, first come first served, least reported load.
+ * Baseline scheduler: one FIFO queue per service, least reported load.
  *
  * @module
  */
@@ -25,7 +25,7 @@
   readonly timer: NodeJS.Timeout;
 }
 
-/** What the FIFO scheduler works with. */
+/** Collaborators of the FIFO scheduler. */
 export interface FifoDependencies {
   readonly directory: RunnerDirectory;
   readonly reports: LoadReports;
@@ -34,21 +34,21 @@
   readonly log: Log;
 }
 
-/** Serves asks in order of arrival at the runner with the least reported load. */
+/** Grants asks in order of arrival at the runner with the least reported load. */
 export class FifoScheduler implements Scheduler {
   readonly #dependencies: FifoDependencies;
   readonly #queues = new Map<string, WaitingAsk[]>();
-  /** Own requests in flight, by runner. */
+  /** This daemon's requests in flight, by runner. */
   readonly #inFlight = new Map<string, number>();
-  /** Own grants since the runner's last report, by runner. */
+  /** This daemon's grants since the runner's last load report, by runner. */
   readonly #sinceReport = new Map<string, number>();
 
-  constructor(parts: FifoDependencies) {
-    this.#dependencies = parts;
-    parts.directory.subscribe(() => this.#drainAll());
-    parts.reports.subscribe((runner) => {
+  constructor(dependencies: FifoDependencies) {
+    this.#dependencies = dependencies;
+    dependencies.directory.subscribe(() => this.#drainAll());
+    dependencies.reports.subscribe((runner) => {
       this.#sinceReport.delete(runner);
-      const found = parts.directory.find(runner);
+      const found = dependencies.directory.find(runner);
       if (found !== undefined) this.#drain(found.service);
     });
   }
@@ -76,12 +76,12 @@
   }
 
   #queueOf(service: string): WaitingAsk[] {
-    const known = this.#queues.get(service);
-    if (known !== undefined) return known;
-    const made: WaitingAsk[] = [];
-    this.#queues.set(service, made);
+    const existing = this.#queues.get(service);
+    if (existing !== undefined) return existing;
+    const created: WaitingAsk[] = [];
+    this.#queues.set(service, created);
     this.#dependencies.reports.watch(service);
-    return made;
+    return created;
   }
 
   #remove(waiting: WaitingAsk): void {
@@ -113,8 +113,9 @@
 
   #leastLoaded(ask: Ask): Runner | "none" | "busy" {
     const { directory, table } = this.#dependencies;
-    const slots = table.current().services.find((it) => it.name === ask.service)
-      ?.slotsPerRunner ?? DEFAULT_SLOTS;
+    const slots =
+      table.current().services.find((entry) => entry.name === ask.service)
+        ?.slotsPerRunner ?? DEFAULT_SLOTS;
     const live = directory.runners(ask.service).filter((runner) =>
       runner.state === "live" && !ask.excluded.includes(runner.name)
     );
--- a/packages/daemon/src/request/idempotent_call_runner.ts
+++ b/packages/daemon/src/request/idempotent_call_runner.ts
@@ -1,5 +1,5 @@
 /**
- * Runs calls that may not be repeated and carry an idempotency key.
+ * Runs calls that are not repeatable and carry an idempotency key.
  *
  * @module
  */
@@ -21,7 +21,7 @@
 import type { Denial } from "./call_state.ts";
 import type { RetryingCallRunner } from "./retrying_call_runner.ts";
 
-/** What the runner needs of the daemon. */
+/** Services that the idempotent call runner uses. */
 export interface IdempotentServices {
   readonly claims: Claims;
   readonly log: Log;
@@ -29,25 +29,25 @@
   readonly crashPoints?: CrashPoints;
 }
 
-/** Marks an answer that was made for an earlier try. */
+/** Marks a response that was stored for an earlier request with the same key. */
 const REPLAYED_HEADER = { name: "idempotent-replayed", value: "true" };
 
-/** Tries to claim a key again, and the pause between them in milliseconds. */
+/** Attempts to claim a key again, and the pause between them in milliseconds. */
 const MAX_RECLAIMS = 3;
 const RECLAIM_PAUSE_MS = 100;
 
-/** Wait that is suggested while the first try is still running, in milliseconds. */
+/** Suggested retry delay while the first request is running, in milliseconds. */
 const RUNNING_RETRY_MS = 1_000;
 
 /**
  * Claims the key of a call before its send, in this order: claim; acquire a
- * slot; send; deliver; settle the claim. A key is claimed before the slot is
- * asked for, so that a second try gets the first's answer, or hears that it may
- * have run, also when no slot is free.
+ * slot; send; deliver; settle the claim. The key is claimed before a slot is
+ * requested, so that a second request with the same key gets the first one's
+ * response, or the error that it may have run, even when no slot is free.
  *
- * Calls that may be repeated, or have no key, pass straight through: without a
- * key nothing ties a second try to the first, so all that can be promised is
- * that this try is sent once.
+ * Repeatable calls and calls without a key are passed on unchanged: without a
+ * key nothing links a second request to the first, so the only guarantee is
+ * that this request is sent once.
  */
 export class IdempotentCallRunner implements CallRunner {
   readonly #runner: RetryingCallRunner;
@@ -89,7 +89,7 @@
   }
 }
 
-/** The claim of one call, renewed when the send comes late. */
+/** The claim of one call, renewed when it expires before the send. */
 class CallClaim {
   readonly #call: Call;
   readonly #services: IdempotentServices;
@@ -124,10 +124,10 @@
   }
 
   /**
-   * Lets the send start only under a fresh claim. A process that was paused, or
-   * whose request waited long for a slot, may hold a claim that has aged out,
-   * and a second try may have claimed the key since: sending would make two
-   * runs. The old claim is given back and a new one decides.
+   * Allows the send only under a claim that has not expired. If the process was
+   * paused, or the request waited long for a slot, the claim may have expired
+   * and a second request may have claimed the key since: sending would run the
+   * call twice. The old claim is released and a new one is requested.
    */
   ensureFresh(): Effect.Effect<void, Denial> {
     return Effect.suspend(() => {
@@ -140,7 +140,7 @@
     });
   }
 
-  /** The claim given back may still be on its way out of the store. */
+  /** Claims again, with retries: the store may not have removed the old claim yet. */
   #reclaim(): Effect.Effect<void, Denial> {
     return Effect.gen({ self: this }, function* () {
       for (let tries = 1; tries < MAX_RECLAIMS; tries++) {
@@ -167,7 +167,7 @@
   }
 }
 
-/** Keys are a workspace's own, for each service. */
+/** Scopes an idempotency key to its workspace and service. */
 function keyOf(call: Call): string {
   return JSON.stringify([call.workspace, call.service, call.idempotencyKey]);
 }
--- a/packages/daemon/src/request/local_requests.ts
+++ b/packages/daemon/src/request/local_requests.ts
@@ -1,19 +1,19 @@
 /**
- * This daemon's own requests at the brokers: what waits and what holds a slot.
+ * This daemon's own requests at brokers: waiting asks and slots in use.
  *
  * @module
  */
 import type * as Effect from "effect/Effect";
 import type { Ask, Grant, Refusal } from "./ask.ts";
 
-/** An ask that waits for its answer. */
+/** An ask that waits for a grant or a refusal. */
 export interface PendingAsk {
   readonly ask: Ask;
-  /** Monotonic milliseconds. */
+  /** Time of the ask, in monotonic milliseconds. */
   readonly askedAt: number;
   readonly resume: (end: Effect.Effect<Grant, Refusal>) => void;
   readonly timer: NodeJS.Timeout;
-  /** Grows when the ask is made anew; answers to earlier ones are refused. */
+  /** Incremented when the ask is repeated; replies to earlier epochs are ignored. */
   epoch: number;
   broker: string;
 }
@@ -25,63 +25,66 @@
   broker: string;
 }
 
-/** A service at a broker. */
+/** A service and the broker that is asked for its slots. */
 export interface BrokeredService {
   readonly broker: string;
   readonly service: string;
 }
 
-/** All that waits and all that is in use. */
+/** All waiting asks and slots in use of this daemon, by ask id. */
 export class LocalRequests {
   readonly pending = new Map<string, PendingAsk>();
   readonly active = new Map<string, ActiveSlot>();
 
-  /** Asks that wait at a place. */
-  pendingAt(place: BrokeredService): readonly PendingAsk[] {
-    return [...this.pending.values()].filter((it) => isAt(it, place));
+  /** Returns the asks that wait at a brokered service. */
+  pendingAt(target: BrokeredService): readonly PendingAsk[] {
+    return [...this.pending.values()].filter((entry) => isAt(entry, target));
   }
 
-  /** Slots in use that a place granted. */
-  activeAt(place: BrokeredService): readonly ActiveSlot[] {
-    return [...this.active.values()].filter((it) => isAt(it, place));
+  /** Returns the slots in use of a brokered service. */
+  activeAt(target: BrokeredService): readonly ActiveSlot[] {
+    return [...this.active.values()].filter((entry) => isAt(entry, target));
   }
 
-  /** Services of which something is at a broker. */
+  /** Returns the services with a waiting ask or a slot in use at a broker. */
   servicesAt(broker: string): ReadonlySet<string> {
     const services = new Set<string>();
-    for (const it of this.#all()) {
-      if (it.broker === broker) services.add(it.ask.service);
+    for (const entry of this.#entries()) {
+      if (entry.broker === broker) services.add(entry.ask.service);
     }
     return services;
   }
 
-  /** Brokers where something waits. */
+  /** Returns the brokers with a waiting ask. */
   brokersWithPending(): ReadonlySet<string> {
-    return new Set([...this.pending.values()].map((it) => it.broker));
+    return new Set([...this.pending.values()].map((entry) => entry.broker));
   }
 
-  /** Brokers where something waits or is in use. */
+  /** Returns the brokers with a waiting ask or a slot in use. */
   brokers(): ReadonlySet<string> {
-    return new Set([...this.#all()].map((it) => it.broker));
+    return new Set([...this.#entries()].map((entry) => entry.broker));
   }
 
-  *#all(): Generator<PendingAsk | ActiveSlot> {
+  *#entries(): Generator<PendingAsk | ActiveSlot> {
     yield* this.pending.values();
     yield* this.active.values();
   }
 }
 
-function isAt(it: PendingAsk | ActiveSlot, place: BrokeredService): boolean {
-  return it.broker === place.broker && it.ask.service === place.service;
+function isAt(
+  entry: PendingAsk | ActiveSlot,
+  target: BrokeredService,
+): boolean {
+  return entry.broker === target.broker && entry.ask.service === target.service;
 }
 
-/** Places, each once. */
+/** A set of brokered services. */
 export class BrokeredServiceSet {
   readonly #services = new Map<string, Set<string>>();
 
-  add(place: BrokeredService): void {
-    const known = this.#services.get(place.broker) ?? new Set();
-    this.#services.set(place.broker, known.add(place.service));
+  add(target: BrokeredService): void {
+    const known = this.#services.get(target.broker) ?? new Set();
+    this.#services.set(target.broker, known.add(target.service));
   }
 
   *all(): Generator<BrokeredService> {
--- a/packages/daemon/src/request/outcome.ts
+++ b/packages/daemon/src/request/outcome.ts
@@ -1,5 +1,5 @@
 /**
- * How attempts end, and what the caller is told of it.
+ * Results of attempts, and the problems that callers get for them.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { Refusal } from "./ask.ts";
 import type { CallerGone, ExecutionOutcome, Problem } from "./call.ts";
 
-/** How one attempt ended. */
+/** The result of one attempt. */
 export type AttemptResult =
   | { readonly _tag: "Complete"; readonly status: number }
   | { readonly _tag: "CallerLeft"; readonly reason: CallerGone["reason"] }
@@ -22,10 +22,10 @@
   readonly retryAfterMs?: number;
 }
 
-/** The attempt may have run, and its answer is not whole. */
+/** The attempt may have run, and its response is missing or incomplete. */
 export interface Lost {
   readonly _tag: "Lost";
-  /** `failed`: the runner had begun to answer; `unknown`: nothing came back. */
+  /** `failed`: the runner had started its response; `unknown`: it sent nothing. */
   readonly outcome: "failed" | "unknown";
   readonly code:
     | "runner_failed"
@@ -35,11 +35,11 @@
     | "answer_crossed"
     | "deadline_passed";
   readonly message: string;
-  /** The stream may go on at the same runner on a new connection. */
+  /** Whether the stream may be resumed at the same runner on a new connection. */
   readonly resumable: boolean;
 }
 
-/** Status with which a caller is told of each code. */
+/** HTTP status of each code. */
 const STATUS_OF = {
   runner_unreachable: 503,
   runner_refused: 503,
@@ -54,16 +54,16 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** Wait that is suggested when nothing better is known, in milliseconds. */
+/** Retry delay suggested when the runner gives none, in milliseconds. */
 export const DEFAULT_RETRY_AFTER_MS = 1_000;
 
 /**
- * Tells the caller that its request ended with the attempt given.
+ * Builds the problem for a request that ended with the given attempt.
  *
- * @param before what earlier attempts leave standing; an attempt that did not
- * run says nothing about those before it.
- * @param options.withheld a retry was possible and not made, so the caller is
- * told when to come back itself.
+ * @param before the outcome of earlier attempts, which stands when this attempt
+ * did not run.
+ * @param options.withheld whether a retry was possible but not made, in which
+ * case the caller is told when to retry.
  */
 export function problemOf(
   end: NotRun | Lost,
@@ -81,7 +81,7 @@
   return { ...problem, outcome, retryAfterMs: DEFAULT_RETRY_AFTER_MS };
 }
 
-/** Status with which a caller is told of each refusal of a slot. */
+/** HTTP status of each refusal of a slot. */
 const STATUS_OF_REFUSAL = {
   queue_full: 503,
   limit_reached: 429,
@@ -90,7 +90,7 @@
   leaving: 503,
 } as const;
 
-/** Tells the caller that no slot was granted. */
+/** Builds the problem for a request that was refused a slot. */
 export function problemOfRefusal(
   refusal: Refusal,
   before: ExecutionOutcome,
@@ -104,7 +104,7 @@
   };
 }
 
-/** The standing that claims less: unknown, then failed, then not run. */
+/** Returns the less certain outcome: `unknown`, then `failed`, then `not-run`. */
 export function leastCertain(
   a: ExecutionOutcome,
   b: ExecutionOutcome,
@@ -114,12 +114,16 @@
   return "not-run";
 }
 
-/** End of an attempt of which nothing ran, so another may be made. */
+/** Builds the result of an attempt that did not run, so it may be retried. */
 export function notRun(code: NotRun["code"], message: string): NotRun {
   return { _tag: "NotRun", code, message };
 }
 
-/** A refusal before starting, with the runner's wish for when to come back. */
+/**
+ * Builds the result of an attempt that the runner refused to start.
+ *
+ * @param retryAfter the runner's `retry-after` header, in seconds.
+ */
 export function refused(retryAfter: string | undefined): NotRun {
   const end = notRun("runner_refused", "The runner refused to start");
   const seconds = Number(retryAfter);
@@ -136,7 +140,7 @@
   deadline_passed: "The deadline passed before an answer began",
 };
 
-/** End of an attempt that may have run; the message goes by the code. */
+/** Builds the result of an attempt that may have run, with its code's message. */
 export function lost(
   code: Lost["code"],
   more: Pick<Lost, "outcome" | "resumable">,
@@ -144,7 +148,7 @@
   return { _tag: "Lost", code, message: LOST_MESSAGES[code], ...more };
 }
 
-/** The caller's leaving ends the attempt as an ordinary value. */
+/** Converts a disconnect of the caller from an error to a result. */
 export function catchDisconnect(
   relay: Effect.Effect<AttemptResult, CallerGone>,
 ): Effect.Effect<AttemptResult> {
--- a/packages/daemon/src/request/random_scheduler.ts
+++ b/packages/daemon/src/request/random_scheduler.ts
@@ -1,5 +1,5 @@
 /**
- * Baseline: any live runner, at once.
+ * Baseline scheduler: a random live runner, without queueing.
  *
  * @module
  */
@@ -13,23 +13,23 @@
 
 const GRANT_TIMEOUT_MS = 5_000;
 
-/** Grants every ask at once, at a live runner taken at random. */
+/** Grants every ask immediately at a random live runner. */
 export class RandomScheduler implements Scheduler {
   readonly #dependencies: {
     readonly directory: RunnerDirectory;
     readonly clock: Clock;
     readonly log: Log;
-    /** A number from 0 to less than 1. */
+    /** Returns a number from 0 (inclusive) to 1 (exclusive). */
     readonly random: () => number;
   };
 
-  constructor(parts: {
+  constructor(dependencies: {
     readonly directory: RunnerDirectory;
     readonly clock: Clock;
     readonly log: Log;
     readonly random: () => number;
   }) {
-    this.#dependencies = parts;
+    this.#dependencies = dependencies;
   }
 
   acquire(ask: Ask): Effect.Effect<Grant, Refusal> {
--- a/packages/daemon/src/request/recording_reply.ts
+++ b/packages/daemon/src/request/recording_reply.ts
@@ -1,5 +1,5 @@
 /**
- * A reply that is also kept for a second try.
+ * A reply that also records the response for a later request with the same key.
  *
  * @module
  */
@@ -8,15 +8,16 @@
 import type { CallerGone, Problem, Reply, ResponseHead } from "./call.ts";
 
 /**
- * Largest answer that is collected, in bytes. The claims keep less by default;
- * this only bounds memory while an answer is on its way.
+ * Largest response that is recorded, in bytes. Claims store less by default;
+ * this limit only bounds memory while a response is being relayed.
  */
 const MAX_RECORDED_BYTES = 65_536;
 
 /**
- * Passes an answer on and keeps a copy while it is small. A caller that leaves
- * does not end the answer: a lost connection is the very case for which callers
- * give idempotency keys, and the second try is to find the whole answer.
+ * Forwards a response and records a copy while it is small. A caller that
+ * disconnects does not end the response: callers send idempotency keys for the
+ * case of a lost connection, and the second request must get the complete
+ * response.
  */
 export class RecordingReply implements Reply {
   readonly #reply: Reply;
@@ -34,7 +35,7 @@
     return this.#head !== undefined;
   }
 
-  /** The whole answer; `undefined` when it is not whole or was too long. */
+  /** The complete response; `undefined` when it is incomplete or was too long. */
   get recorded(): KeptAnswer | undefined {
     if (this.#head === undefined || !this.#complete) return undefined;
     if (this.#size > MAX_RECORDED_BYTES) return undefined;
--- a/packages/daemon/src/request/refusals.ts
+++ b/packages/daemon/src/request/refusals.ts
@@ -1,5 +1,5 @@
 /**
- * Refusals of asks. Each tells the caller when to come back.
+ * Refusals of asks, each with a suggested retry delay.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 const NO_RUNNER_RETRY_MS = 1_000;
 const LEAVING_RETRY_MS = 100;
 
-/** No live runner may serve the ask. */
+/** Refuses an ask that no live runner may serve. */
 export function noRunner(ask: Ask): Refusal {
   return {
     _tag: "Refusal",
@@ -18,7 +18,7 @@
   };
 }
 
-/** The queue has no room for the ask. */
+/** Refuses an ask because the queue is full. */
 export function queueFull(ask: Ask, retryAfterMs: number): Refusal {
   return {
     _tag: "Refusal",
@@ -29,7 +29,7 @@
   };
 }
 
-/** The ask's deadline has passed, or will have before a slot is free. */
+/** Refuses an ask whose deadline has passed, or will pass before a slot is free. */
 export function deadlinePassed(ask: Ask, retryAfterMs: number): Refusal {
   return {
     _tag: "Refusal",
@@ -40,7 +40,7 @@
   };
 }
 
-/** This daemon is shutting down. */
+/** Refuses an ask because this daemon is shutting down. */
 export function leaving(): Refusal {
   return {
     _tag: "Refusal",
@@ -59,8 +59,9 @@
 };
 
 /**
- * A refusal that a broker decided. A timeout ends at the broker and at the entry
- * at the same moment, and whichever is first tells the caller: both say the same.
+ * Builds the refusal that a broker has sent. A timeout expires at the broker and
+ * at the entry daemon at the same moment, so both produce the same message,
+ * whichever comes first.
  */
 export function refusalOf(
   ask: Ask,
--- a/packages/daemon/src/request/refusals_test.ts
+++ b/packages/daemon/src/request/refusals_test.ts
@@ -14,10 +14,10 @@
   excluded: [],
 };
 
-// A request's timeout ends at its broker and at its entry at the same moment. On
-// a busy machine the broker's word came first, and the caller read another
-// message for the same end than on a quiet one.
-test("a timeout reads the same, whoever notices it first", () => {
+// A request's timeout expires at its broker and at its entry daemon at the same
+// moment. On a busy machine the broker's refusal came first, and the caller got
+// another message for the same failure.
+test("broker and entry daemon refuse a timed-out ask with the same message", () => {
   const retryAfterMs = 1_000;
   assert.deepEqual(
     refusalOf(ASK, "deadline_passed", { retryAfterMs }),
--- a/packages/daemon/src/request/retrying_call_runner.ts
+++ b/packages/daemon/src/request/retrying_call_runner.ts
@@ -1,5 +1,6 @@
 /**
- * Runs calls: asks for a slot, sends, relays, retries and settles.
+ * Runs calls: acquires a slot, sends the request, relays the response, retries
+ * after failures and settles the slot.
  *
  * @module
  */
@@ -27,13 +28,13 @@
 import type { Scheduler } from "./scheduler.ts";
 import { settlementOf } from "./settlement.ts";
 
-/** What the runner of calls needs of the daemon. */
+/** Services that the call runner uses. */
 export interface CallServices extends AttemptServices {
   readonly scheduler: Scheduler;
   readonly retryBudget: RetryBudget;
 }
 
-/** Why a call starts again, or does not. */
+/** Whether a call is retried, or the reason why it is not. */
 type RetryDecision =
   | "retry"
   | "already_begun"
@@ -43,14 +44,14 @@
   | "grants_unused"
   | "budget_spent";
 
-/** Slots that may pass unused before a call is given up. */
+/** Grants of one call that may expire unused before the call fails. */
 const MAX_UNUSED_GRANTS = 5;
 
 /**
  * Runs each call in this order: acquire a slot; send; relay; settle the slot;
- * then end, or start again at another runner. A call is tried again only when
- * the attempt did not run, or when it is repeatable and the caller was given
- * nothing yet.
+ * then end the call, or retry at another runner. A call is retried only when
+ * the attempt did not run, or when the call is repeatable and nothing has been
+ * sent to the caller yet.
  */
 export class RetryingCallRunner implements CallRunner {
   readonly #services: CallServices;
@@ -64,10 +65,11 @@
   }
 
   /**
-   * Runs a call under terms. Once sent, such a call is not interrupted when its
-   * caller leaves: the answer is wanted all the same. To be run in an
-   * uninterruptible region, so that an interruption that waits for the send's
-   * end does not hide how it ended; waiting for a slot stays interruptible.
+   * Runs a call whose sends need the guard's permission. Once sent, such a call
+   * is not interrupted when its caller disconnects, because the response is
+   * stored for a later request with the same key. Must run in an
+   * uninterruptible region: otherwise an interruption that arrives during the
+   * send would hide how the send ended. Waiting for a slot stays interruptible.
    */
   runGuarded(
     call: Call,
@@ -119,7 +121,7 @@
     };
   }
 
-  /** One slot and one attempt in it; the slot is given back in every case. */
+  /** Acquires one slot and makes one attempt in it; always releases the slot. */
   #attemptOnce(
     state: CallState,
   ): Effect.Effect<AttemptResult, Refusal | Denial> {
@@ -167,7 +169,7 @@
     );
   }
 
-  /** Records the attempt's end in the journey and in the log. */
+  /** Records the attempt's result in the call's state and in the log. */
   #recordAttempt(
     state: CallState,
     grant: Grant,
@@ -195,7 +197,7 @@
     state.excluded = [...state.excluded, grant.runner.name];
   }
 
-  /** Decides whether a call starts again elsewhere, and logs why. */
+  /** Decides whether a call is retried at another runner, and logs the reason. */
   #decideRetry(state: CallState, end: NotRun | Lost): RetryDecision {
     const verdict = this.#evaluateRetry(state, end);
     this.#services.log.decision("retry_decided", {
@@ -225,8 +227,8 @@
 }
 
 /**
- * When no other runner is left for a retry, the failure of the attempt says
- * more to the caller than the lack of another runner.
+ * When no other runner is left for a retry, returns the failure of the last
+ * attempt, which tells the caller more than the lack of another runner.
  */
 function problemOfFailure(state: CallState, refusal: Refusal): Problem {
   const { last, outcome } = state;
@@ -236,7 +238,7 @@
   return problemOf(last, outcome);
 }
 
-/** Ends the caller's answer in the only way that is still open. */
+/** Aborts the response if its headers have been sent, else sends the problem. */
 function endWithProblem(state: CallState, problem: Problem): CallResult {
   const { reply } = state;
   if (reply.headersSent) reply.abort(problem);
--- a/packages/daemon/src/request/scheduling.ts
+++ b/packages/daemon/src/request/scheduling.ts
@@ -1,5 +1,5 @@
 /**
- * Makes the scheduler that the settings name.
+ * Creates the scheduler selected by the settings.
  *
  * @module
  */
@@ -20,40 +20,40 @@
 import { RandomScheduler } from "./random_scheduler.ts";
 import type { Scheduler } from "./scheduler.ts";
 
-/** Names of the policies. */
+/** Names of the scheduling policies. */
 export type Policy = "umbermast" | "fifo" | "random";
 
 /** The `scheduling` section of the settings. */
 export interface SchedulingSettings {
   /** `umbermast` by default; the others are baselines for measurement. */
   readonly policy?: Policy;
-  /** Mechanisms to switch off for measurement; all are on by default. */
+  /** Mechanisms to disable for measurements; all are enabled by default. */
   readonly switches?: Partial<SchedulerSwitches>;
   /** Milliseconds between two load reports of a runner; 250 by default. */
   readonly reportIntervalMs?: number;
 }
 
-/** What a scheduler works with. */
+/** Collaborators of a scheduler. */
 export interface SchedulerDependencies {
   readonly directory: RunnerDirectory;
   readonly table: TableSource;
   readonly clock: Clock;
   readonly log: Log;
-  /** Absent in a daemon without peers, which then brokers for itself. */
+  /** Absent in a daemon without peers, which is then its own broker. */
   readonly peers?: Peers;
   readonly membership?: Membership;
 }
 
 /**
- * Makes the scheduler of the settings and runs what it needs until the scope
- * closes.
+ * Creates the scheduler selected by the settings and runs its background tasks
+ * until the scope closes.
  */
 export function makeScheduler(
-  parts: SchedulerDependencies,
+  dependencies: SchedulerDependencies,
   settings: SchedulingSettings = {},
 ): Effect.Effect<Scheduler, never, Scope.Scope> {
   return Effect.gen(function* () {
-    const { clock, directory, log } = parts;
+    const { clock, directory, log } = dependencies;
     const policy = settings.policy ?? "umbermast";
     log.event("scheduler_chosen", { policy });
     if (policy === "random") {
@@ -72,11 +72,13 @@
         : { intervalMs: reportIntervalMs }),
     });
     yield* reports.poll(directory);
-    if (policy === "fifo") return new FifoScheduler({ ...parts, reports });
+    if (policy === "fifo") {
+      return new FifoScheduler({ ...dependencies, reports });
+    }
     const switches = { ...ALL_ENABLED, ...settings.switches };
-    const host = new BrokerRegistry({ ...parts, reports, switches });
-    const scheduler = new BrokeredScheduler({ ...parts, registry: host });
-    yield* host.start();
+    const registry = new BrokerRegistry({ ...dependencies, reports, switches });
+    const scheduler = new BrokeredScheduler({ ...dependencies, registry });
+    yield* registry.start();
     yield* scheduler.start();
     return scheduler;
   });
--- a/packages/daemon/src/request/settlement.ts
+++ b/packages/daemon/src/request/settlement.ts
@@ -1,5 +1,5 @@
 /**
- * What the scheduler is told of an attempt that held a slot.
+ * Builds the report that the scheduler gets when an attempt releases its slot.
  *
  * @module
  */
@@ -7,7 +7,11 @@
 import type { Attempt } from "./attempt.ts";
 import type { AttemptResult } from "./outcome.ts";
 
-/** Settles the slot of an attempt; `undefined` when it was interrupted. */
+/**
+ * Builds the settlement of an attempt's slot.
+ *
+ * @param end the attempt's result; `undefined` when it was interrupted.
+ */
 export function settlementOf(
   attempt: Attempt,
   end: AttemptResult | undefined,
--- a/packages/daemon/src/request/stream_relay.ts
+++ b/packages/daemon/src/request/stream_relay.ts
@@ -1,5 +1,5 @@
 /**
- * Passes a streamed answer on to the caller, whole events at a time.
+ * Relays a streamed response to the caller, in complete events.
  *
  * @module
  */
@@ -14,26 +14,26 @@
 const DONE_EVENT = new TextEncoder().encode("data: [DONE]\n\n");
 
 /**
- * How long the end of the connection is awaited after `[DONE]`, in
- * milliseconds. The answer is whole by then; the wait only lets the connection
- * be used again.
+ * Time to wait for the end of the response body after `[DONE]`, in milliseconds.
+ * The response is complete by then; the wait only allows the connection to be
+ * reused.
  */
 const TRAILER_TIMEOUT_MS = 250;
 
-/** What the caller has of a streamed answer, over all attempts. */
+/** What has been relayed of a streamed response, resumes included. */
 export class StreamProgress {
-  /** Token events delivered. */
+  /** Number of token events relayed. */
   tokens = 0;
-  /** The event with the finish reason was delivered. */
+  /** Whether the event with the finish reason was relayed. */
   finished = false;
-  /** Monotonic milliseconds of the first and the last token. */
+  /** Times of the first and the last token, in monotonic milliseconds. */
   firstAt: number | undefined;
   lastAt: number | undefined;
   /** The last token event, which carries the usage. */
   lastEvent: Buffer | undefined;
 }
 
-/** How a stream's relay ended. */
+/** How the relay of a stream ended. */
 export type StreamResult =
   | { readonly _tag: "Whole" }
   | {
@@ -46,21 +46,22 @@
       | "no-end-mark";
   };
 
-/** What a relay needs besides the answer. */
+/** Collaborators and limits of the relay. */
 export interface RelayContext {
   readonly reply: Reply;
   readonly settings: AttemptSettings;
   readonly clock: Clock;
   readonly progress: StreamProgress;
-  /** Longest wait for the first bytes of this answer, in milliseconds. */
+  /** Time-out for the first bytes of this response, in milliseconds. */
   readonly firstMs: number;
 }
 
 /**
- * Relays until the answer's end. The caller's answer begins with the first
- * whole event, so that until then another runner may still answer; `[DONE]` is
- * written only once a finish reason and the engine's own `[DONE]` have come.
- * The caller's answer is ended here only when it is whole.
+ * Relays a stream to its end. The head is sent to the caller with the first
+ * complete event, so that until then the request can be retried at another
+ * runner. `[DONE]` is written only after a finish reason and the engine's own
+ * `[DONE]` have been received. The caller's response is ended here only when it
+ * is complete.
  */
 export function relayStream(
   response: RunnerResponse,
@@ -90,9 +91,9 @@
 }
 
 /**
- * Passes the whole events of a piece on. Stops the pump when the caller's side
- * is full, when the stream is over, and after the first events, from which on
- * another limit of silence holds.
+ * Returns a function that relays the complete events of each chunk. It stops the
+ * read loop when the caller's write buffer is full, when the stream has ended,
+ * and after the first events, after which another idle time-out applies.
  */
 function makeChunkHandler(
   response: RunnerResponse,
