--- a/packages/table/src/edit.ts
+++ b/packages/table/src/edit.ts
@@ -13,7 +13,7 @@
   Decision,
   TableRead,
 } from "./commit.ts";
-import { entriesBack } from "./history.ts";
+import { readHistory } from "./history.ts";
 import type { HistoryMissing } from "./history.ts";
 import type { EditNote, HistoryEntry } from "./history_entry.ts";
 import { mergeChanges } from "./merge.ts";
@@ -125,7 +125,7 @@
 ): Effect.Effect<HistoryEntry | undefined, Unavailable | HistoryMissing> {
   const matches = (entry: HistoryEntry) =>
     entry.editId === edit.editId || entry.closes === edit.editId;
-  const entries = entriesBack(store, read.stored, {
+  const entries = readHistory(store, read.stored, {
     after: edit.baseSequence,
     until: matches,
   });
--- a/packages/table/src/edit_fixtures.ts
+++ b/packages/table/src/edit_fixtures.ts
@@ -15,7 +15,7 @@
 import type { Edit } from "./edit.ts";
 import { runFast } from "./fast_clock.ts";
 import { tableOf } from "./fixtures.ts";
-import { entriesBack } from "./history.ts";
+import { readHistory } from "./history.ts";
 import { TABLE_KIND } from "./stored_table.ts";
 import type { Row } from "./table.ts";
 
@@ -56,7 +56,7 @@
 /** Ids of all edits, newest first. */
 export async function historyOf(store: Store): Promise<readonly string[]> {
   const { stored } = await readFrom(store);
-  const entries = await runFast(entriesBack(store, stored, { after: 0 }));
+  const entries = await runFast(readHistory(store, stored, { after: 0 }));
   return entries.map(({ editId }) => editId);
 }
 
--- a/packages/table/src/edit_property_test.ts
+++ b/packages/table/src/edit_property_test.ts
@@ -9,7 +9,7 @@
 import { applyEdit, createTable } from "./edit.ts";
 import { runFast } from "./fast_clock.ts";
 import { rowOf, tableOf } from "./fixtures.ts";
-import { entriesBack } from "./history.ts";
+import { readHistory } from "./history.ts";
 import { resolveEdit } from "./resolve.ts";
 
 const FAULTS: readonly StoreFault[] = [
@@ -89,7 +89,7 @@
       const read = await runFast(readTable(store));
       assert.ok(read !== undefined);
       const entries = await runFast(
-        entriesBack(store, read.stored, { after: 0 }),
+        readHistory(store, read.stored, { after: 0 }),
       );
       const edits = entries.filter(({ changes }) => changes.length > 0);
       assert.deepEqual(
--- a/packages/table/src/history.ts
+++ b/packages/table/src/history.ts
@@ -74,7 +74,7 @@
  * Entries newer than `after`, newest first, read page by page as far back as is
  * needed. Ends early when `until` holds for an entry, which is the last one.
  */
-export function entriesBack(
+export function readHistory(
   store: Store,
   stored: StoredTable,
   options: {
--- a/packages/table/src/mod.ts
+++ b/packages/table/src/mod.ts
@@ -40,7 +40,7 @@
 } from "./commit.ts";
 export { readTable } from "./commit.ts";
 export type { HistoryMissing } from "./history.ts";
-export { entriesBack, HISTORY_KIND } from "./history.ts";
+export { HISTORY_KIND, readHistory as entriesBack } from "./history.ts";
 export type {
   Accepted,
   Edit,
--- a/packages/table/src/table_at.ts
+++ b/packages/table/src/table_at.ts
@@ -8,7 +8,7 @@
 import { err, ok } from "neverthrow";
 import type { Result } from "neverthrow";
 import type { TableRead } from "./commit.ts";
-import { entriesBack } from "./history.ts";
+import { readHistory } from "./history.ts";
 import type { HistoryMissing } from "./history.ts";
 import type { HistoryEntry } from "./history_entry.ts";
 import { invertChanges, mergeChanges } from "./merge.ts";
@@ -40,7 +40,7 @@
 > {
   return Effect.gen(function* () {
     const { editId, read } = target;
-    const entries = yield* entriesBack(store, read.stored, {
+    const entries = yield* readHistory(store, read.stored, {
       after: 0,
       until: (entry) => entry.editId === editId,
     });
