--- a/packages/bench/src/edit_operator.ts
+++ b/packages/bench/src/edit_operator.ts
@@ -66,7 +66,7 @@
       at: Date.now(),
       baseSequence: sequence,
       changes: diffTables(table, wanted),
-    }, { giveUpAfterMs: GIVE_UP_MS }).pipe(
+    }, { retryTimeoutMs: GIVE_UP_MS }).pipe(
       Effect.catchTag("UnknownWhetherAccepted", () => resolve(desk, editId)),
       Effect.flatMap((outcome) => accepted(desk, editId, outcome)),
       Effect.catchTag("EditConflict", () => {
--- a/packages/cli/src/request/edit.ts
+++ b/packages/cli/src/request/edit.ts
@@ -77,7 +77,7 @@
         ...(note === undefined ? {} : { note }),
         baseSequence: read.stored.sequence,
         changes,
-      }, { giveUpAfterMs: (flags.timeout ?? DEFAULT_TIMEOUT_SECONDS) * 1000 }),
+      }, { retryTimeoutMs: (flags.timeout ?? DEFAULT_TIMEOUT_SECONDS) * 1000 }),
       (error) => storeFailure(error, editId),
     );
     if (outcome._tag === "Unchanged") return unchanged(outcome.version);
--- a/packages/table/src/commit.ts
+++ b/packages/table/src/commit.ts
@@ -76,7 +76,7 @@
 /** Settings of an edit. */
 export interface CommitOptions {
   /** How long to go on while the store cannot be reached; 10,000 by default. */
-  readonly giveUpAfterMs?: number;
+  readonly retryTimeoutMs?: number;
 }
 
 /** Reads the stored table; `undefined` when there is none yet. */
@@ -118,7 +118,7 @@
 ): Effect.Effect<A, E | CommitFailure> {
   return Effect.gen(function* () {
     const started = yield* monotonicMs;
-    const giveUpAt = started + (options.giveUpAfterMs ?? DEFAULT_GIVE_UP_MS);
+    const giveUpAt = started + (options.retryTimeoutMs ?? DEFAULT_GIVE_UP_MS);
     let mayBeWritten = false;
     let pauseMs = FIRST_PAUSE_MS;
     while (true) {
--- a/packages/table/src/edit_property_test.ts
+++ b/packages/table/src/edit_property_test.ts
@@ -52,7 +52,7 @@
           ...note,
           baseSequence: sequence,
           changes: diffTables(table, { ...table, rows }),
-        }, { giveUpAfterMs: 300 }).pipe(
+        }, { retryTimeoutMs: 300 }).pipe(
           Effect.map(({ _tag }) => _tag === "Accepted"),
           Effect.catchTag("UnknownWhetherAccepted", () =>
             resolveEdit(store, {
--- a/packages/table/src/resolve_test.ts
+++ b/packages/table/src/resolve_test.ts
@@ -66,7 +66,7 @@
   const store = await storeWithTable();
   const edit = await editOf(store, rowOf({ weight: 5 }));
   const { delaying, deliver } = delayingStore(store);
-  await failureOf(applyEdit(delaying, edit, { giveUpAfterMs: 0 }));
+  await failureOf(applyEdit(delaying, edit, { retryTimeoutMs: 0 }));
   const { editId } = edit;
   const outcome = await runFast(
     resolveEdit(store, { editId, closing: CLOSING }),
