--- a/packages/table/src/edit.ts
+++ b/packages/table/src/edit.ts
@@ -15,7 +15,7 @@
 } from "./commit.ts";
 import { readHistory } from "./history.ts";
 import type { HistoryMissing } from "./history.ts";
-import type { EditNote, HistoryEntry } from "./history_entry.ts";
+import type { EditMetadata, HistoryEntry } from "./history_entry.ts";
 import { mergeChanges } from "./merge.ts";
 import type { Merged, MergeFailure } from "./merge.ts";
 import { storedTable } from "./stored_table.ts";
@@ -23,7 +23,7 @@
 import type { Table } from "./table.ts";
 
 /** An edit to be accepted. */
-export interface Edit extends EditNote {
+export interface Edit extends EditMetadata {
   /** Sequence of the version that the edit was made from. */
   readonly baseSequence: number;
   readonly changes: readonly Change[];
@@ -100,7 +100,7 @@
 /** Writes the first version of the table. */
 export function createTable(
   store: Store,
-  first: { readonly table: Table; readonly note: EditNote },
+  first: { readonly table: Table; readonly note: EditMetadata },
   options: CommitOptions = {},
 ): Effect.Effect<Accepted, CommitFailure | TableExists> {
   const value = storedTable(first.table, first.note);
@@ -135,12 +135,12 @@
 /** The stored value after one more edit. @internal */
 export function afterEdit(
   stored: StoredTable,
-  edit: EditNote & { readonly closes?: string },
+  edit: EditMetadata & { readonly closes?: string },
   merged: Merged,
 ): StoredTable {
   const { editId, editor, at, note, closes } = edit;
   const sequence = stored.sequence + 1;
-  const written: EditNote = {
+  const written: EditMetadata = {
     editId,
     editor,
     at,
--- a/packages/table/src/history_entry.ts
+++ b/packages/table/src/history_entry.ts
@@ -10,7 +10,7 @@
 import type { Finding } from "./finding.ts";
 
 /** Who edits, when and why. */
-export interface EditNote {
+export interface EditMetadata {
   /** Unique for each edit; an edit that is tried again keeps it. */
   readonly editId: string;
   /** Name of the operator. */
@@ -21,7 +21,7 @@
 }
 
 /** One accepted edit. */
-export interface HistoryEntry extends EditNote {
+export interface HistoryEntry extends EditMetadata {
   /** 1 for the first edit of a table, then without gaps. */
   readonly sequence: number;
   readonly changes: readonly Change[];
--- a/packages/table/src/mod.ts
+++ b/packages/table/src/mod.ts
@@ -21,7 +21,10 @@
 export { COLUMNS } from "./csv_columns.ts";
 export { importRows, MAX_CSV_BYTES } from "./csv_read.ts";
 export { rowsToCsv } from "./csv_write.ts";
-export type { EditNote, HistoryEntry } from "./history_entry.ts";
+export type {
+  EditMetadata as EditNote,
+  HistoryEntry,
+} from "./history_entry.ts";
 export type { StoredTable } from "./stored_table.ts";
 export {
   parseStoredTable,
--- a/packages/table/src/resolve.ts
+++ b/packages/table/src/resolve.ts
@@ -16,7 +16,7 @@
 import type { Accepted, TableMissing } from "./edit.ts";
 import { baseSequenceOf } from "./edit_id.ts";
 import type { HistoryMissing } from "./history.ts";
-import type { EditNote, HistoryEntry } from "./history_entry.ts";
+import type { EditMetadata, HistoryEntry } from "./history_entry.ts";
 
 /** The edit was not accepted and cannot be any more. */
 export interface Closed {
@@ -44,7 +44,7 @@
  */
 export function resolveEdit(
   store: Store,
-  request: { readonly editId: string; readonly closing: EditNote },
+  request: { readonly editId: string; readonly closing: EditMetadata },
   options: CommitOptions = {},
 ): Effect.Effect<Accepted | Closed, CommitFailure | TableMissing> {
   return commit(store, (read) => decide(store, request, read), options);
@@ -52,7 +52,7 @@
 
 function decide(
   store: Store,
-  request: { readonly editId: string; readonly closing: EditNote },
+  request: { readonly editId: string; readonly closing: EditMetadata },
   read: TableRead | undefined,
 ): Effect.Effect<
   Decision<Accepted | Closed, TableMissing>,
--- a/packages/table/src/stored_table.ts
+++ b/packages/table/src/stored_table.ts
@@ -6,7 +6,7 @@
 import { err, Result } from "neverthrow";
 import type { Finding } from "./finding.ts";
 import { decodeHistory } from "./history_entry.ts";
-import type { EditNote, HistoryEntry } from "./history_entry.ts";
+import type { EditMetadata, HistoryEntry } from "./history_entry.ts";
 import { parseTable } from "./parse.ts";
 import type { Table } from "./table.ts";
 
@@ -17,7 +17,7 @@
 export const TABLE_NAME = "main";
 
 /** The value of the stored object. */
-export interface StoredTable extends EditNote {
+export interface StoredTable extends EditMetadata {
   readonly table: Table;
   /** Sequence of the last edit; the number of edits so far. */
   readonly sequence: number;
@@ -34,7 +34,7 @@
  * store.write({ kind: TABLE_KIND, name: TABLE_NAME, value }, { ifVersion: 0 });
  * ```
  */
-export function storedTable(table: Table, edit: EditNote): StoredTable {
+export function storedTable(table: Table, edit: EditMetadata): StoredTable {
   return {
     table,
     ...edit,
