--- a/packages/table/src/edit.ts
+++ b/packages/table/src/edit.ts
@@ -18,7 +18,7 @@
 import type { EditMetadata, HistoryEntry } from "./history_entry.ts";
 import { mergeChanges } from "./merge.ts";
 import type { Merged, MergeFailure } from "./merge.ts";
-import { storedTable } from "./stored_table.ts";
+import { initialStoredTable } from "./stored_table.ts";
 import type { StoredTable } from "./stored_table.ts";
 import type { Table } from "./table.ts";
 
@@ -103,7 +103,7 @@
   first: { readonly table: Table; readonly note: EditMetadata },
   options: CommitOptions = {},
 ): Effect.Effect<Accepted, CommitFailure | TableExists> {
-  const value = storedTable(first.table, first.note);
+  const value = initialStoredTable(first.table, first.note);
   const entry = value.history[0] as HistoryEntry;
   return commit(store, (read) =>
     Effect.succeed(
--- a/packages/table/src/mod.ts
+++ b/packages/table/src/mod.ts
@@ -27,8 +27,8 @@
 } from "./history_entry.ts";
 export type { StoredTable } from "./stored_table.ts";
 export {
+  initialStoredTable as storedTable,
   parseStoredTable,
-  storedTable,
   TABLE_KIND,
   TABLE_NAME,
 } from "./stored_table.ts";
--- a/packages/table/src/stored_table.ts
+++ b/packages/table/src/stored_table.ts
@@ -34,7 +34,10 @@
  * store.write({ kind: TABLE_KIND, name: TABLE_NAME, value }, { ifVersion: 0 });
  * ```
  */
-export function storedTable(table: Table, edit: EditMetadata): StoredTable {
+export function initialStoredTable(
+  table: Table,
+  edit: EditMetadata,
+): StoredTable {
   return {
     table,
     ...edit,
