--- a/packages/table/src/edit.ts
+++ b/packages/table/src/edit.ts
@@ -17,7 +17,7 @@
 import type { HistoryMissing } from "./history.ts";
 import type { EditMetadata, HistoryEntry } from "./history_entry.ts";
 import { mergeChanges } from "./merge.ts";
-import type { Merged, MergeFailure } from "./merge.ts";
+import type { MergeFailure, MergeResult } from "./merge.ts";
 import { initialStoredTable } from "./stored_table.ts";
 import type { StoredTable } from "./stored_table.ts";
 import type { Table } from "./table.ts";
@@ -136,7 +136,7 @@
 export function afterEdit(
   stored: StoredTable,
   edit: EditMetadata & { readonly closes?: string },
-  merged: Merged,
+  merged: MergeResult,
 ): StoredTable {
   const { editId, editor, at, note, closes } = edit;
   const sequence = stored.sequence + 1;
--- a/packages/table/src/merge.ts
+++ b/packages/table/src/merge.ts
@@ -33,7 +33,7 @@
   | { readonly _tag: "EditInvalid"; readonly findings: readonly Finding[] };
 
 /** A table with the changes that it took to get there. */
-export interface Merged {
+export interface MergeResult {
   readonly table: Table;
   /** What differs from the table that the changes were applied to. */
   readonly changes: readonly Change[];
@@ -58,7 +58,7 @@
 export function mergeChanges(
   table: Table,
   changes: readonly Change[],
-): Result<Merged, MergeFailure> {
+): Result<MergeResult, MergeFailure> {
   const conflicts = changes.flatMap((change) => conflictOf(table, change));
   if (conflicts.length > 0) return err({ _tag: "EditConflict", conflicts });
   const merged = SECTIONS.reduce(
--- a/packages/table/src/mod.ts
+++ b/packages/table/src/mod.ts
@@ -16,7 +16,11 @@
 export { parseTable } from "./parse.ts";
 export type { Change, Entry, Section, SectionEntries } from "./change.ts";
 export { diffTables, entriesByKey, keyOf, SECTIONS } from "./change.ts";
-export type { EntryConflict, Merged, MergeFailure } from "./merge.ts";
+export type {
+  EntryConflict,
+  MergeFailure,
+  MergeResult as Merged,
+} from "./merge.ts";
 export { invertChanges, mergeChanges } from "./merge.ts";
 export { COLUMNS } from "./csv_columns.ts";
 export { importRows, MAX_CSV_BYTES } from "./csv_read.ts";
