--- a/packages/table/src/decode.ts
+++ b/packages/table/src/decode.ts
@@ -10,7 +10,7 @@
 import * as SchemaIssue from "effect/SchemaIssue";
 import { err, ok } from "neverthrow";
 import type { Result } from "neverthrow";
-import { pointer } from "./finding.ts";
+import { jsonPointer } from "./finding.ts";
 import type { Finding } from "./finding.ts";
 
 const format = SchemaIssue.makeFormatterStandardSchemaV1();
@@ -42,7 +42,7 @@
     const segments = (path ?? []).map((segment) =>
       typeof segment === "object" ? segment.key : segment
     );
-    const place = pointer(segments);
+    const place = jsonPointer(segments);
     if (found.has(place)) continue;
     found.set(place, {
       place,
--- a/packages/table/src/finding.ts
+++ b/packages/table/src/finding.ts
@@ -20,7 +20,7 @@
  * pointer(["rows", 3, "weight"]); // "/rows/3/weight"
  * ```
  */
-export function pointer(segments: readonly PropertyKey[]): string {
+export function jsonPointer(segments: readonly PropertyKey[]): string {
   return segments.map((segment) => `/${escaped(String(segment))}`).join("");
 }
 
--- a/packages/table/src/mod.ts
+++ b/packages/table/src/mod.ts
@@ -12,7 +12,7 @@
   Workspace,
 } from "./table.ts";
 export type { Finding } from "./finding.ts";
-export { pointer } from "./finding.ts";
+export { jsonPointer as pointer } from "./finding.ts";
 export { parseTable } from "./parse.ts";
 export type { Change, Entry, Section, SectionEntries } from "./change.ts";
 export { diffTables, entriesByKey, keyOf, SECTIONS } from "./change.ts";
--- a/packages/table/src/references.ts
+++ b/packages/table/src/references.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { pointer } from "./finding.ts";
+import { jsonPointer } from "./finding.ts";
 import type { Finding } from "./finding.ts";
 import type { Table } from "./table.ts";
 
@@ -57,7 +57,7 @@
     "class",
     table.classes.map(({ name }, at) => ({
       value: name,
-      place: pointer(["classes", at, "name"]),
+      place: jsonPointer(["classes", at, "name"]),
     })),
   );
 }
@@ -80,17 +80,17 @@
   const classes = new Set(table.classes.map(({ name }) => name));
   const names = table.workspaces.map(({ name }, at) => ({
     value: name,
-    place: pointer(["workspaces", at, "name"]),
+    place: jsonPointer(["workspaces", at, "name"]),
   }));
   const digests = table.workspaces.flatMap(({ keyDigests }, at) =>
     keyDigests.map((value, index) => ({
       value,
-      place: pointer(["workspaces", at, "keyDigests", index]),
+      place: jsonPointer(["workspaces", at, "keyDigests", index]),
     }))
   );
   const unknown = table.workspaces.flatMap(({ defaultClass }, at) =>
     classes.has(defaultClass) ? [] : [{
-      place: pointer(["workspaces", at, "defaultClass"]),
+      place: jsonPointer(["workspaces", at, "defaultClass"]),
       message: `Unknown class "${defaultClass}"`,
     }]
   );
@@ -108,20 +108,20 @@
   for (const [at, row] of table.rows.entries()) {
     if (!workspaces.has(row.workspace)) {
       found.push({
-        place: pointer(["rows", at, "workspace"]),
+        place: jsonPointer(["rows", at, "workspace"]),
         message: `Unknown workspace "${row.workspace}"`,
       });
     }
     if (!classes.has(row.class)) {
       found.push({
-        place: pointer(["rows", at, "class"]),
+        place: jsonPointer(["rows", at, "class"]),
         message: `Unknown class "${row.class}"`,
       });
     }
   }
   const keys = table.rows.map((row, at) => ({
     value: `${row.workspace}/${row.class}`,
-    place: pointer(["rows", at]),
+    place: jsonPointer(["rows", at]),
   }));
   return [...found, ...duplicates("row", keys)];
 }
@@ -129,17 +129,17 @@
 function serviceFindings(table: Table): readonly Finding[] {
   const names = table.services.map(({ name }, at) => ({
     value: name,
-    place: pointer(["services", at, "name"]),
+    place: jsonPointer(["services", at, "name"]),
   }));
   // A request names its model alone, so a model leads to one service.
   const models = table.services.flatMap((service, at) =>
     service.models.map((value, index) => ({
       value,
-      place: pointer(["services", at, "models", index]),
+      place: jsonPointer(["services", at, "models", index]),
     }))
   );
   const kinds = table.services.flatMap((service, at) => {
-    const place = pointer(["services", at, "models"]);
+    const place = jsonPointer(["services", at, "models"]);
     if (service.kind === "plain" && service.models.length > 0) {
       return [{ place, message: "A plain service serves no models" }];
     }
