--- a/packages/cli/src/fixtures.ts
+++ b/packages/cli/src/fixtures.ts
@@ -40,7 +40,9 @@
 export async function storeWithTable(): Promise<MemoryStore> {
   const store = new MemoryStore();
   const note = { editId: "first", editor: "ana", at: 0 };
-  await Effect.runPromise(createTable(store, { table: tableOf(), note }));
+  await Effect.runPromise(
+    createTable(store, { table: tableOf(), metadata: note }),
+  );
   return store;
 }
 
--- a/packages/cli/src/request/table_import.ts
+++ b/packages/cli/src/request/table_import.ts
@@ -87,7 +87,7 @@
       at: Date.now(),
     };
     const accepted = yield* Effect.mapError(
-      createTable(store, { table, note }),
+      createTable(store, { table, metadata: note }),
       (error) => storeFailure(error, note.editId),
     );
     const { version, entry } = accepted;
--- a/packages/table/src/edit.ts
+++ b/packages/table/src/edit.ts
@@ -100,16 +100,16 @@
 /** Writes the first version of the table. */
 export function createTable(
   store: Store,
-  first: { readonly table: Table; readonly note: EditMetadata },
+  first: { readonly table: Table; readonly metadata: EditMetadata },
   options: CommitOptions = {},
 ): Effect.Effect<Accepted, CommitFailure | TableExists> {
-  const value = initialStoredTable(first.table, first.note);
+  const value = initialStoredTable(first.table, first.metadata);
   const entry = value.history[0] as HistoryEntry;
   return commit(store, (read) =>
     Effect.succeed(
       read === undefined
         ? write(value, entry)
-        : created(read, first.note.editId, entry),
+        : created(read, first.metadata.editId, entry),
     ), options);
 }
 
--- a/packages/table/src/edit_fixtures.ts
+++ b/packages/table/src/edit_fixtures.ts
@@ -23,7 +23,7 @@
 export async function storeWithTable(): Promise<MemoryStore> {
   const store = new MemoryStore();
   const note = { editId: "first", editor: "ana", at: 1 };
-  await runFast(createTable(store, { table: tableOf(), note }));
+  await runFast(createTable(store, { table: tableOf(), metadata: note }));
   return store;
 }
 
--- a/packages/table/src/edit_property_test.ts
+++ b/packages/table/src/edit_property_test.ts
@@ -78,7 +78,7 @@
     fc.asyncProperty(weights, weights, faults, async (one, other, planned) => {
       const store = new MemoryStore();
       const note = { editId: "first", editor: "ana", at: 0 };
-      await runFast(createTable(store, { table: tableOf(), note }));
+      await runFast(createTable(store, { table: tableOf(), metadata: note }));
       const left = [...planned];
       const nextFault = () => left.pop() ?? "none";
       const told = await runFast(Effect.all([
--- a/packages/table/src/edit_test.ts
+++ b/packages/table/src/edit_test.ts
@@ -147,9 +147,12 @@
   const store = await storeWithTable();
   const table = tableOf();
   const note = { editId: "first", editor: "ana", at: 1 };
-  const again = await runFast(createTable(store, { table, note }));
+  const again = await runFast(createTable(store, { table, metadata: note }));
   assert.equal(again._tag, "Accepted");
-  const other = createTable(store, { table, note: { ...note, editId: "x" } });
+  const other = createTable(store, {
+    table,
+    metadata: { ...note, editId: "x" },
+  });
   assert.equal((await failureOf(other))._tag, "TableExists");
 });
 
