--- a/packages/table/src/commit.ts
+++ b/packages/table/src/commit.ts
@@ -23,7 +23,7 @@
 const CONFLICT_PAUSE_MS = 30;
 
 /** The stored table with the version of its object. */
-export interface TableRead {
+export interface VersionedTable {
   readonly version: number;
   readonly stored: StoredTable;
 }
@@ -70,7 +70,7 @@
     readonly _tag: "Write";
     readonly value: StoredTable;
     /** The result, given what was written; older history may have left it. */
-    readonly written: (read: TableRead) => A;
+    readonly written: (read: VersionedTable) => A;
   };
 
 /** Settings of an edit. */
@@ -82,7 +82,7 @@
 /** Reads the stored table; `undefined` when there is none yet. */
 export function readTable(
   store: Store,
-): Effect.Effect<TableRead | undefined, Unavailable | StoredInvalid> {
+): Effect.Effect<VersionedTable | undefined, Unavailable | StoredInvalid> {
   return Effect.gen(function* () {
     const object = yield* store.read(TABLE_KIND, TABLE_NAME);
     if (object === undefined) return undefined;
@@ -112,7 +112,7 @@
 export function commit<A, E>(
   store: Store,
   decide: (
-    read: TableRead | undefined,
+    read: VersionedTable | undefined,
   ) => Effect.Effect<Decision<A, E>, Unavailable | HistoryMissing>,
   options: CommitOptions = {},
 ): Effect.Effect<A, E | CommitFailure> {
@@ -162,7 +162,7 @@
 function commitOnce<A, E>(
   store: Store,
   decide: (
-    read: TableRead | undefined,
+    read: VersionedTable | undefined,
   ) => Effect.Effect<Decision<A, E>, Unavailable | HistoryMissing>,
 ): Effect.Effect<A, RoundFailure<E>> {
   return Effect.gen(function* () {
--- a/packages/table/src/edit.ts
+++ b/packages/table/src/edit.ts
@@ -11,7 +11,7 @@
   CommitFailure,
   CommitOptions,
   Decision,
-  TableRead,
+  VersionedTable,
 } from "./commit.ts";
 import { readHistory } from "./history.ts";
 import type { HistoryMissing } from "./history.ts";
@@ -120,7 +120,7 @@
  */
 export function findEdit(
   store: Store,
-  read: TableRead,
+  read: VersionedTable,
   edit: { readonly editId: string; readonly baseSequence: number },
 ): Effect.Effect<HistoryEntry | undefined, Unavailable | HistoryMissing> {
   const matches = (entry: HistoryEntry) =>
@@ -175,7 +175,7 @@
 function decideEdit(
   store: Store,
   edit: Edit,
-  read: TableRead | undefined,
+  read: VersionedTable | undefined,
 ): Effect.Effect<
   Decision<Accepted | Unchanged, MergeFailure | TableMissing | EditClosed>,
   Unavailable | HistoryMissing
@@ -207,7 +207,7 @@
 }
 
 function created(
-  { version, stored }: TableRead,
+  { version, stored }: VersionedTable,
   editId: string,
   entry: HistoryEntry,
 ): Decision<Accepted, TableExists> {
--- a/packages/table/src/edit_fixtures.ts
+++ b/packages/table/src/edit_fixtures.ts
@@ -10,7 +10,7 @@
 import * as Effect from "effect/Effect";
 import { diffTables } from "./change.ts";
 import { readTable } from "./commit.ts";
-import type { TableRead } from "./commit.ts";
+import type { VersionedTable } from "./commit.ts";
 import { createTable } from "./edit.ts";
 import type { Edit } from "./edit.ts";
 import { runFast } from "./fast_clock.ts";
@@ -28,7 +28,7 @@
 }
 
 /** The stored table. */
-export async function readFrom(store: Store): Promise<TableRead> {
+export async function readFrom(store: Store): Promise<VersionedTable> {
   const read = await runFast(readTable(store));
   assert.ok(read !== undefined);
   return read;
--- a/packages/table/src/mod.ts
+++ b/packages/table/src/mod.ts
@@ -41,9 +41,9 @@
   CommitOptions,
   NotAccepted,
   StoredInvalid,
-  TableRead,
   TooLarge,
   UnknownWhetherAccepted,
+  VersionedTable as TableRead,
 } from "./commit.ts";
 export { readTable } from "./commit.ts";
 export type { HistoryMissing } from "./history.ts";
--- a/packages/table/src/resolve.ts
+++ b/packages/table/src/resolve.ts
@@ -10,7 +10,7 @@
   CommitFailure,
   CommitOptions,
   Decision,
-  TableRead,
+  VersionedTable,
 } from "./commit.ts";
 import { afterEdit, findEdit, write } from "./edit.ts";
 import type { Accepted, TableMissing } from "./edit.ts";
@@ -53,7 +53,7 @@
 function decide(
   store: Store,
   request: { readonly editId: string; readonly closing: EditMetadata },
-  read: TableRead | undefined,
+  read: VersionedTable | undefined,
 ): Effect.Effect<
   Decision<Accepted | Closed, TableMissing>,
   Unavailable | HistoryMissing
@@ -81,7 +81,7 @@
     if (decision._tag !== "Write") return decision;
     return {
       ...decision,
-      written: (written: TableRead): Closed => ({
+      written: (written: VersionedTable): Closed => ({
         _tag: "Closed",
         version: written.version,
         entry: last,
--- a/packages/table/src/table_at.ts
+++ b/packages/table/src/table_at.ts
@@ -7,7 +7,7 @@
 import * as Effect from "effect/Effect";
 import { err, ok } from "neverthrow";
 import type { Result } from "neverthrow";
-import type { TableRead } from "./commit.ts";
+import type { VersionedTable } from "./commit.ts";
 import { readHistory } from "./history.ts";
 import type { HistoryMissing } from "./history.ts";
 import type { HistoryEntry } from "./history_entry.ts";
@@ -33,7 +33,7 @@
  */
 export function tableAt(
   store: Store,
-  target: { readonly read: TableRead; readonly editId: string },
+  target: { readonly read: VersionedTable; readonly editId: string },
 ): Effect.Effect<
   Table,
   Unavailable | HistoryMissing | EditNotFound | MergeFailure
