--- a/packages/bench/src/edit.ts
+++ b/packages/bench/src/edit.ts
@@ -7,8 +7,8 @@
 import { setTimeout as pause } from "node:timers/promises";
 import { HttpOperators } from "@umbermast/cli";
 import { HttpStore } from "@umbermast/coordination";
-import { entriesBack, readTable } from "@umbermast/table";
-import type { TableRead } from "@umbermast/table";
+import { readHistory, readTable } from "@umbermast/table";
+import type { VersionedTable } from "@umbermast/table";
 import {
   FaultProxy,
   fetchJson,
@@ -185,7 +185,7 @@
 }> {
   const store = new HttpStore({ url: stack.platform.url });
   const giveUpAt = performance.now() + SETTLE_LIMIT_MS;
-  let read: TableRead | undefined;
+  let read: VersionedTable | undefined;
   while (read === undefined || !watch.allAt(read.version)) {
     if (read !== undefined && performance.now() > giveUpAt) break;
     await pause(SETTLE_CHECK_MS);
@@ -194,7 +194,7 @@
     );
   }
   const entries = await Effect.runPromise(
-    entriesBack(store, read.stored, { after: 0 }),
+    readHistory(store, read.stored, { after: 0 }),
   );
   store.close();
   return {
--- a/packages/bench/src/edit_operator.ts
+++ b/packages/bench/src/edit_operator.ts
@@ -17,8 +17,8 @@
   Closed,
   Row,
   Table,
-  TableRead,
   Unchanged,
+  VersionedTable,
 } from "@umbermast/table";
 import * as Effect from "effect/Effect";
 import type { EditRecord } from "./edit_record.ts";
@@ -121,7 +121,7 @@
   );
 }
 
-function readAgain(store: Store): Effect.Effect<TableRead> {
+function readAgain(store: Store): Effect.Effect<VersionedTable> {
   return Effect.suspend(() => readTable(store)).pipe(
     Effect.flatMap((read) =>
       read === undefined ? Effect.fail("no table") : Effect.succeed(read)
--- a/packages/cli/src/request/edit.ts
+++ b/packages/cli/src/request/edit.ts
@@ -5,7 +5,12 @@
  */
 import type { Store } from "@umbermast/coordination";
 import { applyEdit, mergeChanges, newEditId } from "@umbermast/table";
-import type { Accepted, Change, TableRead, Unchanged } from "@umbermast/table";
+import type {
+  Accepted,
+  Change,
+  Unchanged,
+  VersionedTable,
+} from "@umbermast/table";
 import * as Effect from "effect/Effect";
 import { EXIT_CODE } from "../process/exit_codes.ts";
 import { escapeText } from "../process/text.ts";
@@ -39,7 +44,7 @@
 export interface EditRequest {
   readonly store: Store;
   /** The version that the changes were made from. */
-  readonly read: TableRead;
+  readonly read: VersionedTable;
   readonly changes: readonly Change[];
   /** Used when the operator gave no note. */
   readonly note?: string;
--- a/packages/cli/src/request/offer.ts
+++ b/packages/cli/src/request/offer.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { TableRead } from "@umbermast/table";
+import type { VersionedTable } from "@umbermast/table";
 import * as Effect from "effect/Effect";
 import type { Operators } from "../process/operators.ts";
 
@@ -27,7 +27,7 @@
 export function offerVersion(
   operators: Operators,
   urls: readonly string[],
-  { version, stored }: TableRead,
+  { version, stored }: VersionedTable,
 ): Effect.Effect<readonly string[]> {
   const message = { path: "/table", body: { version, value: stored } };
   const offers = Effect.forEach(
--- a/packages/cli/src/request/table_read.ts
+++ b/packages/cli/src/request/table_read.ts
@@ -6,13 +6,18 @@
 import { writeFileSync } from "node:fs";
 import type { Store } from "@umbermast/coordination";
 import {
-  entriesBack,
+  readHistory,
   readTable,
   rowsToCsv,
   SECTIONS,
   tableAt,
 } from "@umbermast/table";
-import type { HistoryEntry, Row, Table, TableRead } from "@umbermast/table";
+import type {
+  HistoryEntry,
+  Row,
+  Table,
+  VersionedTable,
+} from "@umbermast/table";
 import * as Effect from "effect/Effect";
 import { EXIT_CODE } from "../process/exit_codes.ts";
 import { alignedTable, escapeText } from "../process/text.ts";
@@ -36,7 +41,7 @@
 /** Reads the stored table, which must exist. */
 export function currentTable(
   store: Store,
-): Effect.Effect<TableRead, CommandFailure> {
+): Effect.Effect<VersionedTable, CommandFailure> {
   return Effect.gen(function* () {
     const read = yield* Effect.mapError(
       readTable(store),
@@ -119,7 +124,7 @@
     const { stored } = yield* currentTable(store);
     const after = Math.max(0, stored.sequence - options.limit);
     const entries = yield* Effect.mapError(
-      entriesBack(store, stored, { after }),
+      readHistory(store, stored, { after }),
       (error) => storeFailure(error),
     );
     return { text: entries.map(entryText).join("\n"), json: { entries } };
--- a/packages/cli/src/request/table_write.ts
+++ b/packages/cli/src/request/table_write.ts
@@ -11,7 +11,7 @@
   resolveEdit,
   tableAt,
 } from "@umbermast/table";
-import type { Finding, Table, TableRead } from "@umbermast/table";
+import type { Finding, Table, VersionedTable } from "@umbermast/table";
 import * as Effect from "effect/Effect";
 import { err, ok } from "neverthrow";
 import type { Result } from "neverthrow";
@@ -132,7 +132,7 @@
 ): Effect.Effect<Report, CommandFailure> {
   return Effect.gen(function* () {
     const store = yield* storeOf(context);
-    const read: TableRead = yield* currentTable(store);
+    const read: VersionedTable = yield* currentTable(store);
     const { table } = read.stored;
     const wanted = yield* orInputFailure(
       edit(table).andThen((edited) => parseTable(edited)),
--- a/packages/daemon/src/version/table_feed_test.ts
+++ b/packages/daemon/src/version/table_feed_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { storedTable } from "@umbermast/table";
+import { initialStoredTable } from "@umbermast/table";
 import type { Table } from "@umbermast/table";
 import type { Log } from "../process/log.ts";
 import { SourcedTableFeed } from "./table_feed.ts";
@@ -45,7 +45,7 @@
 
   putWeight(version: number, weight: number): void {
     const note = { editId: `e${version}`, editor: "ana", at: 0 };
-    this.put(version, storedTable(tableOf(weight), note));
+    this.put(version, initialStoredTable(tableOf(weight), note));
   }
 
   current(): VersionedValue | undefined {
--- a/packages/daemon/src/version/table_offer_test.ts
+++ b/packages/daemon/src/version/table_offer_test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { storedTable } from "@umbermast/table";
+import { initialStoredTable } from "@umbermast/table";
 import { parseOffer } from "./table_offer.ts";
 
 const EMPTY = { classes: [], workspaces: [], rows: [], services: [] };
-const VALUE = storedTable(EMPTY, { editId: "e", editor: "ana", at: 1 });
+const VALUE = initialStoredTable(EMPTY, { editId: "e", editor: "ana", at: 1 });
 
 test("a version with a stored table is taken", () => {
   const offer = { version: 3, value: VALUE };
--- a/packages/table/src/mod.ts
+++ b/packages/table/src/mod.ts
@@ -12,26 +12,19 @@
   Workspace,
 } from "./table.ts";
 export type { Finding } from "./finding.ts";
-export { jsonPointer as pointer } from "./finding.ts";
+export { jsonPointer } from "./finding.ts";
 export { parseTable } from "./parse.ts";
 export type { Change, Entry, Section, SectionEntries } from "./change.ts";
 export { diffTables, entriesByKey, keyOf, SECTIONS } from "./change.ts";
-export type {
-  EntryConflict,
-  MergeFailure,
-  MergeResult as Merged,
-} from "./merge.ts";
+export type { EntryConflict, MergeFailure, MergeResult } from "./merge.ts";
 export { invertChanges, mergeChanges } from "./merge.ts";
 export { COLUMNS } from "./csv_columns.ts";
 export { importRows, MAX_CSV_BYTES } from "./csv_read.ts";
 export { rowsToCsv } from "./csv_write.ts";
-export type {
-  EditMetadata as EditNote,
-  HistoryEntry,
-} from "./history_entry.ts";
+export type { EditMetadata, HistoryEntry } from "./history_entry.ts";
 export type { StoredTable } from "./stored_table.ts";
 export {
-  initialStoredTable as storedTable,
+  initialStoredTable,
   parseStoredTable,
   TABLE_KIND,
   TABLE_NAME,
@@ -43,11 +36,11 @@
   StoredInvalid,
   TooLarge,
   UnknownWhetherAccepted,
-  VersionedTable as TableRead,
+  VersionedTable,
 } from "./commit.ts";
 export { readTable } from "./commit.ts";
 export type { HistoryMissing } from "./history.ts";
-export { HISTORY_KIND, readHistory as entriesBack } from "./history.ts";
+export { HISTORY_KIND, readHistory } from "./history.ts";
 export type {
   Accepted,
   Edit,
--- a/packages/testing/src/process/platform_client.ts
+++ b/packages/testing/src/process/platform_client.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import {
+  initialStoredTable,
   newEditId,
-  storedTable,
   type Table,
   TABLE_KIND,
   TABLE_NAME,
@@ -23,7 +23,7 @@
   const edit = { editId: newEditId(0), editor: "stack", at: Date.now() };
   await change(`${platformUrl}/objects/${TABLE_KIND}/${TABLE_NAME}`, "PUT", {
     headers: { "if-version": "0" },
-    body: storedTable(table, edit),
+    body: initialStoredTable(table, edit),
   });
 }
 
