--- a/packages/table/src/stored_table.ts
+++ b/packages/table/src/stored_table.ts
@@ -30,7 +30,7 @@
  *
  * @example
  * ```ts
- * const value = storedTable(table, { editId: "setup", editor: "ana", at: Date.now() });
+ * const value = initialStoredTable(table, { editId: "setup", editor: "ana", at: Date.now() });
  * store.write({ kind: TABLE_KIND, name: TABLE_NAME, value }, { ifVersion: 0 });
  * ```
  */
