--- a/packages/daemon/src/process/scheduling/messages.ts
+++ b/packages/daemon/src/process/scheduling/messages.ts
@@ -23,7 +23,7 @@
 const AskBody = Schema.Struct({
   type: Schema.Literal("ask"),
   askId: Name,
-  /** Incremented when the entry sends the ask to another broker; echoed by a grant. */
+  /** Incremented when the entry issues the ask anew; echoed by grants and refusals. */
   epoch: NonNegative,
   requestId: Name,
   service: Name,
