--- a/packages/table/src/commit.ts
+++ b/packages/table/src/commit.ts
@@ -1,5 +1,6 @@
 /**
- * Conditional update of the stored table, through conflicts and lost replies.
+ * Conditional updates of the stored table, retried after conflicts, store
+ * failures and lost replies.
  *
  * @module
  */
@@ -14,13 +15,13 @@
 import { parseStoredTable, TABLE_KIND, TABLE_NAME } from "./stored_table.ts";
 import type { StoredTable } from "./stored_table.ts";
 
-/** The store's limit, with room for what surrounds the value. */
+/** The store's limit, less a margin for the object that encloses the value. */
 const MAX_VALUE_BYTES = 1_000_000;
-const DEFAULT_GIVE_UP_MS = 10_000;
-const FIRST_PAUSE_MS = 100;
-const LONGEST_PAUSE_MS = 2_000;
-/** Spreads editors that met in a conflict. */
-const CONFLICT_PAUSE_MS = 30;
+const DEFAULT_RETRY_TIMEOUT_MS = 10_000;
+const INITIAL_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 2_000;
+/** Random delays up to this keep editors from conflicting with each other again. */
+const MAX_CONFLICT_DELAY_MS = 30;
 
 /** The stored table with the version of its object. */
 export interface VersionedTable {
@@ -35,26 +36,26 @@
   readonly findings: readonly Finding[];
 }
 
-/** The store could not be reached and nothing was written. */
+/** Nothing was written: the store was unavailable or writes kept conflicting. */
 export interface NotAccepted {
   readonly _tag: "NotAccepted";
   readonly reason: string;
 }
 
-/** A write may have taken effect; reading it back has failed so far. */
+/** A write may have taken effect, but could not be read back in time. */
 export interface UnknownWhetherAccepted {
   readonly _tag: "UnknownWhetherAccepted";
   readonly reason: string;
 }
 
-/** The value would be larger than the store takes. */
+/** The value is larger than the store accepts. */
 export interface TooLarge {
   readonly _tag: "TooLarge";
   readonly bytes: number;
   readonly limitBytes: number;
 }
 
-/** Why nothing is known to be committed. */
+/** Failures after which nothing is known to be committed. */
 export type CommitFailure =
   | StoredInvalid
   | HistoryMissing
@@ -62,24 +63,24 @@
   | UnknownWhetherAccepted
   | TooLarge;
 
-/** What to do about the table as it was read. */
+/** What to do with the table that was read: nothing more, fail, or write. */
 export type Decision<A, E> =
   | { readonly _tag: "Done"; readonly result: A }
   | { readonly _tag: "Refused"; readonly error: E }
   | {
     readonly _tag: "Write";
     readonly value: StoredTable;
-    /** The result, given what was written; older history may have left it. */
+    /** Maps the table as written, without history moved to pages, to the result. */
     readonly toResult: (read: VersionedTable) => A;
   };
 
-/** Settings of an edit. */
+/** Options of a commit. */
 export interface CommitOptions {
-  /** How long to go on while the store cannot be reached; 10,000 by default. */
+  /** Time for which failed attempts are retried; 10,000 ms by default. */
   readonly retryTimeoutMs?: number;
 }
 
-/** Reads the stored table; `undefined` when there is none yet. */
+/** Reads the stored table; `undefined` if the store holds none. */
 export function readTable(
   store: Store,
 ): Effect.Effect<VersionedTable | undefined, Unavailable | StoredInvalid> {
@@ -98,14 +99,16 @@
 }
 
 /**
- * Reads the table, asks what to do about it, and writes if the version is still
- * the same; again and again until that is settled.
+ * Reads the table, calls `decide` and writes the value that it returns if the
+ * version is unchanged. Conflicts and store failures are retried until an attempt
+ * succeeds, is refused or the retry time-out passes.
  *
- * A write whose reply was lost may have taken effect, or may still be under way
- * and do so later. The next round reads back and finds either a later version,
- * against which `decide` sees whether the write is in the history and past
- * which a late one can no longer succeed; or the same version, and then writes
- * again: of the two writes at most one succeeds, and both hold the same edit.
+ * A write whose reply was lost may have taken effect, or may still be in flight
+ * and take effect later. The next attempt reads the table back. If the version
+ * has changed, `decide` finds out from the history whether the write took effect,
+ * and a delayed write can no longer succeed. If the version is the same, the
+ * attempt writes again: at most one of the two writes succeeds, and both contain
+ * the same edit.
  *
  * @internal
  */
@@ -117,28 +120,29 @@
   options: CommitOptions = {},
 ): Effect.Effect<A, E | CommitFailure> {
   return Effect.gen(function* () {
-    const started = yield* monotonicMs;
-    const giveUpAt = started + (options.retryTimeoutMs ?? DEFAULT_GIVE_UP_MS);
-    let mayBeWritten = false;
-    let pauseMs = FIRST_PAUSE_MS;
+    const startedAt = yield* monotonicMs;
+    const deadline = startedAt +
+      (options.retryTimeoutMs ?? DEFAULT_RETRY_TIMEOUT_MS);
+    let mayHaveWritten = false;
+    let backoffMs = INITIAL_BACKOFF_MS;
     while (true) {
-      const round = yield* Effect.result(commitOnce(store, decide));
-      if (Result.isSuccess(round)) return round.success;
-      const failure = round.failure as RoundFailure<E>;
+      const attempt = yield* Effect.result(attemptCommit(store, decide));
+      if (Result.isSuccess(attempt)) return attempt.success;
+      const failure = attempt.failure as AttemptFailure<E>;
       if (failure._tag === "Refused") {
         return yield* Effect.fail(failure.error);
       }
-      const conflict = failure._tag === "Conflict";
-      if (!conflict) mayBeWritten ||= failure.mayHaveWritten;
-      const waitMs = conflict
-        ? yield* Random.nextBetween(0, CONFLICT_PAUSE_MS)
-        : Math.max(pauseMs, failure.retryAfterMs ?? 0);
-      if ((yield* monotonicMs) + waitMs > giveUpAt) {
-        const reason = conflict ? "Others edit all the time" : failure.reason;
-        return yield* Effect.fail(givenUp(reason, mayBeWritten));
+      const isConflict = failure._tag === "Conflict";
+      if (!isConflict) mayHaveWritten ||= failure.mayHaveWritten;
+      const waitMs = isConflict
+        ? yield* Random.nextBetween(0, MAX_CONFLICT_DELAY_MS)
+        : Math.max(backoffMs, failure.retryAfterMs ?? 0);
+      if ((yield* monotonicMs) + waitMs > deadline) {
+        const reason = isConflict ? "Others edit all the time" : failure.reason;
+        return yield* Effect.fail(retryTimeoutFailure(reason, mayHaveWritten));
       }
       yield* Effect.sleep(waitMs);
-      if (!conflict) pauseMs = Math.min(pauseMs * 2, LONGEST_PAUSE_MS);
+      if (!isConflict) backoffMs = Math.min(backoffMs * 2, MAX_BACKOFF_MS);
     }
   });
 }
@@ -154,17 +158,17 @@
   readonly error: E | CommitFailure;
 }
 
-type RoundFailure<E> =
+type AttemptFailure<E> =
   | Refused<E>
   | Unavailable
   | { readonly _tag: "Conflict" };
 
-function commitOnce<A, E>(
+function attemptCommit<A, E>(
   store: Store,
   decide: (
     read: VersionedTable | undefined,
   ) => Effect.Effect<Decision<A, E>, Unavailable | HistoryMissing>,
-): Effect.Effect<A, RoundFailure<E>> {
+): Effect.Effect<A, AttemptFailure<E>> {
   return Effect.gen(function* () {
     const read = yield* readTable(store);
     const decision = yield* decide(read);
@@ -181,7 +185,7 @@
         error: { _tag: "TooLarge", bytes, limitBytes: MAX_VALUE_BYTES },
       });
     }
-    yield* beforeTableWrite(writePage(store, page));
+    yield* asTableNotWritten(writePage(store, page));
     const version = yield* store.write(
       { kind: TABLE_KIND, name: TABLE_NAME, value },
       { ifVersion: read?.version ?? 0 },
@@ -195,8 +199,11 @@
   );
 }
 
-/** A page that may have been written is no edit that may have been accepted. */
-function beforeTableWrite(
+/**
+ * Clears `mayHaveWritten` of a failure: a history page that may have been written
+ * does not mean that the edit may have been accepted.
+ */
+function asTableNotWritten(
   effect: Effect.Effect<void, Unavailable>,
 ): Effect.Effect<void, Unavailable> {
   return Effect.mapError(
@@ -205,12 +212,12 @@
   );
 }
 
-function givenUp(
+function retryTimeoutFailure(
   reason: string,
-  mayBeWritten: boolean,
+  mayHaveWritten: boolean,
 ): NotAccepted | UnknownWhetherAccepted {
   return {
-    _tag: mayBeWritten ? "UnknownWhetherAccepted" : "NotAccepted",
+    _tag: mayHaveWritten ? "UnknownWhetherAccepted" : "NotAccepted",
     reason,
   };
 }
--- a/packages/table/src/edit.ts
+++ b/packages/table/src/edit.ts
@@ -1,5 +1,6 @@
 /**
- * Edits of the stored table.
+ * Edits of the stored table: creating the table, applying an edit to it and
+ * finding an edit in the history.
  *
  * @module
  */
@@ -22,7 +23,7 @@
 import type { StoredTable } from "./stored_table.ts";
 import type { Table } from "./table.ts";
 
-/** An edit to be accepted. */
+/** An edit to apply to the stored table. */
 export interface Edit extends EditMetadata {
   /** Sequence of the version that the edit was made from. */
   readonly baseSequence: number;
@@ -39,30 +40,30 @@
   readonly entry: HistoryEntry;
 }
 
-/** The table already is as the edit wants it; nothing was written. */
+/** The table already has the values that the edit sets; nothing was written. */
 export interface Unchanged {
   readonly _tag: "Unchanged";
   readonly version: number;
 }
 
-/** There is no table to edit. */
+/** The store holds no table. */
 export interface TableMissing {
   readonly _tag: "TableMissing";
 }
 
-/** The store has a table already. */
+/** The store already holds a table. */
 export interface TableExists {
   readonly _tag: "TableExists";
   readonly version: number;
 }
 
-/** Someone has resolved the edit as not accepted, and so it stays. */
+/** The edit was resolved as not accepted and can no longer be accepted. */
 export interface EditClosed {
   readonly _tag: "EditClosed";
   readonly entry: HistoryEntry;
 }
 
-/** Why an edit was not accepted, or is not known to be. */
+/** Failures after which an edit is not accepted or its outcome is unknown. */
 export type EditFailure =
   | CommitFailure
   | MergeFailure
@@ -72,11 +73,11 @@
 /**
  * Applies an edit by conditional update.
  *
- * Edits of others that came between are merged when they touch other entries;
- * on the same entry the edit fails with a conflict. A write whose reply was
- * lost is resolved by reading back and looking for the edit's id, so the edit
- * is reported as accepted exactly when it was and never applied twice, also
- * when this function is called again with the same id.
+ * Concurrent edits of other entries are merged; if a concurrent edit changed the
+ * same entry, this one fails with a conflict. After a lost reply, the table is
+ * read back and its history searched for the edit's id. So the edit is reported
+ * as accepted exactly when it was accepted, and it is never applied twice, even
+ * if this function is called again with the same id.
  *
  * @example
  * ```ts
@@ -97,7 +98,10 @@
   return commit(store, (read) => decideEdit(store, edit, read), options);
 }
 
-/** Writes the first version of the table. */
+/**
+ * Writes the first version of the table. Calling it again with the same edit id
+ * succeeds while that version is the current one.
+ */
 export function createTable(
   store: Store,
   first: { readonly table: Table; readonly metadata: EditMetadata },
@@ -109,12 +113,12 @@
     Effect.succeed(
       read === undefined
         ? writeDecision(value, entry)
-        : created(read, first.metadata.editId, entry),
+        : decideCreate(read, first.metadata.editId, entry),
     ), options);
 }
 
 /**
- * Finds an edit in the history: its own entry, or the one that closed it.
+ * Finds an edit's own entry in the history, or the entry that closed the edit.
  *
  * @internal
  */
@@ -132,7 +136,7 @@
   return Effect.map(entries, (found) => found.find(matches));
 }
 
-/** The stored value after one more edit. @internal */
+/** Returns the stored value with one more edit applied. @internal */
 export function appendEdit(
   stored: StoredTable,
   edit: EditMetadata & { readonly closes?: string },
@@ -140,27 +144,27 @@
 ): StoredTable {
   const { editId, editor, at, note, closes } = edit;
   const sequence = stored.sequence + 1;
-  const written: EditMetadata = {
+  const metadata: EditMetadata = {
     editId,
     editor,
     at,
     ...(note === undefined ? {} : { note }),
   };
   const entry: HistoryEntry = {
-    ...written,
+    ...metadata,
     sequence,
     ...(closes === undefined ? {} : { closes }),
     changes: merged.changes,
   };
   return {
     table: merged.table,
-    ...written,
+    ...metadata,
     sequence,
     history: [...stored.history, entry],
   };
 }
 
-/** A decision to write a value whose last entry is the edit. @internal */
+/** Decides to write a value whose last history entry is the edit. @internal */
 export function writeDecision(
   value: StoredTable,
   entry: HistoryEntry,
@@ -206,13 +210,13 @@
   });
 }
 
-function created(
+function decideCreate(
   { version, stored }: VersionedTable,
   editId: string,
   entry: HistoryEntry,
 ): Decision<Accepted, TableExists> {
-  const own = stored.sequence === 1 && stored.editId === editId;
-  return own
+  const isSameEdit = stored.sequence === 1 && stored.editId === editId;
+  return isSameEdit
     ? { _tag: "Done", result: { _tag: "Accepted", version, stored, entry } }
     : { _tag: "Refused", error: { _tag: "TableExists", version } };
 }
--- a/packages/table/src/merge.ts
+++ b/packages/table/src/merge.ts
@@ -1,6 +1,6 @@
 /**
- * Three-way merge: changes made to one version of the table, applied to a later
- * one.
+ * Three-way merge: applies changes that were made to one version of the table to
+ * a later version.
  *
  * @module
  */
@@ -12,19 +12,19 @@
 import { parseTable } from "./parse.ts";
 import type { Table } from "./table.ts";
 
-/** An entry that both this edit and another one have changed. */
+/** An entry that this edit and a concurrent edit changed differently. */
 export interface EntryConflict {
   readonly section: Section;
   readonly key: string;
-  /** What the edit started from; absent when it did not exist. */
+  /** Entry that the edit was made from; absent if it did not exist. */
   readonly base?: Entry;
-  /** What the edit wants; absent when it removes the entry. */
+  /** Entry that the edit sets; absent if the edit removes it. */
   readonly mine?: Entry;
-  /** What is in the table now; absent when it has been removed. */
+  /** Entry that the table now holds; absent if it was removed. */
   readonly theirs?: Entry;
 }
 
-/** The edit cannot be applied to the table as it stands now. */
+/** Reasons why an edit cannot be applied to the current table. */
 export type MergeFailure =
   | {
     readonly _tag: "EditConflict";
@@ -32,19 +32,19 @@
   }
   | { readonly _tag: "EditInvalid"; readonly findings: readonly Finding[] };
 
-/** A table with the changes that it took to get there. */
+/** The merged table and the changes that led to it. */
 export interface MergeResult {
   readonly table: Table;
-  /** What differs from the table that the changes were applied to. */
+  /** Differences from the table that the changes were applied to. */
   readonly changes: readonly Change[];
 }
 
 /**
- * Applies changes to a table that may have moved on since they were made.
+ * Applies changes to a table that may have been edited since they were made.
  *
- * Entries that nobody else has touched take the change; entries that already
- * are as wanted stay. An entry that someone else changed otherwise is a
- * conflict, and then nothing is applied.
+ * A change applies if its entry is the same as when the change was made, and has
+ * no effect if the entry already has the new value. Otherwise the change
+ * conflicts; if any change conflicts, none is applied.
  *
  * @example
  * ```ts
@@ -65,8 +65,8 @@
     (result, section) => withSection(result, section, changes),
     table,
   );
-  // Each edit may be valid by itself and the two together not: one removes a
-  // workspace, the other adds a row to it.
+  // Two edits that are valid separately may be invalid together: one removes a
+  // workspace and the other adds a row for it.
   return parseTable(merged)
     .mapErr((findings): MergeFailure => ({ _tag: "EditInvalid", findings }))
     .andThen((valid) =>
@@ -74,7 +74,7 @@
     );
 }
 
-/** The changes that take back the given ones, in reverse order. */
+/** Returns the changes that revert the given ones, in reverse order. */
 export function invertChanges(changes: readonly Change[]): readonly Change[] {
   return changes.toReversed().map(({ section, key, before, after }) => ({
     section,
--- a/packages/table/src/references.ts
+++ b/packages/table/src/references.ts
@@ -1,5 +1,6 @@
 /**
- * Checks of what the table's entries say of one another.
+ * Validation across the table's entries: unique values, references by name, and
+ * fields that must agree.
  *
  * @module
  */
@@ -7,12 +8,12 @@
 import type { Finding } from "./finding.ts";
 import type { Table } from "./table.ts";
 
-/** Shares are written as decimals; their sum may exceed 1 by rounding alone. */
+/** The sum of decimal shares may exceed 1 by floating-point rounding alone. */
 const SHARE_TOLERANCE = 1e-9;
 
 /**
- * Reports duplicates, names that nothing carries and shares that cannot all be
- * kept.
+ * Reports duplicates, references to unknown names, services whose models do not
+ * match their kind, and minimum shares that sum to more than 1.
  *
  * @internal
  */
@@ -33,31 +34,31 @@
 }
 
 function duplicates(
-  what: string,
+  label: string,
   occurrences: readonly Occurrence[],
 ): readonly Finding[] {
-  const first = new Map<string, string>();
-  const found: Finding[] = [];
+  const firstPlaces = new Map<string, string>();
+  const findings: Finding[] = [];
   for (const { value, place } of occurrences) {
-    const earlier = first.get(value);
+    const earlier = firstPlaces.get(value);
     if (earlier === undefined) {
-      first.set(value, place);
+      firstPlaces.set(value, place);
       continue;
     }
-    found.push({
+    findings.push({
       place,
-      message: `Duplicate ${what} "${value}", already at ${earlier}`,
+      message: `Duplicate ${label} "${value}", already at ${earlier}`,
     });
   }
-  return found;
+  return findings;
 }
 
 function duplicateClasses(table: Table): readonly Finding[] {
   return duplicates(
     "class",
-    table.classes.map(({ name }, at) => ({
+    table.classes.map(({ name }, index) => ({
       value: name,
-      place: jsonPointer(["classes", at, "name"]),
+      place: jsonPointer(["classes", index, "name"]),
     })),
   );
 }
@@ -78,19 +79,19 @@
 
 function workspaceFindings(table: Table): readonly Finding[] {
   const classes = new Set(table.classes.map(({ name }) => name));
-  const names = table.workspaces.map(({ name }, at) => ({
+  const names = table.workspaces.map(({ name }, index) => ({
     value: name,
-    place: jsonPointer(["workspaces", at, "name"]),
+    place: jsonPointer(["workspaces", index, "name"]),
   }));
-  const digests = table.workspaces.flatMap(({ keyDigests }, at) =>
-    keyDigests.map((value, index) => ({
+  const digests = table.workspaces.flatMap(({ keyDigests }, index) =>
+    keyDigests.map((value, digestIndex) => ({
       value,
-      place: jsonPointer(["workspaces", at, "keyDigests", index]),
+      place: jsonPointer(["workspaces", index, "keyDigests", digestIndex]),
     }))
   );
-  const unknown = table.workspaces.flatMap(({ defaultClass }, at) =>
+  const unknown = table.workspaces.flatMap(({ defaultClass }, index) =>
     classes.has(defaultClass) ? [] : [{
-      place: jsonPointer(["workspaces", at, "defaultClass"]),
+      place: jsonPointer(["workspaces", index, "defaultClass"]),
       message: `Unknown class "${defaultClass}"`,
     }]
   );
@@ -104,53 +105,56 @@
 function rowFindings(table: Table): readonly Finding[] {
   const classes = new Set(table.classes.map(({ name }) => name));
   const workspaces = new Set(table.workspaces.map(({ name }) => name));
-  const found: Finding[] = [];
-  for (const [at, row] of table.rows.entries()) {
+  const unknown: Finding[] = [];
+  for (const [index, row] of table.rows.entries()) {
     if (!workspaces.has(row.workspace)) {
-      found.push({
-        place: jsonPointer(["rows", at, "workspace"]),
+      unknown.push({
+        place: jsonPointer(["rows", index, "workspace"]),
         message: `Unknown workspace "${row.workspace}"`,
       });
     }
     if (!classes.has(row.class)) {
-      found.push({
-        place: jsonPointer(["rows", at, "class"]),
+      unknown.push({
+        place: jsonPointer(["rows", index, "class"]),
         message: `Unknown class "${row.class}"`,
       });
     }
   }
-  const keys = table.rows.map((row, at) => ({
+  const keys = table.rows.map((row, index) => ({
     value: `${row.workspace}/${row.class}`,
-    place: jsonPointer(["rows", at]),
+    place: jsonPointer(["rows", index]),
   }));
-  return [...found, ...duplicates("row", keys)];
+  return [...unknown, ...duplicates("row", keys)];
 }
 
 function serviceFindings(table: Table): readonly Finding[] {
-  const names = table.services.map(({ name }, at) => ({
+  const names = table.services.map(({ name }, index) => ({
     value: name,
-    place: jsonPointer(["services", at, "name"]),
+    place: jsonPointer(["services", index, "name"]),
   }));
-  // A request names its model alone, so a model leads to one service.
-  const models = table.services.flatMap((service, at) =>
-    service.models.map((value, index) => ({
+  // A request names only a model, so each model must belong to one service.
+  const models = table.services.flatMap((service, index) =>
+    service.models.map((value, modelIndex) => ({
       value,
-      place: jsonPointer(["services", at, "models", index]),
+      place: jsonPointer(["services", index, "models", modelIndex]),
     }))
   );
-  const kinds = table.services.flatMap((service, at) => {
-    const place = jsonPointer(["services", at, "models"]);
+  const kindFindings = table.services.flatMap((service, index) => {
+    const place = jsonPointer(["services", index, "models"]);
     if (service.kind === "plain" && service.models.length > 0) {
       return [{ place, message: "A plain service serves no models" }];
     }
     if (service.kind === "model" && service.models.length === 0) {
-      return [{ place, message: "A model service needs at least one model" }];
+      return [{
+        place,
+        message: "A model service needs at least one model",
+      }];
     }
     return [];
   });
   return [
     ...duplicates("service", names),
     ...duplicates("model", models),
-    ...kinds,
+    ...kindFindings,
   ];
 }
--- a/packages/table/src/resolve.ts
+++ b/packages/table/src/resolve.ts
@@ -1,5 +1,5 @@
 /**
- * Resolving edits of which it is unknown whether they were accepted.
+ * Resolution of edits whose outcome is unknown.
  *
  * @module
  */
@@ -18,7 +18,7 @@
 import type { HistoryMissing } from "./history.ts";
 import type { EditMetadata, HistoryEntry } from "./history_entry.ts";
 
-/** The edit was not accepted and cannot be any more. */
+/** The edit was not accepted and can no longer be accepted. */
 export interface Closed {
   readonly _tag: "Closed";
   readonly version: number;
@@ -27,12 +27,12 @@
 }
 
 /**
- * Settles whether an edit was accepted.
+ * Determines whether an edit was accepted, and closes it if it was not.
  *
- * An edit that is not in the history may still be on its way: a write that the
- * network has held up, or an editor that is still trying. So it is closed by an
- * edit without changes: the write that is held up meets a later version, and
- * the editor finds the closing entry and reports it.
+ * An edit that is not in the history may still be in flight: its write may be
+ * delayed in the network, or its editor may still be retrying. Closing it writes
+ * an edit without changes. A delayed write then finds a later version and fails,
+ * and an editor that retries finds the closing entry and fails with `EditClosed`.
  *
  * @example
  * ```ts
@@ -47,10 +47,14 @@
   request: { readonly editId: string; readonly closing: EditMetadata },
   options: CommitOptions = {},
 ): Effect.Effect<Accepted | Closed, CommitFailure | TableMissing> {
-  return commit(store, (read) => decide(store, request, read), options);
+  return commit(
+    store,
+    (read) => decideResolution(store, request, read),
+    options,
+  );
 }
 
-function decide(
+function decideResolution(
   store: Store,
   request: { readonly editId: string; readonly closing: EditMetadata },
   read: VersionedTable | undefined,
@@ -76,15 +80,15 @@
       table: stored.table,
       changes: [],
     });
-    const last = value.history.at(-1) as HistoryEntry;
-    const decision = writeDecision(value, last);
+    const closingEntry = value.history.at(-1) as HistoryEntry;
+    const decision = writeDecision(value, closingEntry);
     if (decision._tag !== "Write") return decision;
     return {
       ...decision,
       toResult: (written: VersionedTable): Closed => ({
         _tag: "Closed",
         version: written.version,
-        entry: last,
+        entry: closingEntry,
       }),
     };
   });
--- a/packages/table/src/schema.ts
+++ b/packages/table/src/schema.ts
@@ -1,6 +1,6 @@
 /**
- * The table's JSON schema: the shape and range of each field. What one entry
- * says of another is checked in `references.ts`.
+ * The table's JSON schema: the shape and range of each field. References between
+ * entries are checked in `references.ts`.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { Finding } from "./finding.ts";
 import type { Table } from "./table.ts";
 
-/** Lowest priority that a class may have. */
+/** Highest tier number, that is, the lowest priority of a class. */
 export const MAX_TIER = 31;
 
 const NAME = Schema.String.check(
@@ -91,7 +91,8 @@
 });
 
 /**
- * Checks shape and ranges alone, reporting every finding.
+ * Checks the shape and range of each field, without references between entries.
+ * Reports all findings.
  *
  * @internal
  */
