--- a/packages/daemon/src/connection/caller_server.ts
+++ b/packages/daemon/src/connection/caller_server.ts
@@ -1,5 +1,5 @@
 /**
- * The port that callers connect to: connections and their limits.
+ * The HTTP server for callers: its connections and their limits.
  *
  * @module
  */
@@ -15,42 +15,42 @@
 import { addressOf, listen } from "./listener.ts";
 import type { ListenOptions } from "./listener.ts";
 
-/** Serves what comes on the connections. */
+/** Handles requests and connection faults. */
 export interface CallerHandler {
   /**
    * Serves one request.
    *
-   * @param pipelined whether an answer on the same connection has not ended.
+   * @param pipelined whether an earlier response on the connection is still open.
    */
   serve(
     request: IncomingMessage,
     response: ServerResponse,
     options: { readonly pipelined: boolean },
   ): void;
-  /** The whole answer, head and body, to what is not a request. */
+  /** Builds the complete response, head and body, to an invalid request. */
   faultResponse(fault: ConnectionFault): string;
-  /** A connection beyond the limit was closed. */
+  /** Reports a connection that was closed because of the connection limit. */
   connectionDropped(): void;
 }
 
-/** How often Node looks for connections past their limits. */
+/** How often Node checks connections for expired time-outs. */
 const TIMEOUT_CHECK_INTERVAL_MS = 250;
-/** Idle time after which the system probes whether a caller is still there. */
+/** Idle time after which the system sends TCP keep-alive probes. */
 const KEEP_ALIVE_PROBE_MS = 10_000;
 
-/** A callers' port that is open. */
+/** An open server for callers. */
 export interface CallerServer {
   /** Address and port, as `IP:PORT`. */
   readonly address: string;
-  /** Connections that are open. */
+  /** Number of open connections. */
   readonly connections: number;
-  /** Ends when every answer that has ended has also gone out. */
+  /** Completes when every ended response has been sent. */
   readonly flushed: Effect.Effect<void>;
-  /** Accepts no new connections, and cuts those that are open. */
+  /** Accepts no new connections, and closes the open ones. */
   close(): void;
 }
 
-/** The last answer of each connection. */
+/** The latest response of each connection. */
 class LastResponses {
   readonly #last = new WeakMap<Duplex, ServerResponse>();
 
@@ -58,14 +58,14 @@
     this.#last.set(socket, response);
   }
 
-  /** Whether an answer on the connection has not ended. */
+  /** Whether a response on the connection is still open. */
   isOpen(socket: Duplex): boolean {
     return this.#last.get(socket)?.writableEnded === false;
   }
 
   /**
-   * Whether text on the connection would be taken for part of an answer, or
-   * for the answer to a request that came whole and may be running.
+   * Whether bytes written to the connection would be read as part of a response,
+   * or as the response to a complete request that may be running.
    */
   isAwaited(socket: Duplex): boolean {
     const last = this.#last.get(socket);
@@ -74,16 +74,16 @@
   }
 }
 
-/** Opens the callers' port. */
+/** Opens the server for callers. */
 export const openCallerServer = Effect.fnUntraced(function* (
   at: ListenOptions,
   options: { readonly limits: CallerLimits; readonly handler: CallerHandler },
 ) {
   const { limits, handler } = options;
   const latest = new LastResponses();
-  // Node's own close counts a connection as idle once its answer has ended, and
-  // destroys it with what a slow caller has not taken yet: that answer would be
-  // cut off. So it is known here which answers have not gone out.
+  // Node's close treats a connection as idle once its response has ended, and
+  // destroys it with bytes that a slow caller has not read yet, which would
+  // truncate the response. So unsent responses are tracked here.
   const unsent = new TrackedSet<ServerResponse>();
   const serve = (request: IncomingMessage, response: ServerResponse) => {
     const pipelined = latest.isOpen(request.socket);
@@ -99,7 +99,7 @@
   const server = createServer({
     maxHeaderSize: limits.headerBytes,
     headersTimeout: limits.headerTimeoutMs,
-    // Bodies have their own limit, whose error answer says what was late.
+    // Bodies have their own time-out, whose error response names the cause.
     requestTimeout: 0,
     keepAliveTimeout: limits.idleCallerMs,
     connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
--- a/packages/daemon/src/connection/connection_fault.ts
+++ b/packages/daemon/src/connection/connection_fault.ts
@@ -1,11 +1,11 @@
 /**
- * What goes wrong on a caller's connection before there is a request.
+ * Faults of a caller's connection before a valid request.
  *
  * @module
  */
 import type { ProblemCode } from "../process/codes.ts";
 
-/** Something that is not a request, or not in time. */
+/** An invalid request, or one whose head exceeded a time-out or size limit. */
 export interface ConnectionFault {
   readonly code: Extract<
     ProblemCode,
@@ -18,7 +18,7 @@
   readonly place: string;
 }
 
-/** Reads the error that Node's parser or its limits gave. */
+/** Converts an error of Node's parser or its limits. */
 export function connectionFault(error: NodeJS.ErrnoException): ConnectionFault {
   if (error.code === "HPE_HEADER_OVERFLOW") {
     const message = "Cannot read the request: its head is too large";
@@ -28,7 +28,7 @@
     const message = "Cannot read the request: its head did not come in time";
     return { code: "header_timeout", message, place: "header" };
   }
-  // The parser's codes name the rule that was broken and quote nothing.
+  // The parser's codes name the violated rule and quote nothing of the request.
   const rule = error.code?.startsWith("HPE_") ? ` (${error.code})` : "";
   const message = `Cannot read the request: it is not valid HTTP/1.1${rule}`;
   return { code: "request_invalid", message, place: "request" };
--- a/packages/daemon/src/connection/listener.ts
+++ b/packages/daemon/src/connection/listener.ts
@@ -7,7 +7,7 @@
 import type { AddressInfo } from "node:net";
 import * as Effect from "effect/Effect";
 
-/** Where to listen. */
+/** Address and port to listen on. */
 export interface ListenOptions {
   /** IP address. */
   readonly address: string;
@@ -15,7 +15,7 @@
   readonly port: number;
 }
 
-/** An address could not be listened on. */
+/** Listening on an address failed. */
 export interface ListenFailed {
   readonly _tag: "ListenFailed";
   readonly message: string;
@@ -40,7 +40,7 @@
   });
 }
 
-/** Writes the address a server is bound to as `IP:PORT`. */
+/** Formats the address that a server is bound to, as `IP:PORT`. */
 export function addressOf(server: Server): string {
   const { address, family, port } = server.address() as AddressInfo;
   return family === "IPv6" ? `[${address}]:${port}` : `${address}:${port}`;
--- a/packages/daemon/src/connection/operator_server.ts
+++ b/packages/daemon/src/connection/operator_server.ts
@@ -1,5 +1,5 @@
 /**
- * The port that operators and their tools connect to.
+ * The HTTP server for operators and their tools.
  *
  * @module
  */
@@ -10,26 +10,26 @@
 import { addressOf, listen } from "./listener.ts";
 import type { ListenOptions } from "./listener.ts";
 
-/** An answer to an operator. */
+/** A response to an operator. */
 export interface OperatorResponse {
   readonly status: number;
-  /** `application/json` unless said otherwise. */
+  /** `application/json` by default. */
   readonly contentType?: string;
   readonly body: string;
 }
 
-/** Answers one resource. */
+/** Handles GET requests for one resource. */
 export type OperatorResource = (
   query: URLSearchParams,
 ) => OperatorResponse | Promise<OperatorResponse>;
 
-/** Takes the JSON that an operator posts to one resource. */
+/** Handles the JSON that an operator posts to one resource. */
 export type OperatorPostHandler = (body: unknown) => OperatorResponse;
 
 /** Resources by path. */
 export type OperatorResources = Readonly<Record<string, OperatorResource>>;
 
-/** What operators may post to, by path. */
+/** Handlers of POST requests, by path. */
 export type OperatorPostHandlers = Readonly<
   Record<string, OperatorPostHandler>
 >;
@@ -37,11 +37,11 @@
 const HEADER_TIMEOUT_MS = 5000;
 const BODY_TIMEOUT_MS = 5000;
 const MAX_CONNECTIONS = 256;
-/** The largest table with its history, and what surrounds it. */
+/** Fits the largest table with its history, and the surrounding JSON. */
 const MAX_BODY_BYTES = 1_200_000;
 const BEARER = /^Bearer +(.+)$/i;
 
-/** Makes a JSON answer. */
+/** Builds a JSON response. */
 export function jsonResponse(value: unknown, status = 200): OperatorResponse {
   return { status, body: JSON.stringify(value) };
 }
@@ -55,8 +55,8 @@
 }
 
 /**
- * Compares by digest and in constant time: a comparison that stops at the first
- * wrong character would let a caller guess the token character by character.
+ * Compares secrets by digest and in constant time: a comparison that stops at the
+ * first wrong character would allow guessing the token character by character.
  */
 function secretsEqual(given: string, expected: string): boolean {
   const digest = (text: string) => createHash("sha256").update(text).digest();
@@ -76,7 +76,7 @@
   response.end(result.body);
 }
 
-/** The body of a request; `undefined` when it is too long or broken off. */
+/** Reads the body of a request; `undefined` when it is too long or incomplete. */
 async function readBody(request: IncomingMessage): Promise<string | undefined> {
   const chunks: Uint8Array[] = [];
   let bytes = 0;
@@ -110,7 +110,7 @@
   return postHandler(body);
 }
 
-/** What the operators' port serves, and to whom. */
+/** The token and the handlers of the operators' server. */
 interface RequestContext {
   readonly token: string;
   readonly resources: OperatorResources;
@@ -146,14 +146,14 @@
   return errorResponse(405, "method_unsupported", message);
 }
 
-/** An operators' port that is open. */
+/** An open server for operators. */
 export interface OperatorServer {
   /** Address and port, as `IP:PORT`. */
   readonly address: string;
   close(): void;
 }
 
-/** Opens the operators' port. */
+/** Opens the server for operators. */
 export const openOperatorServer = Effect.fnUntraced(function* (
   at: ListenOptions & { readonly token: string },
   resources: OperatorResources,
--- a/packages/daemon/src/connection/operator_server_test.ts
+++ b/packages/daemon/src/connection/operator_server_test.ts
@@ -29,14 +29,14 @@
   return fetch(url, { method, headers });
 }
 
-test("a resource is answered to who has the token", async (context) => {
+test("serves a resource to a client with the token", async (context) => {
   const root = await opened(context);
   const answer = await get(`${root}/status?q=1`);
   assert.equal(answer.status, 200);
   assert.deepEqual(await answer.json(), { q: "1" });
 });
 
-test("nothing is answered to who has not, whatever the path", async (context) => {
+test("refuses every path to a client without the token", async (context) => {
   const root = await opened(context);
   for (const authorization of ["", "Bearer ", "Bearer x", `Basic ${TOKEN}`]) {
     for (const path of ["/status", "/none"]) {
@@ -48,7 +48,7 @@
   }
 });
 
-test("other paths and methods, and faults, have codes", async (context) => {
+test("unknown paths, unsupported methods and faults have error codes", async (context) => {
   const root = await opened(context);
   const codeOf = async (answer: Response) => {
     const { error } = await answer.json() as { error: { code: string } };
--- a/packages/daemon/src/connection/runner_connections.ts
+++ b/packages/daemon/src/connection/runner_connections.ts
@@ -1,25 +1,25 @@
 /**
- * Connections to runners, kept alive and bounded for each runner.
+ * Connections to runners: keep-alive and a connection limit per runner.
  *
  * @module
  */
 import * as http from "node:http";
 import type { Runner } from "../process/runner.ts";
 
-/** Bounds of the connections to each runner. */
+/** Limits of the connections to each runner. */
 export interface ConnectionLimits {
-  /** Most open connections to one runner. */
+  /** Maximum number of open connections to one runner. */
   readonly perRunner: number;
-  /** Most idle connections kept to one runner. */
+  /** Maximum number of idle connections kept to one runner. */
   readonly idlePerRunner: number;
   /**
    * Milliseconds after which an idle connection is closed. Shorter than the
-   * keep-alive of usual servers, so that ours is the end that closes.
+   * keep-alive time-out of common servers, so that the client closes first.
    */
   readonly idleMs: number;
 }
 
-/** What is sent to a runner. */
+/** A request to a runner. */
 export interface RunnerRequest {
   readonly method: string;
   readonly path: string;
@@ -28,18 +28,18 @@
     readonly value: string;
   }[];
   readonly body: Uint8Array;
-  /** Take a new connection instead of an idle one. */
+  /** Whether to open a new connection instead of reusing an idle one. */
   readonly fresh: boolean;
 }
 
-/** Used where settings name nothing else. */
+/** Default limits. */
 export const DEFAULT_CONNECTION_LIMITS: ConnectionLimits = {
   perRunner: 512,
   idlePerRunner: 32,
   idleMs: 4_000,
 };
 
-/** Finds or opens a connection for each request to a runner. */
+/** Reuses or opens a connection for each request to a runner. */
 export class RunnerConnections {
   readonly #limits: ConnectionLimits;
   readonly #agents = new Map<string, http.Agent>();
@@ -49,7 +49,7 @@
     this.#limits = limits;
   }
 
-  /** Starts a request; the body is sent whole. The caller handles its events. */
+  /** Starts a request and sends its whole body. The caller handles its events. */
   send(runner: Runner, request: RunnerRequest): http.ClientRequest {
     const outgoing = http.request({
       host: runner.address,
@@ -67,9 +67,9 @@
   }
 
   /**
-   * Closes the idle connections to a runner. Something between both ends that
-   * lost track of one connection has often lost the others too: requests sent
-   * on them would hang until their timeouts, one after the other.
+   * Closes the idle connections to a runner. An intermediary that has lost the
+   * state of one connection has often lost that of others too: requests sent on
+   * them would hang until their time-outs, one after the other.
    */
   dropIdle(runner: Runner): void {
     const agent = this.#agents.get(keyOf(runner));
@@ -79,7 +79,7 @@
     }
   }
 
-  /** Forgets runners that are not among those given; their streams go on. */
+  /** Removes runners that are not listed; their open streams continue. */
   retain(runners: readonly Runner[]): void {
     const kept = new Set(runners.map(keyOf));
     for (const [key, agent] of this.#agents) {
@@ -89,7 +89,7 @@
     }
   }
 
-  /** Closes every connection, also those in use. */
+  /** Closes every connection, including those in use. */
   close(): void {
     for (const agent of this.#agents.values()) agent.destroy();
     this.#agents.clear();
@@ -112,7 +112,7 @@
   }
 }
 
-/** A replaced host that reuses an address must not meet its forerunner's connections. */
+/** Keeps a replaced host from inheriting the connections to its former address. */
 function keyOf(runner: Runner): string {
   return `${runner.name}/${runner.incarnation}/${runner.address}:${runner.port}`;
 }
--- a/packages/daemon/src/connection/runner_connections_test.ts
+++ b/packages/daemon/src/connection/runner_connections_test.ts
@@ -6,7 +6,7 @@
 import type { Runner } from "../process/runner.ts";
 import { RunnerConnections } from "./runner_connections.ts";
 
-/** A runner that tells on which of its connections each request came. */
+/** Starts a runner that responds with the remote port of each request. */
 async function startRunner(t: TestContext): Promise<Runner> {
   const server = http.createServer((request, response) => {
     request.resume();
@@ -21,7 +21,7 @@
   return runnerAt("drafting-llm-1", port);
 }
 
-/** Sends one request and gives the port that it came from, once all is read. */
+/** Sends one request and returns its local port, after reading the response. */
 function portOf(
   connections: RunnerConnections,
   runner: Runner,
@@ -40,7 +40,7 @@
       let text = "";
       response.setEncoding("utf8");
       response.on("data", (piece: string) => text += piece);
-      // The connection is free for others once the response has closed.
+      // The connection is idle once the response has closed.
       response.on("close", () => setImmediate(resolve, text));
     });
   });
@@ -52,14 +52,14 @@
   return connections;
 }
 
-test("a connection is used again for the next request", async (t) => {
+test("reuses a connection for the next request", async (t) => {
   const runner = await startRunner(t);
   const connections = open(t);
   const first = await portOf(connections, runner);
   assert.equal(await portOf(connections, runner), first);
 });
 
-test("a fresh request takes a connection of its own", async (t) => {
+test("opens a new connection for a fresh request", async (t) => {
   const runner = await startRunner(t);
   const connections = open(t);
   const first = await portOf(connections, runner);
@@ -67,9 +67,9 @@
   assert.notEqual(fresh, first);
 });
 
-// One connection went silent because something between both ends lost track of
-// it. The idle ones went the same way, and each next request would hang on one.
-test("idle connections that are dropped are not used again", async (t) => {
+// An intermediary has lost the state of a connection and of the idle ones, so
+// each following request would hang on one of them.
+test("does not reuse idle connections that were dropped", async (t) => {
   const runner = await startRunner(t);
   const connections = open(t);
   const first = await portOf(connections, runner);
@@ -77,8 +77,8 @@
   assert.notEqual(await portOf(connections, runner), first);
 });
 
-// A host is replaced and its successor has the same address. A connection kept
-// from before leads to a process that is gone.
+// A host is replaced by one with the same address. A connection that was opened
+// before leads to a process that no longer exists.
 test("a replaced runner does not inherit connections", async (t) => {
   const runner = await startRunner(t);
   const connections = open(t);
@@ -87,7 +87,7 @@
   assert.notEqual(await portOf(connections, replaced), first);
 });
 
-test("a runner that is no longer listed keeps no idle connections", async (t) => {
+test("closes the idle connections of a runner that is no longer listed", async (t) => {
   const runner = await startRunner(t);
   const connections = open(t);
   const first = await portOf(connections, runner);
--- a/packages/daemon/src/connection/runner_response.ts
+++ b/packages/daemon/src/connection/runner_response.ts
@@ -1,5 +1,5 @@
 /**
- * One request to a runner and the bytes of its answer.
+ * Sends one request to a runner and reads the response.
  *
  * @module
  */
@@ -8,25 +8,25 @@
 import type { Runner } from "../process/runner.ts";
 import type { RunnerConnections, RunnerRequest } from "./runner_connections.ts";
 
-/** No answer's head came. */
+/** No head of a response was received. */
 export interface NoResponse {
   readonly _tag: "NoAnswer";
   /**
-   * Whether bytes of the request may have reached the runner. False only when
-   * no connection was ever made.
+   * Whether bytes of the request may have reached the runner. False only if no
+   * connection was established.
    */
   readonly mayHaveArrived: boolean;
   readonly reason: "refused" | "reset" | "silent" | "malformed";
   readonly message: string;
 }
 
-/** The answer stopped before its end. */
+/** The response was interrupted before its end. */
 export interface ResponseInterrupted {
   readonly _tag: "AnswerBroken";
   readonly reason: "reset" | "silent";
 }
 
-/** Time limits on the way to an answer's head, in milliseconds. */
+/** Time-outs until the head of a response, in milliseconds. */
 export interface HeadLimits {
   readonly connectMs: number;
   /** From the send to the head. */
@@ -34,7 +34,7 @@
   readonly afterSend?: Effect.Effect<void>;
 }
 
-/** An answer whose head has come; its body is read piece by piece. */
+/** A response whose head has been received; its body is read in chunks. */
 export class RunnerResponse {
   readonly message: http.IncomingMessage;
   #wake: (() => void) | undefined;
@@ -42,7 +42,7 @@
   #failure: ResponseInterrupted["reason"] | undefined;
   #timer: NodeJS.Timeout | undefined;
   #timerMs = 0;
-  /** Pieces read so far. */
+  /** Number of chunks read so far. */
   #reads = 0;
 
   constructor(response: http.IncomingMessage) {
@@ -50,7 +50,7 @@
     const wake = () => this.#wake?.();
     response.on("readable", wake);
     response.on("end", () => {
-      // Node ends a message that broke off with an error, never with "end".
+      // Node emits "error" for a truncated message, never "end".
       this.#ended = true;
       wake();
     });
@@ -74,9 +74,9 @@
   }
 
   /**
-   * The next bytes; `undefined` at the declared end of the answer. Only time
-   * spent here counts as silence, so a slow caller is not taken for a silent
-   * runner.
+   * Returns the next chunk; `undefined` at the declared end of the response. The
+   * idle time-out runs only during this call, so a slow caller is not mistaken
+   * for an unresponsive runner.
    */
   next(idleMs: number): Effect.Effect<Buffer | undefined, ResponseInterrupted> {
     return Effect.suspend(() => {
@@ -90,8 +90,8 @@
   }
 
   /**
-   * Gives pieces to a function as they come, until it returns false or the
-   * declared end is reached. Between two pieces nothing but the function runs.
+   * Passes chunks to a function as they arrive, until it returns false or the
+   * declared end is reached. Nothing but the function runs between two chunks.
    *
    * @returns whether the end was reached.
    */
@@ -116,13 +116,13 @@
     });
   }
 
-  /** Closes the connection; the runner sees it dropped. */
+  /** Closes the connection, which the runner sees as a disconnect. */
   destroy(): void {
     clearTimeout(this.#timer);
     this.message.destroy();
   }
 
-  /** Gives out what there is; `undefined` when more has to be awaited. */
+  /** Passes on the buffered chunks; `undefined` if more must be awaited. */
   #drain(
     take: (bytes: Buffer) => boolean,
   ): Effect.Effect<boolean, ResponseInterrupted> | undefined {
@@ -137,7 +137,7 @@
     return Effect.fail({ _tag: "AnswerBroken", reason: this.#failure });
   }
 
-  /** One timer for an answer, pushed on at each wait: no timer for each token. */
+  /** Restarts the response's single idle timer, to avoid a timer for each token. */
   #startIdleTimer(idleMs: number): void {
     if (this.#timer !== undefined && this.#timerMs === idleMs) {
       this.#timer.refresh();
@@ -148,7 +148,7 @@
     this.#timer = setTimeout(() => {
       const reads = this.#reads;
       afterPendingReads(() => {
-        // Nobody waits any more, or something came meanwhile.
+        // The wait is over, or a chunk has arrived meanwhile.
         if (this.#wake === undefined || this.#reads !== reads) return;
         this.#failure ??= "silent";
         this.message.destroy();
@@ -159,11 +159,11 @@
 }
 
 /**
- * Runs a timeout's action once what has arrived by then is read. After a pause
- * of the process its timers fire before its sockets are read: answers that had
- * come in time would be taken for silence, and a job card that was made would
- * be told as unknown. Node reads sockets between timers and immediates, so an
- * immediate is late enough.
+ * Runs the action of a time-out after pending socket data has been read. After a
+ * pause of the process, its timers fire before its sockets are read: responses
+ * that had arrived in time would count as timed out, and a request that had
+ * succeeded would be reported as unknown. Node reads sockets between timers and
+ * immediates, so an immediate is late enough.
  */
 function afterPendingReads(action: () => void): void {
   setImmediate(action);
@@ -173,10 +173,10 @@
 const ENDED: Effect.Effect<boolean> = Effect.succeed(true);
 
 /**
- * Sends a request and waits for the head of its answer. Interruption closes
+ * Sends a request and waits for the head of its response. Interruption closes
  * the connection.
  *
- * @param limits.afterSend runs once the request's bytes are handed to the
+ * @param limits.afterSend runs once the request's bytes have been passed to the
  * system, before the head is awaited.
  */
 export function exchange(
@@ -197,7 +197,7 @@
   });
 }
 
-/** A request on its way, until the head of its answer has come. */
+/** A request that has been sent, until the head of its response is received. */
 class SentRequest {
   readonly #outgoing: http.ClientRequest;
   #connected = false;
@@ -219,20 +219,20 @@
       socket.once("connect", connected);
     });
     outgoing.on("response", (response) => {
-      const answer = new RunnerResponse(response);
-      if (this.#end !== undefined) return answer.destroy();
-      this.#settle(Effect.succeed(answer));
+      const received = new RunnerResponse(response);
+      if (this.#end !== undefined) return received.destroy();
+      this.#settle(Effect.succeed(received));
     });
     outgoing.on("error", (error: NodeJS.ErrnoException) => {
       const malformed = error.code?.startsWith("HPE_") === true;
       if (malformed) return this.#fail("malformed", error.message);
       this.#fail(this.#connected ? "reset" : "refused", error.message);
     });
-    // An answer that asks for another protocol is closed without an error.
+    // A response that upgrades the protocol is closed without an error.
     outgoing.on("close", () => this.#fail("reset", "The connection closed"));
   }
 
-  /** Ends when the request is handed to the system, or was answered or failed. */
+  /** Completes when the request has been passed to the system, or has ended. */
   flushed(): Effect.Effect<void> {
     return Effect.callback((resume) => {
       if (this.#outgoing.writableFinished || this.#end !== undefined) {
@@ -252,7 +252,7 @@
     });
   }
 
-  /** Closes the connection; an answer that comes all the same is dropped. */
+  /** Closes the connection; a response that still arrives is discarded. */
   abort(): void {
     this.#end ??= Effect.never;
     clearTimeout(this.#timer);
@@ -276,7 +276,7 @@
   #startTimer(ms: number): NodeJS.Timeout {
     const timer = setTimeout(() => {
       afterPendingReads(() => {
-        // A connection that was made meanwhile has a timer of its own.
+        // A connection that was established meanwhile has its own timer.
         if (this.#timer === timer) this.#timeOut();
       });
     }, ms);
@@ -285,7 +285,7 @@
 
   #timeOut(): void {
     if (this.#end !== undefined) return;
-    const what = this.#connected ? "answer" : "connection";
+    const what = this.#connected ? "response" : "connection";
     this.#fail("silent", `No ${what} in time`);
     this.#outgoing.destroy();
   }
--- a/packages/daemon/src/connection/runner_response_test.ts
+++ b/packages/daemon/src/connection/runner_response_test.ts
@@ -20,10 +20,10 @@
   return { answer: new RunnerResponse(response), outgoing, response, server };
 }
 
-// A caller reads slowly, so no pump runs. Meanwhile the runner sends more and
-// its connection breaks. The caller then misses tokens that had arrived, or
-// gets one twice, if what was held is not read out, once, before the break.
-test("gives what came while nobody asked, once, before the break", async () => {
+// The caller reads slowly, so no read loop runs while the runner sends more and
+// its connection is lost. If the buffered chunks are not returned exactly once
+// before the error, the caller misses tokens or gets a token twice.
+test("returns chunks buffered before a lost connection once, then the error", async () => {
   const { answer, outgoing, response, server } = await open();
   const first = await Effect.runPromise(answer.next(LONG_MS));
   const closed = new Promise((resolve) => response.once("close", resolve));
@@ -36,7 +36,7 @@
   server.close();
 });
 
-test("gives pieces one by one to one pump, and then the end", async () => {
+test("passes chunks to one read loop one by one, and then ends", async () => {
   const { answer, outgoing, server } = await open();
   const pieces: string[] = [];
   const ended = await Effect.runPromise(
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,5 +1,5 @@
 /**
- * Composes the parts of the daemon and runs them through its life.
+ * Composes the daemon's components and runs them from start to shutdown.
  *
  * @module
  */
@@ -34,17 +34,17 @@
 const EXIT_DRAINED = 0;
 const EXIT_INTERRUPTED = 1;
 const READINESS_INTERVAL_MS = 100;
-/** Time for interrupted requests to end, before their callers are cut off. */
+/** Time for interrupted requests to end, before their responses are aborted. */
 const INTERRUPT_TIMEOUT_MS = 1000;
-/** Time for callers to read why their answers were cut off. */
+/** Time for callers to read the errors of aborted responses. */
 const INTERRUPT_FLUSH_TIMEOUT_MS = 1000;
-/** Time to record how claims ended; one that is not recorded stands. */
+/** Time to record the settlements of claims; unrecorded claims remain in place. */
 const CLAIMS_DRAIN_TIMEOUT_MS = 2000;
 
-/** An address could not be listened on. */
+/** Listening on an address failed. */
 export type StartFailed = ListenFailed | PeersListenFailed;
 
-/** What readiness needs. */
+/** Returns the conditions that the daemon's readiness requires. */
 function readinessRequirements(fleet: Fleet) {
   return [
     {
@@ -59,7 +59,8 @@
 }
 
 /**
- * Lets requests in flight end, until the grace is over or a second signal comes.
+ * Waits for requests in flight, until the grace period ends or a second signal
+ * arrives.
  *
  * @returns the exit status of the process.
  */
@@ -74,12 +75,12 @@
   return Effect.race(Effect.as(requests.idle, EXIT_DRAINED), cutOff);
 }
 
-/** Ends when an effect has ended or its time is over. */
+/** Waits for an effect, but no longer than a time limit. */
 function waitAtMost(limitMs: number, effect: Effect.Effect<void>) {
   return Effect.race(effect, Effect.sleep(limitMs));
 }
 
-/** Gives every request that is left a broken end. */
+/** Interrupts the remaining requests and aborts their responses. */
 function stopRequests(requests: CallerRequests): Effect.Effect<void> {
   return Effect.gen(function* () {
     requests.interruptAll();
@@ -88,7 +89,7 @@
   });
 }
 
-/** Number of items by what a function names them. */
+/** Counts items by the name that a function returns. */
 function countBy<A>(
   items: readonly A[],
   nameOf: (item: A) => string,
@@ -101,7 +102,7 @@
   return counts;
 }
 
-/** Runs a daemon until it is told to end; see {@linkcode Lifecycle}. */
+/** Runs a daemon until a shutdown signal; see {@linkcode Lifecycle}. */
 function runUntilSignal(
   settings: Settings,
   tools: {
@@ -189,8 +190,8 @@
   settings: Settings,
 ): Effect.Effect<number, StartFailed> {
   const decisions = new DecisionHistory();
-  // Whoever reads the log may end first. Without a listener its broken pipe
-  // would end the daemon too, and cut off every answer that is under way.
+  // The process that reads the log may exit first. Without a listener, the broken
+  // pipe would terminate the daemon and abort every open response.
   process.stdout.on("error", () => {});
   const write = (line: string) => process.stdout.write(`${line}\n`);
   const metrics = new Metrics();
--- a/packages/daemon/src/fleet.ts
+++ b/packages/daemon/src/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Composes what the daemon knows of its surroundings: the host list, the other
- * daemons, the runners and the table.
+ * Composes the daemon's view of the fleet: the host list, the other daemons, the
+ * runners and the table.
  *
  * @module
  */
@@ -30,18 +30,18 @@
 import { SourcedTableFeed } from "./version/table_feed.ts";
 import type { TableFeed, VersionedValue } from "./version/table_feed.ts";
 
-/** The daemon's surroundings. */
+/** The daemon's view of the fleet. */
 export interface Fleet {
   readonly node: CoordinationNode;
   readonly store: Store;
   readonly claims: ClaimsInStore;
   readonly directory: RunnerDirectory;
   readonly feed: TableFeed;
-  /** Puts in force what an operator's tool says that the store has accepted. */
+  /** Applies a version that, by an operator's tool, the store has accepted. */
   readonly offerTable: (offered: VersionedValue) => void;
 }
 
-/** Joins the fleet; leaves its sockets and connections when the scope closes. */
+/** Joins the fleet; closes its sockets and connections when the scope closes. */
 export function joinFleet(
   settings: Settings,
   log: Log,
@@ -99,7 +99,7 @@
   });
 }
 
-/** Names of the log's events, written out so that a search for one finds it. */
+/** Event names of the log, written out so that a text search finds them. */
 const MEMBERSHIP_EVENTS: Readonly<Record<MembershipEvent["type"], string>> = {
   changed: "member_changed",
   refuted: "member_refuted",
@@ -107,7 +107,7 @@
   outdated: "member_outdated",
 };
 
-/** Logs what happens to members. */
+/** Logs a membership event. */
 function logMembership(event: MembershipEvent, log: Log): void {
   const { type, ...fields } = event;
   log.event(MEMBERSHIP_EVENTS[type], fields);
@@ -117,7 +117,7 @@
   return host.role === "runner" && host.service !== undefined;
 }
 
-/** Keeps the directory at what the host list says. */
+/** Updates the runner directory from the host list. */
 function followRunners(
   hostList: HostList,
   directory: RunnerDirectory,
@@ -168,7 +168,7 @@
   });
 }
 
-/** Passes a value on as it is when it is a table; else throws what is wrong. */
+/** Returns the value unchanged if it is a valid table, else throws its findings. */
 function checkStoredTable(value: unknown): unknown {
   const parsed = parseStoredTable(value);
   if (parsed.isOk()) return value;
--- a/packages/daemon/src/mod.ts
+++ b/packages/daemon/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon's parts, for its composition root and for tests.
+ * Exports the daemon's components for its composition root and for tests.
  *
  * @module
  */
--- a/packages/daemon/src/operator_resources.ts
+++ b/packages/daemon/src/operator_resources.ts
@@ -1,5 +1,5 @@
 /**
- * What operators can ask of a daemon.
+ * The resources that a daemon serves to operators.
  *
  * @module
  */
@@ -19,7 +19,7 @@
 import type { TableFeed } from "./version/table_feed.ts";
 import { parseOffer } from "./version/table_offer.ts";
 
-/** The parts of the daemon that operators look into. */
+/** The components of the daemon that operators can inspect. */
 export interface OperatorContext {
   readonly settings: Settings;
   readonly lifecycle: Lifecycle;
@@ -79,7 +79,7 @@
   };
 }
 
-/** What operators may post: an accepted version of the table. */
+/** Returns the handlers of operators' posts: an accepted version of the table. */
 export function operatorPostHandlers(
   fleet: Pick<Fleet, "feed" | "offerTable">,
 ): OperatorPostHandlers {
@@ -97,7 +97,7 @@
   };
 }
 
-/** The resources of the operators' port. */
+/** Returns the resources of the operators' server. */
 export function operatorResources(context: OperatorContext): OperatorResources {
   const { lifecycle, metrics, decisions, directory } = context;
   return {
--- a/packages/daemon/src/placement.ts
+++ b/packages/daemon/src/placement.ts
@@ -1,5 +1,5 @@
 /**
- * Composes placement: one task for each model service of the table.
+ * Composes placement: one task per model service of the table.
  *
  * @module
  */
@@ -17,7 +17,7 @@
 import { PlacementTask } from "./process/placement/placement_task.ts";
 import type { Settings } from "./process/settings.ts";
 
-/** Daemons that look for a service's lease, so that store calls stay few. */
+/** Daemons that compete for a service's lease; a low number limits store calls. */
 const CANDIDATES = 2;
 
 /** Placement at this daemon. */
@@ -26,7 +26,7 @@
   readonly counter: LocalDemand;
 }
 
-/** Starts a task for each model service, also for those added later. */
+/** Starts a task for each model service, including those added later. */
 export function startPlacement(
   fleet: Fleet,
   options: { readonly settings: Settings; readonly log: Log },
@@ -87,7 +87,7 @@
   });
 }
 
-/** Every daemon works the same candidates out from its own view. */
+/** Whether this daemon is a candidate, which each daemon computes from its own view. */
 function isCandidate({ node }: Fleet, service: string): boolean {
   const { membership } = node;
   const live = membership.view().members
--- a/packages/daemon/src/request/attempt_limits.ts
+++ b/packages/daemon/src/request/attempt_limits.ts
@@ -1,5 +1,5 @@
 /**
- * How long the head of an answer is awaited.
+ * Time-outs for the head of a response, and checks against deadlines.
  *
  * @module
  */
@@ -8,9 +8,9 @@
 import type { AttemptSettings } from "./attempt_settings.ts";
 import type { Call } from "./call.ts";
 
-/** What the limits of one send depend on besides its call. */
+/** What the time-outs of one send depend on besides its call and settings. */
 export interface SendContext {
-  /** The rest of a stream is asked for. */
+  /** Whether the send resumes a stream. */
   readonly resumed: boolean;
   /** Milliseconds left until the request's deadline. */
   readonly remainingMs: number;
@@ -19,15 +19,15 @@
 }
 
 /**
- * How much sooner than the clock says a timer may end, in milliseconds: timers
- * count whole ones and drop fractions at both ends. Without the margin
- * a wait that ended at the deadline would look as if time were left, and the
- * engine would be asked once more for an answer that is of no use.
+ * How much earlier than its deadline a timer may fire, in milliseconds: timers
+ * count whole milliseconds and drop the fractions at both ends. Without the
+ * margin, a wait that ended at the deadline would seem to have time left, and
+ * the request would be sent once more although its response is useless.
  */
 const TIMER_MARGIN_MS = 2;
 
 /**
- * Whether a deadline has passed, for a caller that a timer has woken at it.
+ * Whether a deadline has passed, with a margin for timers that fire early.
  *
  * @example
  * ```ts
@@ -39,8 +39,9 @@
 }
 
 /**
- * The limits of one send. The deadline bounds connecting and the first token;
- * it does not bound a whole answer, which shows no beginning before its end.
+ * Returns the time-outs of one send. The deadline bounds connecting and the
+ * first token. It does not bound a non-streamed response, whose head arrives
+ * only when the response is finished.
  */
 export function headLimits(
   call: Call,
@@ -59,7 +60,7 @@
   return { connectMs, headMs, afterSend };
 }
 
-/** A whole answer's limit follows from the most tokens that it can have. */
+/** Time-out for the head of a non-streamed response, from its maximum tokens. */
 function unstreamedHeadMs(call: Call, settings: AttemptSettings): number {
   const { wholeAnswerMs, wholeAnswerTokenMs, firstTokenMs } = settings;
   if (call.model === undefined) return wholeAnswerMs;
--- a/packages/daemon/src/request/attempt_metrics.ts
+++ b/packages/daemon/src/request/attempt_metrics.ts
@@ -1,5 +1,5 @@
 /**
- * What an attempt costs and delivers.
+ * Token counts and timings of an attempt.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 export class AttemptMetrics {
   readonly progress = new StreamProgress();
   sentAt: number | undefined;
-  /** What the engine reported with a whole answer. */
+  /** Usage that the engine reported in a non-streamed response. */
   usage: Usage | undefined;
   readonly #call: Call;
 
@@ -19,12 +19,12 @@
     this.#call = call;
   }
 
-  /** Tokens that the caller was given. */
+  /** Output tokens sent to the caller. */
   get tokens(): number {
     return this.usage?.outputTokens ?? this.progress.tokens;
   }
 
-  /** Tokens of the prompt: the engine's count, or the estimate. */
+  /** Prompt tokens: the engine's count if it reported one, else the estimate. */
   get promptTokens(): number {
     const usage = this.usage ?? usageOfEvent(this.progress.lastEvent);
     return usage.promptTokens ?? this.#call.promptTokens;
--- a/packages/daemon/src/request/attempt_settings.ts
+++ b/packages/daemon/src/request/attempt_settings.ts
@@ -1,40 +1,40 @@
 /**
- * Limits of attempts, their answers and their retries.
+ * Limits of attempts, their responses and their retries.
  *
  * @module
  */
 
-/** Limits that hold for each attempt; times in milliseconds. */
+/** Limits of each attempt; times in milliseconds. */
 export interface AttemptSettings {
-  /** For making a connection to a runner. */
+  /** Time-out for connecting to a runner. */
   readonly connectMs: number;
-  /** From the send to the first byte of a streamed answer. */
+  /** Time-out from the send to the first byte of a streamed response. */
   readonly firstTokenMs: number;
-  /** Between two pieces of a streamed answer. */
+  /** Time-out between two chunks of a streamed response. */
   readonly betweenTokensMs: number;
-  /** From the send to the head of a whole answer, at most. */
+  /** Maximum time-out from the send to the head of a non-streamed response. */
   readonly wholeAnswerMs: number;
-  /** Allowed for each token that a whole answer of an engine may have. */
+  /** Time allowed per token that an engine's non-streamed response may have. */
   readonly wholeAnswerTokenMs: number;
-  /** Between two pieces of a whole answer's body. */
+  /** Time-out between two chunks of a non-streamed response's body. */
   readonly bodyIdleMs: number;
-  /** From asking for the rest of a stream to its head. */
+  /** Time-out from a resume request to the head of its response. */
   readonly resumeHeadMs: number;
   /** Seconds for which an engine keeps a dropped stream for a resume. */
   readonly resumableS: number;
-  /** Resumes in a row that bring no token before the stream is given up. */
+  /** Consecutive resumes without a token after which the attempt fails. */
   readonly fruitlessResumes: number;
   /** Attempts of one request, the first included; resumes are not counted. */
   readonly attempts: number;
   /**
-   * Largest whole answer that is held until it is known to be complete, in
-   * bytes. Longer ones are passed on as they come, and a broken one ends in a
-   * broken connection.
+   * Largest non-streamed response that is buffered until it is known to be
+   * complete, in bytes. A longer response is relayed as it arrives; if it is
+   * interrupted, the caller's connection is closed.
    */
   readonly heldAnswerBytes: number;
 }
 
-/** Used where settings name nothing else. */
+/** Default limits. */
 export const DEFAULT_ATTEMPT_SETTINGS: AttemptSettings = {
   connectMs: 1_000,
   firstTokenMs: 10_000,
--- a/packages/daemon/src/request/body_reader.ts
+++ b/packages/daemon/src/request/body_reader.ts
@@ -25,8 +25,8 @@
 }
 
 /**
- * Reads a body whole. A caller that goes away interrupts the fibre, so a lost
- * connection needs no outcome of its own here.
+ * Reads a complete body. A disconnect of the caller interrupts the fiber, so it
+ * needs no error of its own here.
  */
 export function readBody(
   request: IncomingMessage,
--- a/packages/daemon/src/request/call_parser.ts
+++ b/packages/daemon/src/request/call_parser.ts
@@ -1,5 +1,5 @@
 /**
- * Makes a call of a caller's request.
+ * Builds calls from callers' requests.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 import { problem } from "./problems.ts";
 import type { Route } from "./route.ts";
 
-/** Methods whose repetition has the effect of one (RFC 9110, section 9.2.2). */
+/** Idempotent methods (RFC 9110, section 9.2.2). */
 const IDEMPOTENT_METHODS: ReadonlySet<string> = new Set([
   "GET",
   "HEAD",
@@ -25,7 +25,7 @@
   "TRACE",
 ]);
 
-/** A request of which everything but the body's meaning is known. */
+/** A request whose head has been parsed and whose body has not. */
 export interface CallerRequest {
   readonly requestId: string;
   readonly method: string;
@@ -35,7 +35,7 @@
   readonly arrivedAt: number;
 }
 
-/** The facts that every call shares. */
+/** Builds the fields that all calls have. */
 function commonFields({ requestId, method, head, arrivedAt }: CallerRequest) {
   return {
     requestId,
@@ -51,25 +51,25 @@
   };
 }
 
-/** Makes a call of a chat completion. */
+/** Builds the call of a chat completion. */
 export function chatCall(
   request: CallerRequest,
   options: { readonly table: TableVersion; readonly body: Uint8Array },
 ): Result<Call, Problem> {
-  const facts = parseChatBody(options.body);
-  if (facts.isErr()) return err(facts.error);
-  const service = options.table.servicesByModel.get(facts.value.model);
+  const parameters = parseChatBody(options.body);
+  if (parameters.isErr()) return err(parameters.error);
+  const service = options.table.servicesByModel.get(parameters.value.model);
   if (service === undefined) {
     const message =
-      `Cannot find model "${facts.value.model}": no service has it`;
+      `Cannot find model "${parameters.value.model}": no service has it`;
     return err(problem("model_unknown", message, { place: "body/model" }));
   }
-  // Engines answer uncompressed, so that the end of an answer can be checked.
+  // Engines respond uncompressed, so that the end of a response can be checked.
   const headers = requestHeaders(request.headers)
     .filter(({ name }) => name !== "accept-encoding");
   return ok({
     ...commonFields(request),
-    ...facts.value,
+    ...parameters.value,
     service: service.name,
     path: "/v1/chat/completions",
     headers,
@@ -92,7 +92,7 @@
   return err(problem("service_unknown", message, { place: "path" }));
 }
 
-/** Makes a call to a plain service. */
+/** Builds a call to a plain service. */
 export function serviceCall(
   request: CallerRequest,
   options: {
@@ -115,7 +115,7 @@
 
 const JSON_TYPE = /^application\/json *(;|$)/i;
 
-/** Checks that a body is JSON, as far as its headers tell. */
+/** Checks by the headers that a body is uncompressed JSON. */
 export function checkJsonType(
   request: IncomingMessage,
 ): Result<void, Problem> {
--- a/packages/daemon/src/request/caller_head.ts
+++ b/packages/daemon/src/request/caller_head.ts
@@ -1,5 +1,5 @@
 /**
- * What the head of a caller's request says, checked.
+ * Parses and checks the head of a caller's request.
  *
  * @module
  */
@@ -11,13 +11,13 @@
 import type { Header, Problem } from "./call.ts";
 import { problem } from "./problems.ts";
 
-/** Facts of a request's head that do not depend on its route. */
+/** Values of a request's head that do not depend on its route. */
 export interface CallerHead {
   readonly workspace: Workspace;
   readonly class: string;
   readonly tier: number;
   readonly timeoutMs: number;
-  /** As the caller said; absent when it did not. */
+  /** Value of the caller's header; absent without one. */
   readonly repeatable?: boolean;
   readonly idempotencyKey?: string;
 }
@@ -26,7 +26,7 @@
 const MAX_IDEMPOTENCY_KEY_LENGTH = 255;
 const PRINTABLE = /^[\x21-\x7e](?:[\x20-\x7e]*[\x21-\x7e])?$/;
 
-/** The one value of a header; a header given twice is ambiguous. */
+/** Returns a header's value; fails on repeated headers, which are ambiguous. */
 function singleHeader(
   headers: readonly Header[],
   name: string,
@@ -120,7 +120,7 @@
   return err(headerProblem("idempotency_key_invalid", name, message));
 }
 
-/** Reads the head of a request against the table in force. */
+/** Parses the head of a request, with workspaces and classes of the table. */
 export function readCallerHead(
   headers: readonly Header[],
   table: TableVersion,
--- a/packages/daemon/src/request/chat_body.ts
+++ b/packages/daemon/src/request/chat_body.ts
@@ -1,6 +1,6 @@
 /**
- * What the daemon reads from the body of a chat completion. The body itself
- * goes to the engine byte for byte, so unknown fields pass through.
+ * Parses the fields of a chat completion's body that the daemon uses. The body
+ * itself is forwarded to the engine byte for byte, so unknown fields pass through.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { Problem } from "./call.ts";
 import { problem } from "./problems.ts";
 
-/** Facts of a chat completion that decide its way. */
+/** Fields of a chat completion that determine its routing. */
 export interface ChatParameters {
   readonly model: string;
   readonly streamed: boolean;
@@ -19,15 +19,15 @@
   readonly prefixDigest: string;
 }
 
-/** Characters of English text to a token, roughly; corrected on settlement. */
+/** Estimated characters per token of English text; corrected on settlement. */
 const CHARS_PER_TOKEN = 4;
-/** Long enough to hold a shared brief, short enough that a digest is cheap. */
+/** Long enough for a shared system prompt, short enough for a cheap digest. */
 const PREFIX_CHARS = 1024;
 const DIGEST_LENGTH = 16;
 /**
- * Where the parser's error ends in a position. Only the position is passed on,
- * since errors of another form quote the body, which holds a prompt. Those end
- * in "is not valid JSON", so a quoted body is never taken for a position.
+ * Matches parser errors that end in a position. Only the position is included in
+ * the response, since errors of other forms quote the body, which contains a
+ * prompt. Those end in "is not valid JSON", so quoted text never matches.
  */
 const PARSER_POSITION =
   / in JSON at position (\d+)(?: \(line \d+ column \d+\))?$/;
@@ -56,7 +56,7 @@
   return typeof value === "object" && value !== null && !Array.isArray(value);
 }
 
-/** Text of one message's content: a string, or an array of parts with text. */
+/** Returns the text of a message's content: a string, or an array of text parts. */
 function contentText(content: unknown): string {
   if (typeof content === "string") return content;
   if (!Array.isArray(content)) return "";
@@ -98,7 +98,7 @@
   return ok(undefined);
 }
 
-/** Reads a chat completion's body. */
+/** Parses a chat completion's body. */
 export function parseChatBody(
   body: Uint8Array,
 ): Result<ChatParameters, Problem> {
--- a/packages/daemon/src/request/chat_body_test.ts
+++ b/packages/daemon/src/request/chat_body_test.ts
@@ -19,8 +19,8 @@
   assert.equal(messageFor(""), expected);
 });
 
-// The caller sends text that is not JSON. The parser's error quotes it, and what
-// is quoted may look like the parser's own words; none of it may be passed on.
+// The parser's error quotes the caller's invalid JSON, and the quoted text may
+// look like the parser's own message. None of it may appear in the response.
 test("no text of a body that is not JSON is passed on", () => {
   const expected = "Cannot read body: expected JSON; parsing fails";
   assert.equal(messageFor('{"prompt": hunter2}'), expected);
--- a/packages/daemon/src/request/end_to_end_headers.ts
+++ b/packages/daemon/src/request/end_to_end_headers.ts
@@ -1,12 +1,12 @@
 /**
- * Which headers pass between a caller and a runner.
+ * Selects the headers that are forwarded between a caller and a runner.
  *
  * @module
  */
 import { HOP_BY_HOP } from "@umbermast/router/headers";
 import type { Header } from "./call.ts";
 
-/** Request headers that this daemon consumes or writes anew. */
+/** Request headers that this daemon consumes or sets itself. */
 const CONSUMED_HEADERS: ReadonlySet<string> = new Set([
   "authorization",
   "content-length",
@@ -17,7 +17,7 @@
 
 const RESERVED_PREFIX = "umbermast-";
 
-/** Pairs up Node's flat list of names and values, names in lower case. */
+/** Converts Node's flat list of names and values to headers in lower case. */
 export function headerLines(raw: readonly string[]): readonly Header[] {
   const lines: Header[] = [];
   for (let i = 0; i + 1 < raw.length; i += 2) {
@@ -26,7 +26,7 @@
   return lines;
 }
 
-/** Names that `connection` lists as belonging to this connection. */
+/** Returns the hop-by-hop headers that the `connection` header lists. */
 function namedInConnection(headers: readonly Header[]): ReadonlySet<string> {
   const names = headers
     .filter(({ name }) => name === "connection")
@@ -42,14 +42,14 @@
   );
 }
 
-/** Headers of a caller's request that go to the runner. */
+/** Returns the headers of a caller's request that are sent to the runner. */
 export function requestHeaders(headers: readonly Header[]): readonly Header[] {
   return endToEnd(headers).filter(({ name }) =>
     !CONSUMED_HEADERS.has(name) && !name.startsWith(RESERVED_PREFIX)
   );
 }
 
-/** Headers of a runner's answer that go to the caller. */
+/** Returns the headers of a runner's response that are sent to the caller. */
 export function responseHeaders(headers: readonly Header[]): readonly Header[] {
   return endToEnd(headers).filter(({ name }) =>
     !name.startsWith(RESERVED_PREFIX)
--- a/packages/daemon/src/request/engine_cancel.ts
+++ b/packages/daemon/src/request/engine_cancel.ts
@@ -6,14 +6,14 @@
 import type { RunnerConnections } from "../connection/runner_connections.ts";
 import type { Runner } from "../process/runner.ts";
 
-/** Longest life of a cancel request, in milliseconds. */
+/** Time-out of a cancel request, in milliseconds. */
 const CANCEL_TIMEOUT_MS = 2_000;
 
 /**
- * Tells an engine to stop a run, without waiting for its answer. Needed for
- * runs that the engine keeps for a resume: dropping the connection does not
- * stop those, and they would go on making tokens for nobody. A lost cancel
- * costs no more than the rest of the time for which the engine keeps the run.
+ * Cancels a run at an engine, without waiting for the response. Needed for runs
+ * that the engine keeps for a resume: closing the connection does not stop
+ * those, and they would go on generating tokens that are never read. If the
+ * cancel request is lost, the run ends when the engine stops keeping it.
  */
 export function cancelAtEngine(
   connections: RunnerConnections,
@@ -25,7 +25,7 @@
     path: "/v1/cancel",
     headers: [{ name: "content-type", value: "application/json" }],
     body: Buffer.from(JSON.stringify({ requestId: options.requestId })),
-    // The usual cause is a connection that went silent, so take a new one.
+    // The usual cause is an unresponsive connection, so open a new one.
     fresh: true,
   });
   const timer = setTimeout(() => request.destroy(), CANCEL_TIMEOUT_MS);
--- a/packages/daemon/src/request/event_scanner.ts
+++ b/packages/daemon/src/request/event_scanner.ts
@@ -1,5 +1,5 @@
 /**
- * Finds the bounds of server-sent events in a streamed answer.
+ * Finds the boundaries of server-sent events in a streamed response.
  *
  * @module
  */
@@ -17,35 +17,35 @@
 const EMPTY = Buffer.alloc(0);
 
 /**
- * Longest event that is held while it is incomplete, in bytes. A stream with a
- * longer one is given up, so that it cannot fill the daemon's memory.
+ * Longest incomplete event that is buffered, in bytes. A stream with a longer
+ * event fails, so that it cannot exhaust the daemon's memory.
  */
 export const MAX_EVENT_BYTES = 1_048_576;
 
 /**
- * Cuts a stream into whole events by looking for empty lines. It parses no
- * JSON: a token costs a search for two bytes and one for its finish reason.
+ * Splits a stream into complete events at empty lines. It parses no JSON: each
+ * token costs a search for two bytes and a search for its finish reason.
  */
 export class EventScanner {
-  /** Token events seen whole. */
+  /** Number of complete token events. */
   tokens = 0;
-  /** A token event with a finish reason was seen. */
+  /** Whether a token event with a finish reason has been found. */
   finished = false;
-  /** `data: [DONE]` was seen. It is held back, never part of `push`'s bytes. */
+  /** Whether `data: [DONE]` has been found. `push` never returns it. */
   done = false;
-  /** The engine reported an error inside the stream. */
+  /** Whether the engine has reported an error inside the stream. */
   failed = false;
-  /** An event was longer than the bound. */
+  /** Whether an event was longer than `MAX_EVENT_BYTES`. */
   oversized = false;
   /** The last token event, for its usage. */
   lastEvent: Buffer = EMPTY;
   #remainder: Buffer = EMPTY;
 
   /**
-   * Takes the next bytes.
+   * Scans the next chunk.
    *
-   * @returns the whole events now complete, in their original bytes; what
-   * follows the last one is kept for the next call.
+   * @returns the original bytes of the events that are now complete; bytes after
+   * the last complete event are kept for the next call.
    */
   push(chunk: Buffer): Buffer {
     if (this.done || this.failed) return EMPTY;
@@ -85,7 +85,7 @@
   }
 }
 
-/** Index after the empty line that ends the event starting at `start`, or -1. */
+/** Returns the index after the empty line that ends the event at `start`, or -1. */
 function endOfEvent(bytes: Buffer, start: number): number {
   let at = bytes.indexOf(LINE_FEED, start);
   while (at !== -1) {
@@ -97,7 +97,7 @@
   return -1;
 }
 
-/** Index of the value of the event's first data line, or -1 when it has none. */
+/** Returns the index of the value of the event's first data line, or -1. */
 function startOfData(event: Buffer): number {
   let at = 0;
   if (event[0] !== SMALL_D || !startsWith(event, 0, DATA_PREFIX)) {
@@ -117,8 +117,8 @@
 }
 
 /**
- * Whether the event has a `finish_reason` that is a string. Text of the model
- * cannot imitate it, because quotes inside a JSON string are escaped.
+ * Whether the event has a `finish_reason` that is a string. Generated text cannot
+ * match, because quotes inside a JSON string are escaped.
  */
 function hasFinishReason(event: Buffer): boolean {
   const key = event.indexOf(FINISH_KEY);
--- a/packages/daemon/src/request/event_scanner_test.ts
+++ b/packages/daemon/src/request/event_scanner_test.ts
@@ -16,7 +16,7 @@
   return { scanner, passed };
 }
 
-test("events pass unchanged and are counted, however the bytes are cut", () => {
+test("returns events unchanged and counts them, however the bytes are split", () => {
   const stream = token("a") + ": note\n\n" +
     token("b").replaceAll("\n", "\r\n") +
     token("c", "stop") + "data: [DONE]\n\n";
@@ -37,13 +37,13 @@
   ));
 });
 
-test("a partial event is never passed on", () => {
+test("never returns a partial event", () => {
   const { scanner, passed } = scan([token("a") + token("b").slice(0, 10)]);
   assert.deepEqual(passed, [token("a")]);
   assert.equal(scanner.tokens, 1);
 });
 
-test("the end mark is held back, with and without a space", () => {
+test("never returns [DONE], with or without a space", () => {
   for (const mark of ["data: [DONE]\n\n", "data:[DONE]\n\n"]) {
     const { scanner, passed } = scan([token("a", "stop") + mark + "junk"]);
     assert.deepEqual(passed, [token("a", "stop")]);
@@ -51,12 +51,12 @@
   }
 });
 
-test("a finish reason quoted inside the model's text does not finish the answer", () => {
+test("a finish reason inside generated text does not finish the response", () => {
   const { scanner } = scan([token('"finish_reason":"stop"')]);
   assert.equal(scanner.finished, false);
 });
 
-test("an error event of the engine is held back and marks the stream as failed", () => {
+test("an error event is not returned and marks the stream as failed", () => {
   const { scanner, passed } = scan([
     token("a") + 'data: {"error":{"message":"out of memory"}}\n\n',
   ]);
@@ -64,7 +64,7 @@
   assert.equal(scanner.failed, true);
 });
 
-test("an event without an end is given up at the bound", () => {
+test("an incomplete event longer than the limit marks the stream as oversized", () => {
   const scanner = new EventScanner();
   scanner.push(Buffer.alloc(MAX_EVENT_BYTES + 1, 0x61));
   assert.equal(scanner.oversized, true);
--- a/packages/daemon/src/request/fifo_scheduler_test.ts
+++ b/packages/daemon/src/request/fifo_scheduler_test.ts
@@ -36,7 +36,7 @@
   return { clock, scheduler, report };
 }
 
-test("takes the runner with the least reported load", async () => {
+test("grants the runner with the least reported load", async () => {
   const { clock, scheduler, report } = fifoWith(["a", "b"]);
   report("a", 1);
   report("b", 0);
@@ -44,7 +44,7 @@
   assert.equal(grant.runner.name, "b");
 });
 
-test("serves in order of arrival, whatever the tier", async () => {
+test("grants in order of arrival, regardless of the tier", async () => {
   const { clock, scheduler } = fifoWith(["a"]);
   const program = Effect.gen(function* () {
     const held = [];
--- a/packages/daemon/src/request/http_reply.ts
+++ b/packages/daemon/src/request/http_reply.ts
@@ -1,5 +1,5 @@
 /**
- * The way back to a caller over HTTP.
+ * Writes responses to callers over HTTP.
  *
  * @module
  */
@@ -11,13 +11,13 @@
 
 const EVENT_STREAM = "text/event-stream";
 
-/** How long a refused request's remaining bytes are taken and thrown away. */
+/** How long the remaining body of a refused request is read and discarded. */
 const LINGER_TIMEOUT_MS = 1000;
 
 const HEX = 16;
 const LINE_END = "\r\n";
 
-/** One chunk of a chunked answer (RFC 9112, section 7.1). */
+/** Encodes one chunk of a chunked response (RFC 9112, section 7.1). */
 function encodeChunk(bytes: Uint8Array): Buffer {
   const size = `${bytes.length.toString(HEX)}${LINE_END}`;
   const end = size.length + bytes.length;
@@ -28,18 +28,18 @@
   return chunk;
 }
 
-/** Writes to one caller; a caller that reads too slowly loses its connection. */
+/** Writes one response; closes the connection of a caller that reads too slowly. */
 export class HttpReply implements Reply {
   readonly #response: ServerResponse;
   readonly #requestId: string;
   readonly #writeTimeoutMs: number;
   readonly #isShuttingDown: () => boolean;
   #streamed = false;
-  /** The caller sends its body only when asked, and has not been. */
+  /** Whether the caller waits for `100 Continue` before it sends the body. */
   #awaitsContinue: boolean;
   #gone: CallerGone | undefined;
   #headersSentAt: number | undefined;
-  /** The connection, once a streamed answer has begun. */
+  /** The connection, once a streamed response has started. */
   #stream: Socket | undefined;
 
   constructor(
@@ -47,7 +47,7 @@
     options: {
       readonly requestId: string;
       readonly writeTimeoutMs: number;
-      /** Whether the connection is to be closed after the answer. */
+      /** Whether the connection must be closed after the response. */
       readonly isShuttingDown: () => boolean;
     },
   ) {
@@ -57,15 +57,15 @@
     this.#isShuttingDown = options.isShuttingDown;
     this.#awaitsContinue = response.req.headers.expect !== undefined;
     response.setHeader("umbermast-request-id", options.requestId);
-    // Node reports a write to a connection that is gone here as well; the close
-    // event tells all that is needed.
+    // Node also emits "error" for writes to a closed connection; the close event
+    // is sufficient.
     response.on("error", () => {});
     response.once("close", () => {
       this.#gone ??= { _tag: "CallerGone", reason: "closed" };
     });
   }
 
-  /** Epoch milliseconds when an answer began; undefined before, or without one. */
+  /** Epoch milliseconds when the head was sent; undefined if none was sent. */
   get headersSentAt(): number | undefined {
     return this.#headersSentAt;
   }
@@ -74,12 +74,12 @@
     return this.#response.headersSent;
   }
 
-  /** Why the caller can no longer be written to; undefined while it can. */
+  /** Why the caller is disconnected; undefined while it is connected. */
   get gone(): CallerGone | undefined {
     return this.#gone;
   }
 
-  /** Tells a caller that waits for it to send the body. */
+  /** Sends `100 Continue` to a caller that waits for it. */
   sendContinue(): void {
     if (!this.#awaitsContinue) return;
     this.#awaitsContinue = false;
@@ -101,7 +101,7 @@
 
   push(bytes: Uint8Array): boolean {
     if (this.#gone !== undefined) return false;
-    // A chunk without bytes would read as the end of the whole answer.
+    // An empty chunk would mark the end of the response.
     if (bytes.length === 0) return true;
     if (this.#stream === undefined) return this.#response.write(bytes);
     return this.#stream.write(encodeChunk(bytes));
@@ -134,8 +134,8 @@
       return;
     }
     const body = problemBody(problem, this.#requestId);
-    // The connection is cut after the event, without the last chunk: a client
-    // that knows no error events still sees an answer that is not whole.
+    // The connection is closed after the event, without the last chunk, so that
+    // a client without support for error events detects the truncation.
     response.write(`data: ${body}\n\n`, () => response.destroy());
     this.#startFlushTimeout();
   }
@@ -163,9 +163,9 @@
   }
 
   /**
-   * Ends a refusal once the rest of the request has come, or a short time has
-   * passed. Closing at once with bytes unread makes the system reset the
-   * connection, and the caller, still sending, would lose the refusal.
+   * Ends a refusal once the rest of the request has been received, or after a
+   * short time-out. Closing immediately with unread bytes makes the system reset
+   * the connection, and a caller that is still sending would lose the refusal.
    */
   #endAfterRequestBody(): void {
     const { req: request } = this.#response;
@@ -179,7 +179,7 @@
     request.resume();
   }
 
-  /** Answers with a whole JSON document of the daemon's own. */
+  /** Responds with a JSON document. */
   sendJson(body: string): void {
     this.#response.setHeader("content-type", "application/json");
     this.#response.setHeader("content-length", Buffer.byteLength(body));
@@ -189,7 +189,7 @@
     this.#startFlushTimeout();
   }
 
-  /** Ends an answer whose fibre is gone, by whatever its state allows. */
+  /** Ends a response whose fiber has ended: refuses or aborts, as its state allows. */
   abandon(problem: Problem): void {
     if (this.#gone !== undefined || this.#response.writableEnded) return;
     if (this.headersSent) this.abort(problem);
@@ -197,9 +197,9 @@
   }
 
   /**
-   * Sends the head, after which chunks go to the connection in one piece each.
-   * Node would write a chunk's size, bytes and end apart from each other, which
-   * costs more than all else that is done for a token.
+   * Sends the head, after which each chunk is written to the connection in one
+   * write. Node would write a chunk's size, bytes and end separately, which costs
+   * more than all other work for a token.
    */
   #openStream(): void {
     const response = this.#response;
@@ -210,7 +210,7 @@
     this.#stream = response.socket;
   }
 
-  /** Waits until the caller has read enough, for a bounded time. */
+  /** Waits until the write buffer has drained, up to the write time-out. */
   #waitForDrain(
     written: Socket | ServerResponse,
   ): Effect.Effect<void, CallerGone> {
@@ -241,7 +241,7 @@
     });
   }
 
-  /** The end of an answer waits for the caller no longer than any other part. */
+  /** Bounds the flush of a response's end by the write time-out. */
   #startFlushTimeout(): void {
     const response = this.#response;
     if (response.writableFinished || response.closed) return;
--- a/packages/daemon/src/request/idempotent_call_runner.ts
+++ b/packages/daemon/src/request/idempotent_call_runner.ts
@@ -72,12 +72,12 @@
           if (denied._tag === "None") return yield* Effect.interrupt;
           return yield* restore(denied.value.respond(reply));
         }
-        const kept = new RecordingReply(reply);
-        const run = this.#runner.runGuarded(call, kept, {
+        const recorder = new RecordingReply(reply);
+        const run = this.#runner.runGuarded(call, recorder, {
           permit: claimant.ensureFresh(),
         });
         const exit = yield* Effect.exit(run);
-        const settlement = settlementOf(exit, kept);
+        const settlement = settlementOf(exit, recorder);
         const { crashPoints } = this.#services;
         if (crashPoints !== undefined) {
           yield* crashPoints.reached("answer.after_end");
@@ -143,7 +143,7 @@
   /** Claims again, with retries: the store may not have removed the old claim yet. */
   #reclaim(): Effect.Effect<void, Denial> {
     return Effect.gen({ self: this }, function* () {
-      for (let tries = 1; tries < MAX_RECLAIMS; tries++) {
+      for (let attempts = 1; attempts < MAX_RECLAIMS; attempts++) {
         const exit = yield* Effect.exit(this.claim());
         if (Exit.isSuccess(exit)) return;
         yield* Effect.sleep(RECLAIM_PAUSE_MS);
@@ -185,7 +185,7 @@
  */
 function settlementOf(
   exit: Exit.Exit<CallResult>,
-  kept: RecordingReply,
+  recorder: RecordingReply,
 ): ClaimSettlement {
   if (Exit.isFailure(exit)) {
     return Exit.hasInterrupts(exit)
@@ -194,7 +194,7 @@
   }
   const ending = exit.value;
   if (ending._tag === "Complete") {
-    const answer = kept.recorded;
+    const answer = recorder.recording;
     return answer === undefined
       ? { _tag: "Answered" }
       : { _tag: "Answered", answer };
--- a/packages/daemon/src/request/model_list.ts
+++ b/packages/daemon/src/request/model_list.ts
@@ -1,11 +1,11 @@
 /**
- * The list of models, in the OpenAI shape.
+ * The list of models, in the OpenAI format.
  *
  * @module
  */
 import type { Table } from "@umbermast/table";
 
-/** Body of `GET /v1/models`. */
+/** Builds the body of `GET /v1/models`. */
 export function modelList(table: Table): string {
   const data = table.services
     .filter(({ kind }) => kind === "model")
--- a/packages/daemon/src/request/placement_demand.ts
+++ b/packages/daemon/src/request/placement_demand.ts
@@ -1,5 +1,5 @@
 /**
- * Counts calls by model, as demand for placement.
+ * Counts calls per model, as demand for placement.
  *
  * @module
  */
--- a/packages/daemon/src/request/placement_demand_test.ts
+++ b/packages/daemon/src/request/placement_demand_test.ts
@@ -14,7 +14,7 @@
   return { ...call, ...(model === undefined ? {} : { model }) } as Call;
 }
 
-test("a call counts from its arrival to its end, also when its caller leaves", async () => {
+test("a call counts from its arrival to its end, also when its caller disconnects", async () => {
   const counter = new LocalDemand();
   const end = Deferred.makeUnsafe<CallResult>();
   const inner: CallRunner = { run: () => Deferred.await(end) };
--- a/packages/daemon/src/request/problems.ts
+++ b/packages/daemon/src/request/problems.ts
@@ -1,5 +1,5 @@
 /**
- * Errors as callers are told of them.
+ * Builds the error responses that callers get.
  *
  * @module
  */
@@ -39,7 +39,7 @@
 const MS_PER_SECOND = 1000;
 const FIRST_SERVER_STATUS = 500;
 
-/** The type of an OpenAI-shaped error. */
+/** Returns the error type in the OpenAI format. */
 function typeOf(status: number): string {
   if (status === 401) return "authentication_error";
   if (status === TOO_MANY_REQUESTS) return "rate_limit_error";
@@ -48,7 +48,7 @@
     : "invalid_request_error";
 }
 
-/** The JSON body of an error, in the OpenAI shape. */
+/** Builds the JSON body of an error, in the OpenAI format. */
 export function problemBody(problem: Problem, requestId: string): string {
   return JSON.stringify({
     error: {
@@ -62,12 +62,12 @@
   });
 }
 
-/** Whole seconds for `retry-after`: at least one, never less than asked. */
+/** Rounds a retry delay up to whole seconds for `retry-after`, at least one. */
 export function retryAfterSeconds(retryAfterMs: number): number {
   return Math.max(1, Math.ceil(retryAfterMs / MS_PER_SECOND));
 }
 
-/** Headers of an error besides those of its body. */
+/** Builds the headers of an error, except those of its body. */
 export function problemHeaders(problem: Problem): readonly Header[] {
   const outcome = { name: "umbermast-outcome", value: problem.outcome };
   const headers: Header[] = [outcome];
@@ -84,7 +84,7 @@
   return headers;
 }
 
-/** Writes a whole answer for a connection that had no valid request. */
+/** Builds a complete response for a connection without a valid request. */
 export function rawResponse(problem: Problem, requestId: string): string {
   const body = problemBody(problem, requestId);
   const headers: readonly Header[] = [
--- a/packages/daemon/src/request/recording_reply.ts
+++ b/packages/daemon/src/request/recording_reply.ts
@@ -36,7 +36,7 @@
   }
 
   /** The complete response; `undefined` when it is incomplete or was too long. */
-  get recorded(): KeptAnswer | undefined {
+  get recording(): KeptAnswer | undefined {
     if (this.#head === undefined || !this.#complete) return undefined;
     if (this.#size > MAX_RECORDED_BYTES) return undefined;
     return {
--- a/packages/daemon/src/request/request_metrics.ts
+++ b/packages/daemon/src/request/request_metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Counts requests as they end.
+ * Reports ended requests to the metrics.
  *
  * @module
  */
@@ -13,7 +13,7 @@
   return ending.problem.outcome;
 }
 
-/** Passes the ends of requests to the metrics. */
+/** Reports results, refusals and dropped connections to the metrics. */
 export class RequestMetrics implements RequestObserver {
   readonly #metrics: Metrics;
 
--- a/packages/daemon/src/request/route.ts
+++ b/packages/daemon/src/request/route.ts
@@ -1,5 +1,5 @@
 /**
- * Which resource a caller's request is for.
+ * Finds the resource of a caller's request.
  *
  * @module
  */
@@ -50,7 +50,7 @@
   });
 }
 
-/** Finds the resource of a request line. */
+/** Finds the resource of a request by its method and target. */
 export function routeOf(
   method: string,
   target: string,
--- a/packages/daemon/src/request/runner_headers.ts
+++ b/packages/daemon/src/request/runner_headers.ts
@@ -1,5 +1,5 @@
 /**
- * Headers on the way to and from a runner.
+ * Headers of requests to runners and of their responses.
  *
  * @module
  */
@@ -7,16 +7,16 @@
 import type { Call, Header, ResponseHead } from "./call.ts";
 import { headerLines, responseHeaders } from "./end_to_end_headers.ts";
 
-/** What tells one attempt from another on the wire. */
+/** Headers that identify an attempt, and its resume options. */
 export interface AttemptIdentity {
   readonly attemptId: string;
-  /** Seconds for which the engine keeps a dropped stream; absent: cancel at once. */
+  /** Seconds for which the engine keeps a dropped stream; absent: cancel immediately. */
   readonly resumableS?: number;
-  /** Token events that the caller already has, when a stream is resumed. */
+  /** Token events already relayed to the caller, when a stream is resumed. */
   readonly resumeOffset?: number;
 }
 
-/** Headers of one attempt's request. */
+/** Builds the headers of an attempt's request. */
 export function requestHeaders(
   call: Call,
   identity: AttemptIdentity,
@@ -47,7 +47,7 @@
   return headers;
 }
 
-/** The head that the caller is given for a runner's answer. */
+/** Builds the head of the caller's response from a runner's response. */
 export function forwardedHead(response: RunnerResponse): ResponseHead {
   const headers = responseHeaders(headerLines(response.message.rawHeaders));
   return { status: response.status, headers };
--- a/packages/daemon/src/request/scheduling.ts
+++ b/packages/daemon/src/request/scheduling.ts
@@ -49,11 +49,11 @@
  * until the scope closes.
  */
 export function makeScheduler(
-  dependencies: SchedulerDependencies,
+  context: SchedulerDependencies,
   settings: SchedulingSettings = {},
 ): Effect.Effect<Scheduler, never, Scope.Scope> {
   return Effect.gen(function* () {
-    const { clock, directory, log } = dependencies;
+    const { clock, directory, log } = context;
     const policy = settings.policy ?? "umbermast";
     log.event("scheduler_chosen", { policy });
     if (policy === "random") {
@@ -72,12 +72,10 @@
         : { intervalMs: reportIntervalMs }),
     });
     yield* reports.poll(directory);
-    if (policy === "fifo") {
-      return new FifoScheduler({ ...dependencies, reports });
-    }
+    if (policy === "fifo") return new FifoScheduler({ ...context, reports });
     const switches = { ...ALL_ENABLED, ...settings.switches };
-    const registry = new BrokerRegistry({ ...dependencies, reports, switches });
-    const scheduler = new BrokeredScheduler({ ...dependencies, registry });
+    const registry = new BrokerRegistry({ ...context, reports, switches });
+    const scheduler = new BrokeredScheduler({ ...context, registry });
     yield* registry.start();
     yield* scheduler.start();
     return scheduler;
--- a/packages/daemon/src/request/usage.ts
+++ b/packages/daemon/src/request/usage.ts
@@ -1,10 +1,10 @@
 /**
- * Token counts that an engine reports with its answer.
+ * Parses the token counts that an engine reports in its response.
  *
  * @module
  */
 
-/** Tokens that an answer cost. */
+/** Token counts of a response; undefined if the engine reported none. */
 export interface Usage {
   readonly promptTokens: number | undefined;
   readonly outputTokens: number | undefined;
@@ -13,14 +13,14 @@
 const NO_USAGE: Usage = { promptTokens: undefined, outputTokens: undefined };
 const DATA_LINE = /^data: ?/;
 
-/** Usage in the last token event of a stream; parsed once for each stream. */
+/** Parses the usage in the last token event of a stream; runs once per stream. */
 export function usageOfEvent(event: Buffer | undefined): Usage {
   if (event === undefined) return NO_USAGE;
   const value = parseJson(event.toString("utf8").replace(DATA_LINE, ""));
   return value === undefined ? NO_USAGE : usageOf(value);
 }
 
-/** Usage in an engine's whole answer, already parsed. */
+/** Extracts the usage from an engine's parsed non-streamed response. */
 export function usageOf(value: unknown): Usage {
   const usage = field(value, "usage");
   return {
@@ -29,7 +29,7 @@
   };
 }
 
-/** Parses JSON; `undefined` when the text is not whole JSON. */
+/** Parses JSON; returns `undefined` when the text is not valid JSON. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
--- a/packages/daemon/src/routing.ts
+++ b/packages/daemon/src/routing.ts
@@ -1,5 +1,5 @@
 /**
- * Composes the way of a call to a runner: scheduler, attempts, retries and claims.
+ * Composes the processing of calls: scheduler, attempts, retries and claims.
  *
  * @module
  */
@@ -18,7 +18,7 @@
 import { makeScheduler } from "./request/scheduling.ts";
 import { tableSourceOf } from "./version/feed_table_source.ts";
 
-/** Opens connections to runners, and forgets those of runners that are gone. */
+/** Opens connections to runners, and closes those of removed runners. */
 function openConnections(
   directory: RunnerDirectory,
 ): Effect.Effect<RunnerConnections, never, Scope.Scope> {
@@ -35,7 +35,7 @@
   });
 }
 
-/** Makes the runner of calls; it works until the scope closes. */
+/** Creates the call runner, which works until the scope closes. */
 export function makeCallRunner(
   fleet: Fleet,
   options: { readonly settings: Settings; readonly log: Log },
--- a/packages/daemon/src/version/feed_table_source.ts
+++ b/packages/daemon/src/version/feed_table_source.ts
@@ -1,5 +1,5 @@
 /**
- * The table in force, as the scheduler reads it.
+ * Adapts a table feed to the scheduler's table source.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 
 const NO_TABLE: Table = { classes: [], workspaces: [], rows: [], services: [] };
 
-/** Reads a feed; empty until its first version, when no request is admitted. */
+/** Reads a feed; the table is empty before the first version, when no request is admitted. */
 export function tableSourceOf(feed: TableFeed): TableSource {
   return {
     current: () => feed.current()?.table ?? NO_TABLE,
--- a/packages/daemon/src/version/table_feed.ts
+++ b/packages/daemon/src/version/table_feed.ts
@@ -1,5 +1,5 @@
 /**
- * The version of the table in force, and what requests look up in it.
+ * The current version of the table, with the indexes that requests use.
  *
  * @module
  */
@@ -14,11 +14,11 @@
 } from "@umbermast/table";
 import type { Log } from "../process/log.ts";
 
-/** One version of the table with its indices. */
+/** One version of the table with its indexes. */
 export interface TableVersion {
   /** Version of the stored object. */
   readonly version: number;
-  /** Id of the edit that made it. */
+  /** Id of the edit that created this version. */
   readonly editId: string;
   readonly table: Table;
   /** By hexadecimal SHA-256 digest of the key. */
@@ -27,16 +27,16 @@
   readonly classesByName: ReadonlyMap<string, Class>;
   readonly servicesByName: ReadonlyMap<string, Service>;
   readonly servicesByModel: ReadonlyMap<string, Service>;
-  /** The row of a workspace and class, if there is one. */
+  /** Returns the row of a workspace and class, if there is one. */
   row(workspace: string, className: string): Row | undefined;
 }
 
-/** The version in force at this daemon. */
+/** The current version at this daemon. */
 export interface TableFeed {
-  /** `undefined` until a first version is known. */
+  /** Returns the current version; `undefined` until a first one is known. */
   current(): TableVersion | undefined;
   /**
-   * Calls the listener after each change of the version in force.
+   * Calls the listener after each change of the current version.
    *
    * @returns a function that ends the subscription.
    */
@@ -49,13 +49,13 @@
   readonly value: unknown;
 }
 
-/** Where versions of the table come from: the store, a peer, or a test. */
+/** A source of table versions: the store, a peer, or a test. */
 export interface VersionSource {
   current(): VersionedValue | undefined;
   subscribe(listener: (value: VersionedValue) => void): () => void;
 }
 
-/** Builds the indices of one version. */
+/** Builds the indexes of one version. */
 export function indexTable(
   table: Table,
   options: { readonly version: number; readonly editId: string },
@@ -94,11 +94,11 @@
 }
 
 /**
- * Puts in force whatever higher version its source brings.
+ * Applies each higher version of its source.
  *
- * A lower version is ignored here as well as in the source: an older copy from
- * a peer that was cut off would else undo an accepted edit. A value that is not
- * a valid table is refused with a warning and the version in force stays.
+ * A lower version is ignored here as well as in the source: otherwise an older
+ * copy from a peer that was partitioned would undo an accepted edit. A value that
+ * is not a valid table is rejected with a warning, and the current version stays.
  */
 export class SourcedTableFeed implements TableFeed {
   readonly #log: Log;
--- a/packages/daemon/src/version/table_feed_test.ts
+++ b/packages/daemon/src/version/table_feed_test.ts
@@ -33,7 +33,7 @@
   };
 }
 
-/** A source that gives what the test puts in, in any order. */
+/** A source that publishes the test's versions, in any order. */
 class FakeSource implements VersionSource {
   readonly #listeners = new Set<(value: VersionedValue) => void>();
   #current: VersionedValue | undefined;
@@ -68,7 +68,7 @@
   return { feed: new SourcedTableFeed(source, log), warnings };
 }
 
-test("a version known before the feed is in force at once", () => {
+test("applies a version that the source had before the feed was created", () => {
   const source = new FakeSource();
   source.putWeight(3, 1);
   assert.equal(feedOf(source).feed.current()?.version, 3);
@@ -87,9 +87,9 @@
   assert.equal(current?.row("office", "other"), undefined);
 });
 
-// A peer that was cut off comes back with an older copy, or a message is late.
-// Putting it in force would undo an edit that its operator was told is accepted.
-test("a lower version and the same one again change nothing", () => {
+// A peer that was partitioned returns with an older copy, or a message is
+// delayed. Applying it would undo an edit that was reported as accepted.
+test("ignores a lower version and a repeated one", () => {
   const source = new FakeSource();
   const { feed } = feedOf(source);
   const seen: number[] = [];
@@ -102,7 +102,7 @@
   assert.equal(feed.current()?.row("office", "quote")?.weight, 4);
 });
 
-test("an invalid table is refused with a warning, the next valid one is not", () => {
+test("rejects an invalid table with a warning and applies the next valid one", () => {
   const source = new FakeSource();
   const { feed, warnings } = feedOf(source);
   source.putWeight(1, 1);
--- a/packages/daemon/src/version/table_offer.ts
+++ b/packages/daemon/src/version/table_offer.ts
@@ -1,5 +1,5 @@
 /**
- * Versions of the table that an operator's tool offers after an edit.
+ * Parses versions of the table that an operator's tool offers after an edit.
  *
  * @module
  */
@@ -12,10 +12,10 @@
 /**
  * Checks an offered version, `{"version", "value"}` with the value as stored.
  *
- * The store may go down right after it has accepted an edit; the tool that made
- * the edit is then the only one that holds it. Whoever has the operators' token
- * may edit the table anyway, and a version is put in force only when it is
- * higher than the present one, so an offer that comes late or twice does nothing.
+ * The store may fail right after it has accepted an edit, which leaves the tool
+ * that made the edit with the only copy. Anyone with the operators' token may
+ * edit the table anyway, and a version is applied only if it is higher than the
+ * current one, so a late or repeated offer has no effect.
  */
 export function parseOffer(
   body: unknown,
--- a/packages/daemon/src/version/table_offer_test.ts
+++ b/packages/daemon/src/version/table_offer_test.ts
@@ -6,12 +6,12 @@
 const EMPTY = { classes: [], workspaces: [], rows: [], services: [] };
 const VALUE = initialStoredTable(EMPTY, { editId: "e", editor: "ana", at: 1 });
 
-test("a version with a stored table is taken", () => {
+test("accepts a version with a stored table", () => {
   const offer = { version: 3, value: VALUE };
   assert.deepEqual(parseOffer(offer)._unsafeUnwrap(), offer);
 });
 
-test("what is no version or no table is refused with its place", () => {
+test("rejects an invalid version or table and names its place", () => {
   const places = (body: unknown) =>
     parseOffer(body)._unsafeUnwrapErr().map(({ place }) => place);
   assert.deepEqual(places(null), ["/version"]);
