--- a/packages/router/src/connection/crash_encoding.ts
+++ b/packages/router/src/connection/crash_encoding.ts
@@ -1,5 +1,5 @@
 /**
- * The layout of crash reports in messages between daemons.
+ * The encoding of crash reports in messages between daemons.
  *
  * @module
  */
@@ -8,21 +8,29 @@
 
 type PackedCrash = readonly [
   runner: string,
-  /** For each run its fingerprint and the ages of its start and its end. */
+  /**
+   * A flat array with three fields for each request that was at the runner: its
+   * fingerprint, and the ages of its start and its end in ms.
+   */
   runs: readonly (string | number)[],
 ];
 
 /** A crash report as arrays without field names. */
 export type PackedCrashes = readonly [
   crashed: readonly PackedCrash[],
-  fingerprintsAndAges: readonly (string | number)[],
+  /**
+   * A flat array with two fields for each complete response: the request's
+   * fingerprint, and the age of the response in ms.
+   */
+  responses: readonly (string | number)[],
 ];
 
 /** Number of fields of one run in a flat array. */
 const RUN_FIELDS = 3;
+/** Number of fields of one response in a flat array. */
 const RESPONSE_FIELDS = 2;
 
-/** Converts a crash report to its layout: some 20 bytes for each request. */
+/** Encodes a crash report as arrays: some 20 bytes for each request. */
 export function packCrashes(
   { crashed, responses }: CrashAges,
 ): PackedCrashes {
@@ -37,7 +45,10 @@
   ];
 }
 
-/** Splits a flat array into rows of `length` fields. */
+/**
+ * Splits a flat array into rows of `length` fields; ignores an incomplete row at
+ * the end.
+ */
 function rowsOf<Field>(
   fields: readonly Field[],
   length: number,
@@ -52,26 +63,30 @@
 function unpackCrash([runner, runs]: PackedCrash): RunnerCrash {
   return {
     runner: String(runner),
-    runs: rowsOf(runs, RUN_FIELDS).map(([fingerprint, started, ended]) => ({
+    runs: rowsOf(runs, RUN_FIELDS).map((
+      [fingerprint, startedAgoMs, endedAgoMs],
+    ) => ({
       fingerprint: String(fingerprint),
-      startedAgoMs: checkNonNegative(started, "crashes.startedAgoMs"),
-      endedAgoMs: checkNonNegative(ended, "crashes.endedAgoMs"),
+      startedAgoMs: checkNonNegative(startedAgoMs, "crashes.startedAgoMs"),
+      endedAgoMs: checkNonNegative(endedAgoMs, "crashes.endedAgoMs"),
     })),
   };
 }
 
-/** Reads a crash report in the layout of {@linkcode packCrashes}. */
+/** Decodes a crash report that {@linkcode packCrashes} encoded. */
 export function unpackCrashes([crashed, responses]: PackedCrashes): CrashAges {
   return {
     crashed: crashed.map(unpackCrash),
-    responses: rowsOf(responses, RESPONSE_FIELDS).map(([fingerprint, ago]) => ({
+    responses: rowsOf(responses, RESPONSE_FIELDS).map((
+      [fingerprint, agoMs],
+    ) => ({
       fingerprint: String(fingerprint),
-      agoMs: checkNonNegative(ago, "crashes.agoMs"),
+      agoMs: checkNonNegative(agoMs, "crashes.agoMs"),
     })),
   };
 }
 
-/** Whether a crash report is not empty. */
+/** Whether a crash report has crashed requests or complete responses. */
 export function hasReports(
   { crashed, responses }: CrashAges,
 ): boolean {
--- a/packages/router/src/connection/membership_counts.ts
+++ b/packages/router/src/connection/membership_counts.ts
@@ -1,5 +1,5 @@
 /**
- * Number of daemons in the fleet and in the own failure domain.
+ * Number of daemons in the fleet and in this daemon's failure domain.
  *
  * @module
  */
@@ -7,16 +7,18 @@
 import type { MemberCounts } from "./peer_message.ts";
 
 /**
- * Window of the maximum of the fleet size. Retries and connections to runners
- * are divided by this size: if it were too small, each daemon would take more
- * than its share.
+ * Time in ms over which the maximum of the fleet size is taken. The limits on
+ * retries and on connections to runners are divided by this size: if it were too
+ * small, each daemon would take more than its share.
  */
 const FLEET_WINDOW_MS = 60_000;
 /**
- * Window of the maximum of the failure domain's size, which determines its number
- * of relays. While a relay is lost, no updates of the daemons behind it arrive;
- * without the window, all other daemons would be assigned to relays anew. The
- * window gives those daemons time to find another relay.
+ * Time in ms over which the maximum of the failure domain's size is taken. This
+ * size determines the domain's number of relays, the daemons that forward updates
+ * to and from others. While a relay is lost, no updates arrive from the daemons
+ * that are connected through it. Without the maximum, the number of relays would
+ * change, and all other daemons would be assigned to relays anew. The time allows
+ * the daemons of the lost relay to find another one.
  */
 const DOMAIN_WINDOW_MS = 2_000;
 
@@ -27,7 +29,8 @@
   readonly #domain = new SlidingMax(DOMAIN_WINDOW_MS);
 
   /**
-   * Sets the counts that a neighbour reports.
+   * Sets the counts that a neighbour reports; `domain` is 0 if the neighbour is in
+   * another failure domain.
    *
    * @returns whether they differ from its previous ones.
    */
@@ -43,7 +46,10 @@
     this.#reported.delete(neighbour);
   }
 
-  /** Counts of this daemon and of selected neighbours together. */
+  /**
+   * Returns the number of daemons that this daemon and selected neighbours account
+   * for, including this one.
+   */
   sumFrom(includes: (neighbour: string) => boolean): MemberCounts {
     let fleet = 1;
     let domain = 1;
@@ -55,7 +61,10 @@
     return { fleet, domain };
   }
 
-  /** The largest total counts in the recent windows. */
+  /**
+   * Adds the current totals to the sliding maxima, and returns the largest of each
+   * within its time.
+   */
   recentMax(now: number): MemberCounts {
     const { fleet, domain } = this.sumFrom(() => true);
     return {
--- a/packages/router/src/connection/store_followers.ts
+++ b/packages/router/src/connection/store_followers.ts
@@ -1,5 +1,5 @@
 /**
- * Follows configurations and runners in the platform's store.
+ * Reads and watches configurations and runners in the platform's store.
  *
  * @module
  */
@@ -20,27 +20,29 @@
 import type { Configuration } from "../version/configuration.ts";
 
 /**
- * Milliseconds in which a starting daemon connects to those that rank before
- * it.
+ * Time in ms that a starting daemon has to connect to the daemons that rank before
+ * it (see `ranksBefore`).
  */
 const DISCOVERY_MS = 500;
 
 /**
- * Milliseconds after which a daemon without a configuration reads the store
- * itself although it has neighbours. Until an operator has written the first
- * configuration, each daemon that waited for it at the store would cost a call
- * every few seconds.
+ * Time in ms without a response from the store or a peer after which a daemon that
+ * lacks a configuration or the runners reads the store itself, although it has
+ * neighbours. Until an operator has written the first configuration, each daemon
+ * that watched the store for it would make a call every few seconds.
  */
-const UNINFORMED_MS = 15_000;
+const RESPONSE_TIMEOUT_MS = 15_000;
 
 /**
- * Milliseconds between two checks whether this daemon has to watch the store.
- * Meanwhile the other watchers of its domain and of the others continue.
+ * Milliseconds between two checks whether this daemon has to watch the store. A
+ * delay does no harm: the other watchers, in this failure domain and in others,
+ * still watch.
  */
 const CHECK_MS = 500;
 
 /** The data and listeners that the followers need. */
 export interface FollowerContext {
+  /** This daemon. */
   readonly own: WatchCandidate;
   readonly log: EventLog;
   readonly metrics: Pick<RequestMetrics, "dependency">;
@@ -49,20 +51,23 @@
   peers(): readonly WatchCandidate[];
   /** In [0, 1). */
   random(): number;
-  /** Whether a configuration is in force. */
+  /** Whether this daemon has a configuration. */
   configured(): boolean;
-  /** Time of the last fetch response from a peer, in monotonic ms. */
+  /** Time of a peer's last response to a `FetchRequest`, in monotonic ms. */
   lastResponseAt(): number;
   /** Applies a configuration from the store. */
   applyConfiguration(configuration: Configuration): void;
 }
 
-/** Follows both kinds of objects until the process stops. */
+/** Reads and watches the configurations and the runners until stopped. */
 export class StoreFollowers {
   readonly #context: FollowerContext;
   readonly #configurations: FeedFollower<Configuration>;
   readonly #runners: FeedFollower<Runner>;
-  /** Wakes both followers at the same time while this daemon does not watch. */
+  /**
+   * Timer by which both followers, while this daemon does not watch, check again
+   * whether it should.
+   */
   readonly #checks = new SharedTimer(CHECK_MS);
 
   constructor(context: FollowerContext, feeds: {
@@ -74,11 +79,11 @@
     this.#runners = this.#followRunners(feeds.runners);
   }
 
-  /** @param opened resolves when the store may be read for the first time. */
-  start(opened: Promise<void>): void {
+  /** @param mayRead resolves when the store may be read for the first time. */
+  start(mayRead: Promise<void>): void {
     const { configured, directory } = this.#context;
-    void this.#follow(this.#configurations, opened, configured);
-    void this.#follow(this.#runners, opened, () => directory.revision > 0);
+    void this.#follow(this.#configurations, mayRead, configured);
+    void this.#follow(this.#runners, mayRead, () => directory.revision > 0);
   }
 
   stop(): void {
@@ -101,35 +106,40 @@
   }
 
   /**
-   * Reads the store once if needed, and starts the watch when the daemon has had
-   * time to learn from its neighbours which daemons watch.
+   * Reads the store once if this daemon has neither data nor responses yet. Then
+   * waits until the daemon has had time to receive contacts of other daemons, which
+   * decide whether it watches, and starts the follower.
    */
   async #follow(
     follower: FeedFollower<unknown>,
-    opened: Promise<void>,
+    mayRead: Promise<void>,
     hasData: () => boolean,
   ): Promise<void> {
-    await opened;
-    if (!hasData() && this.#isUninformed(follower)) await follower.readOnce();
+    await mayRead;
+    if (!hasData() && this.#lacksResponses(follower)) await follower.readOnce();
     await pause(DISCOVERY_MS);
     await follower.run();
   }
 
-  /** Whether neither the store nor a peer has delivered data for a long time. */
-  #isUninformed({ confirmedAt }: FeedFollower<unknown>): boolean {
-    const informedAt = Math.max(confirmedAt, this.#context.lastResponseAt());
-    return performance.now() - informedAt >= UNINFORMED_MS;
+  /**
+   * Whether neither the store nor a peer has responded within
+   * {@linkcode RESPONSE_TIMEOUT_MS}, or ever.
+   */
+  #lacksResponses({ confirmedAt }: FeedFollower<unknown>): boolean {
+    const respondedAt = Math.max(confirmedAt, this.#context.lastResponseAt());
+    return performance.now() - respondedAt >= RESPONSE_TIMEOUT_MS;
   }
 
   #followConfigurations(
     feed: Feed<Configuration>,
   ): FeedFollower<Configuration> {
-    const adoptAll = (values: readonly Configuration[]) => {
+    const applyAll = (values: readonly Configuration[]) => {
       for (const value of values) this.#context.applyConfiguration(value);
     };
     return new FeedFollower(feed, {
-      listed: ({ values }) => adoptAll(values),
-      changed: ({ updated }) => adoptAll(updated),
+      listed: ({ values }) => applyAll(values),
+      // The removal of a configuration has no effect.
+      changed: ({ updated }) => applyAll(updated),
     }, {
       connectivity: this.#connectivityListener("store_configuration"),
       timing: this.#timing(
@@ -158,9 +168,11 @@
   }
 
   /**
-   * When the store is read and watched.
+   * Returns when a follower reads the store, and how long its watches wait.
    *
    * @param hasData whether the daemon has data of this kind.
+   * @param follower is called later, because the follower is created with this
+   * timing.
    */
   #timing(
     hasData: () => boolean,
@@ -171,7 +183,7 @@
       waitMs: () => watchWaitMs([own, ...peers()], random()),
       shouldRead: () =>
         peers().length === 0 || isWatcher(own, [own, ...peers()]) ||
-        (!hasData() && this.#isUninformed(follower())),
+        (!hasData() && this.#lacksResponses(follower())),
       untilNextCheck: () => this.#checks.next(),
     };
   }
@@ -183,11 +195,11 @@
         metrics.dependency(dependency, false);
         log.event("dependency_lost", { dependency, reason });
       },
-      regained: (afterMs) => {
+      regained: (outageMs) => {
         metrics.dependency(dependency, true);
         log.event("dependency_regained", {
           dependency,
-          after_ms: Math.round(afterMs),
+          after_ms: Math.round(outageMs),
         });
       },
     };
--- a/packages/router/src/process/feed.ts
+++ b/packages/router/src/process/feed.ts
@@ -1,5 +1,5 @@
 /**
- * Reading of one kind of object in the platform's store: a list, then watches.
+ * Lists all objects of one kind in the platform's store, then watches for changes.
  *
  * @module
  */
@@ -34,7 +34,10 @@
   }
 }
 
-/** Reads one kind of object. Both calls throw {@linkcode FeedError}. */
+/**
+ * Reads one kind of object. Both methods reject with {@linkcode FeedError} if the
+ * store does not respond or reports a failure.
+ */
 export interface Feed<T> {
   /**
    * Lists all objects.
@@ -43,9 +46,11 @@
    */
   list(options?: { readonly stale?: boolean }): Promise<Listing<T>>;
   /**
-   * Waits up to `waitMs` for changes, and returns an empty set after that time.
+   * Waits up to `waitMs` for changes; without any, returns empty lists after that
+   * time.
    *
-   * @param signal ends the wait early; the call then fails as `unavailable`.
+   * @param signal ends the wait early; the call then rejects with a
+   * {@linkcode FeedError} of kind `unavailable`.
    */
   watch(
     since: number,
@@ -54,9 +59,11 @@
   ): Promise<Changes<T>>;
 }
 
-/** Receives the objects that a follower reads. */
+/** Receives what a {@linkcode FeedFollower} reads. */
 export interface FeedSink<T> {
+  /** Called with all objects, which replace those received before. */
   listed(listing: Listing<T>): void;
+  /** Called with changes since the last call of either method. */
   changed(changes: Changes<T>): void;
 }
 
@@ -64,8 +71,8 @@
 export interface FollowerTiming {
   /**
    * Maximum wait of the next watch, in ms. A dead connection is detected only
-   * when the wait and the response time-out are over, so this bounds how long a
-   * change can be missed. Each wait costs one call.
+   * when the wait and the response time-out are over, and until then it hides
+   * changes. Each wait costs one call.
    */
   waitMs(): number;
   /** Whether to read the store now. */
@@ -74,7 +81,7 @@
   untilNextCheck(): Promise<void>;
 }
 
-/** Backoff in ms after the first failure; doubled up to the maximum. */
+/** Backoff in ms after the first failure; doubled at each further one. */
 const INITIAL_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 400;
 /**
@@ -84,14 +91,17 @@
  */
 const COALESCE_MS = 100;
 
-/** Is notified when the store becomes unavailable, and when it responds again. */
+/** Listener for when the store becomes unavailable, and when it responds again. */
 export interface ConnectivityListener {
   lost(reason: string): void;
-  /** @param outageMs duration of the failure, in ms. */
+  /** @param outageMs time for which the store was unavailable, in ms. */
   regained(outageMs: number): void;
 }
 
-/** Follows a feed until it is stopped, with a backoff after failures. */
+/**
+ * Lists all objects of a feed and then watches it, until stopped; backs off after
+ * failures.
+ */
 export class FeedFollower<T> {
   readonly #feed: Feed<T>;
   readonly #sink: FeedSink<T>;
@@ -99,13 +109,13 @@
   readonly #timing: FollowerTiming;
   #stopped = false;
   #revision: number | undefined;
-  /** Whether the next list is the first one of this process. */
+  /** Whether no list has been requested yet. */
   #firstList = true;
   #confirmedAt = -Infinity;
   #lostAt: number | undefined;
   #backoffMs = INITIAL_BACKOFF_MS;
   /** Aborts the current watch, if there is one. */
-  #wait: AbortController | undefined;
+  #watchAbort: AbortController | undefined;
 
   constructor(
     feed: Feed<T>,
@@ -121,17 +131,20 @@
     this.#timing = options.timing;
   }
 
-  /** Time of the store's last response, in monotonic ms. */
+  /** Time of the store's last successful response, in monotonic ms. */
   get confirmedAt(): number {
     return this.#confirmedAt;
   }
 
-  /** Tries to read all objects once. {@linkcode run} retries after a failure. */
+  /**
+   * Tries to list all objects once, before {@linkcode run} is called. After a
+   * failure, {@linkcode run} tries again.
+   */
   async readOnce(): Promise<void> {
     if (!this.#stopped) await this.#tryStep();
   }
 
-  /** Follows the feed until {@linkcode stop} is called. */
+  /** Lists and watches the feed until {@linkcode stop} is called. */
   async run(): Promise<void> {
     while (!this.#stopped) {
       if (this.#timing.shouldRead()) await this.#tryStep();
@@ -146,11 +159,12 @@
 
   /**
    * Aborts the current watch, so that the next one starts on a new connection.
-   * Without a current watch this has no effect. Otherwise later failures would be
-   * taken for restarts and be retried without a backoff.
+   * Without a current watch this has no effect: if it marked the next watch as
+   * aborted, failures of that watch would be taken for restarts and be retried
+   * without a backoff.
    */
   restartWatch(): void {
-    this.#wait?.abort();
+    this.#watchAbort?.abort();
   }
 
   async #tryStep(): Promise<void> {
@@ -161,7 +175,11 @@
     }
   }
 
-  /** @returns whether the store has responded. */
+  /**
+   * Lists all objects or, if their revision is known, watches once.
+   *
+   * @returns whether the store has responded.
+   */
   async #step(): Promise<boolean> {
     if (this.#revision === undefined) {
       await this.#list();
@@ -177,10 +195,11 @@
   }
 
   /**
-   * Lists all objects. The first list of a process may be seconds old, as later
-   * changes arrive from the watch that continues at its revision, or from peers.
-   * A stale list costs a tenth of a current one, and 65 daemons that start
-   * together read 260 pages. After a failure the list must be current.
+   * Lists all objects. The first list may be seconds old, as later changes arrive
+   * from the watch that continues at its revision, or from peers. A stale list
+   * costs the store a tenth of a current one, which matters when a whole fleet
+   * starts: 65 daemons that start together read 260 pages. Later lists must be
+   * current: a stale one could be older than what this daemon already has.
    */
   async #list(): Promise<void> {
     const stale = this.#firstList;
@@ -190,18 +209,18 @@
     this.#revision = listing.revision;
   }
 
-  /** Waits for changes; returns nothing if the watch was restarted. */
+  /** Waits for changes; returns undefined if the watch was aborted. */
   async #watch(revision: number): Promise<Changes<T> | undefined> {
-    const wait = new AbortController();
-    this.#wait = wait;
+    const abort = new AbortController();
+    this.#watchAbort = abort;
     try {
       const waitMs = this.#timing.waitMs();
-      return await this.#feed.watch(revision, waitMs, wait.signal);
+      return await this.#feed.watch(revision, waitMs, abort.signal);
     } catch (error) {
-      if (wait.signal.aborted) return undefined;
+      if (abort.signal.aborted) return undefined;
       throw error;
     } finally {
-      this.#wait = undefined;
+      this.#watchAbort = undefined;
     }
   }
 
@@ -209,15 +228,15 @@
     this.#confirmedAt = performance.now();
     this.#backoffMs = INITIAL_BACKOFF_MS;
     if (this.#lostAt === undefined) return;
-    const afterMs = this.#confirmedAt - this.#lostAt;
+    const outageMs = this.#confirmedAt - this.#lostAt;
     this.#lostAt = undefined;
-    this.#connectivity.regained(afterMs);
+    this.#connectivity.regained(outageMs);
   }
 
   /**
-   * Continues after any error. One that is not a {@linkcode FeedError} is caused
-   * by a malformed response. If it ended the process, every daemon would restart
-   * again and again.
+   * Handles any error, so that the follower continues. An error that is not a
+   * {@linkcode FeedError} is most likely caused by a malformed response; if it
+   * ended the process, every daemon would restart again and again.
    */
   async #handleError(error: unknown): Promise<void> {
     const expired = error instanceof FeedError && error.kind === "expired";
@@ -230,8 +249,9 @@
   }
 
   /**
-   * Waits, and has all objects listed again. A watch that continued at the old
-   * revision could miss changes if the store has dropped its history meanwhile.
+   * Waits, after which all objects are listed again. If a watch continued at the
+   * old revision, it could miss changes when the store has dropped its history
+   * meanwhile and does not report the revision as `expired`.
    */
   async #backOff(reason: string): Promise<void> {
     this.#revision = undefined;
--- a/packages/router/src/process/load_totals.ts
+++ b/packages/router/src/process/load_totals.ts
@@ -6,7 +6,10 @@
 
 /** Counts of complete responses from a runner. */
 export interface ResponseCounts {
-  /** Complete responses from the runner to these daemons since they started. */
+  /**
+   * Complete responses, failed ones included, from the runner to the daemons that
+   * are counted, since those daemons started.
+   */
   readonly answered: number;
   /** Complete responses that reported a failure of the runner. */
   readonly failed: number;
@@ -15,13 +18,22 @@
 /** Load that one daemon, or several together, put on a runner. */
 export interface LoadTotals extends ResponseCounts {
   readonly inFlight: number;
-  /** Prompt tokens of requests without a first event yet. */
+  /** Prompt tokens to be prefilled, of requests whose first event is awaited. */
   readonly unreadTokens: number;
-  /** Prompt tokens prefilled, now or later, for all requests in flight. */
+  /**
+   * Prompt tokens to be prefilled, of all requests in flight, including those
+   * whose prefill is over.
+   */
   readonly workTokens: number;
-  /** Most tokens that all requests in flight may hold in the KV cache. */
+  /**
+   * Maximum number of tokens that the requests in flight may hold together in the
+   * KV cache.
+   */
   readonly memoryTokens: number;
-  /** Streams with a tight event-gap target. */
+  /**
+   * Number of streams with a tight event-gap target, i.e. a short target for the
+   * time between two events (see `isTight`).
+   */
   readonly tightStreams: number;
 }
 
@@ -49,15 +61,15 @@
   };
 }
 
-/** Subtracts the second load from the first. */
-export function subtractLoads(one: LoadTotals, other: LoadTotals): LoadTotals {
+/** Subtracts a part of a load from it. */
+export function subtractLoads(load: LoadTotals, part: LoadTotals): LoadTotals {
   return {
-    inFlight: one.inFlight - other.inFlight,
-    unreadTokens: one.unreadTokens - other.unreadTokens,
-    workTokens: one.workTokens - other.workTokens,
-    memoryTokens: one.memoryTokens - other.memoryTokens,
-    tightStreams: one.tightStreams - other.tightStreams,
-    answered: one.answered - other.answered,
-    failed: one.failed - other.failed,
+    inFlight: load.inFlight - part.inFlight,
+    unreadTokens: load.unreadTokens - part.unreadTokens,
+    workTokens: load.workTokens - part.workTokens,
+    memoryTokens: load.memoryTokens - part.memoryTokens,
+    tightStreams: load.tightStreams - part.tightStreams,
+    answered: load.answered - part.answered,
+    failed: load.failed - part.failed,
   };
 }
--- a/packages/router/src/process/usage_reports.ts
+++ b/packages/router/src/process/usage_reports.ts
@@ -1,5 +1,6 @@
 /**
- * Decides which usage windows are reported, and with which counts.
+ * Decides when the request counts of a usage window, a fixed period of time, are
+ * final and are reported to the platform.
  *
  * @module
  */
@@ -11,9 +12,9 @@
 import type { Counts, UsageMeter } from "./usage_meter.ts";
 
 /**
- * Fraction of the reporting delay after which the counts of a window are
- * finalized, while all daemons are reachable. The rest of the delay is left for
- * a successor, should the leader fail.
+ * The counts of a window are finalized when this fraction of the reporting delay
+ * has passed since its end, while all daemons are reachable. The rest of the delay
+ * is time for a successor to send the report if the leader fails.
  */
 const FINALIZE_FRACTION = 0.45;
 /**
@@ -34,17 +35,17 @@
   readonly delayMs: number;
 }
 
-/** Inputs of a decision on usage. */
+/** Inputs of {@linkcode finalizeReports} and {@linkcode checkpointOf}. */
 export interface UsageSources {
   readonly meter: UsageMeter;
   readonly timing: UsageTiming;
-  /** The fleet's time, in epoch ms. */
+  /** Current time in epoch ms, as the daemons estimate it together. */
   readonly now: number;
   /** Whether all daemons that were recently in the fleet are reachable. */
   readonly complete: boolean;
 }
 
-/** New reports, and the state of the leader that holds them. */
+/** New reports, and the leader's state that includes them. */
 export interface UsageDecision {
   readonly state: LeaderState;
   readonly finalized: readonly UsageReport[];
@@ -53,9 +54,10 @@
 }
 
 /**
- * Finalizes the counts of all windows that are due.
+ * Finalizes the counts of all windows whose finalizing time has passed.
  *
- * @returns the decision, or nothing if no window is due.
+ * @returns undefined if there is no such window; at the first call ever, a state
+ * that starts with the current window.
  *
  * @example
  * ```ts
@@ -83,10 +85,10 @@
   const finalizeAfterMs = windowMs + fraction * delayMs;
   const last = Math.floor((sources.now - finalizeAfterMs) / windowMs);
   if (last < state.nextWindow) return undefined;
-  // A report that is one window late is still useful; the counts of older
-  // windows are no longer kept.
-  const dueWindows = Math.ceil((windowMs + delayMs) / windowMs);
-  const first = Math.max(state.nextWindow, current - dueWindows - 1);
+  // A report that is one window late is still useful. Older windows are missed:
+  // the meter keeps counts for a limited number of windows only.
+  const windowsUntilDue = Math.ceil((windowMs + delayMs) / windowMs);
+  const first = Math.max(state.nextWindow, current - windowsUntilDue - 1);
   const missed = range(state.nextWindow, Math.min(first, last + 1));
   const finalized = range(first, last + 1).map((window): UsageReport => ({
     window,
@@ -102,8 +104,9 @@
 }
 
 /**
- * Returns the known counts of all windows without a report. They are stored, so
- * that they survive the loss of all daemons.
+ * Returns the known counts of all windows without a report. The leader stores
+ * them, so that they survive the loss of all daemons. `lives` is the stored name
+ * of incarnations.
  */
 export function checkpointOf(
   state: LeaderState,
@@ -125,8 +128,8 @@
 }
 
 /**
- * Marks the reports that the platform has accepted, and drops all but the latest
- * of these.
+ * Marks the reports that the platform has accepted, and drops the oldest reports
+ * beyond the limits of accepted and pending ones.
  */
 export function withAccepted(
   state: LeaderState,
@@ -139,8 +142,9 @@
 }
 
 /**
- * Returns the requests of a window: those that the meter knows, plus the part of
- * the checkpoint that comes from daemons whose counts the meter lacks.
+ * Returns the request counts of a window by workspace: those of the meter, plus
+ * the requests by which the checkpoint exceeds the meter's counts of the same
+ * incarnations, because the meter lacks counts of some of these.
  */
 function countsOf(
   window: number,
@@ -155,9 +159,9 @@
     (incarnation) => incarnations.has(incarnation),
   );
   for (const [workspace, requests] of Object.entries(stored?.counts ?? {})) {
-    const lost = requests - (known.get(workspace) ?? 0);
-    if (lost <= 0) continue;
-    counts.set(workspace, (counts.get(workspace) ?? 0) + lost);
+    const missing = requests - (known.get(workspace) ?? 0);
+    if (missing <= 0) continue;
+    counts.set(workspace, (counts.get(workspace) ?? 0) + missing);
   }
   const sorted = [...counts].sort(([a], [b]) => a < b ? -1 : 1);
   return Object.fromEntries(sorted);
--- a/packages/router/src/request/attempt.ts
+++ b/packages/router/src/request/attempt.ts
@@ -111,7 +111,7 @@
         (incoming) => resolve(this.#classify(incoming)),
       );
       this.#clientRequest.on("error", (error) => this.#handleError(error));
-      this.#clientRequest.on("close", () => this.#fail("closed"));
+      this.#clientRequest.on("close", () => this.#fail("connection closed"));
       this.#clientRequest.end(this.#request.body);
     });
   }
--- a/packages/router/src/request/decision_log.ts
+++ b/packages/router/src/request/decision_log.ts
@@ -1,5 +1,10 @@
 /**
- * Log lines about the decisions on a request.
+ * Log lines about the decisions on a request. Fields that several of them have:
+ *
+ * - `backlog_tokens`: prompt tokens at the runner that await prefill;
+ * - `prefill_tokens`: prompt tokens of the request that the runner has to prefill;
+ * - `rank`: urgency of the request, 0 being the most urgent;
+ * - `runners_age_ms`: milliseconds since the list of runners was confirmed.
  *
  * @module
  */
@@ -10,7 +15,8 @@
 import type { RoutedRequest } from "./routed_request.ts";
 
 /**
- * Logs that no runner had capacity for a request, and the load of the best one.
+ * Logs that no runner has capacity for a request or can complete it before its
+ * deadline, and the load of the best runner.
  */
 export function logOverload(
   daemon: Daemon,
@@ -18,12 +24,12 @@
   overload: {
     readonly choice: RunnerChoice;
     readonly waitedMs: number;
-    /** Whether the response would have finished in the caller's time. */
+    /** Whether the response would be complete before the caller's deadline. */
     readonly inTime: boolean;
   },
 ): void {
   const { choice, waitedMs, inTime } = overload;
-  const pace = daemon.streamPace(routed.service.name)
+  const msPerToken = daemon.streamPace(routed.service.name)
     .msPerToken(choice.runner.id, daemon.now());
   const { total } = daemon.loads.of(choice.runner.id);
   daemon.log.decision("overload_detected", routed.head.id, {
@@ -37,20 +43,27 @@
     memory_tokens: total.memoryTokens,
     waited_ms: Math.round(waitedMs),
     in_time: inTime,
-    ms_per_token: pace === undefined ? undefined : Math.round(pace),
+    ms_per_token: msPerToken === undefined ? undefined : Math.round(msPerToken),
     expected_tokens: routed.head.expectedOutputTokens,
     runners_age_ms: Math.round(daemon.runnerListAgeMs()),
   });
 }
 
-/** Logs that all runners that are left are at their rate limits. */
+/**
+ * Logs that every suitable runner that the request has not tried yet is at its
+ * rate limit.
+ */
 export function logLimitsReached(
   daemon: Daemon,
   routed: RoutedRequest,
   limits: {
+    /** Number of these runners. */
     readonly limited: number;
     readonly waitedMs: number;
-    /** Whether this daemon has a share of any of these limits. */
+    /**
+     * Whether this daemon has a share of any of these limits, which are divided
+     * among daemons.
+     */
     readonly hasShare: boolean;
   },
 ): void {
@@ -64,7 +77,10 @@
   });
 }
 
-/** Logs that a request waits for a runner, and the work ahead of it. */
+/**
+ * Logs that a request waits for a runner's capacity, and the work of the requests
+ * that come before it.
+ */
 export function logCapacityWait(
   daemon: Daemon,
   routed: RoutedRequest,
@@ -86,13 +102,17 @@
   });
 }
 
-/** Logs that a request is not sent because runners crash while running it. */
+/**
+ * Logs that a request is not sent because runners crashed while running it.
+ * `ends` is the number of crashes, and `left_ms` the remaining time of the
+ * quarantine.
+ */
 export function logQuarantine(
   daemon: Daemon,
   requestId: string,
-  refused: { readonly quarantine: Quarantine; readonly fingerprint: string },
+  refusal: { readonly quarantine: Quarantine; readonly fingerprint: string },
 ): void {
-  const { quarantine, fingerprint } = refused;
+  const { quarantine, fingerprint } = refusal;
   daemon.log.decision("quarantine_applied", requestId, {
     fingerprint,
     ends: quarantine.crashes,
@@ -101,14 +121,20 @@
   });
 }
 
-/** Logs the selected runner and its known state. */
+/**
+ * Logs the chosen runner and what is known of its state. `reported` is the number
+ * of requests at the runner, from its own report if that is higher;
+ * `limit_per_s` is the rate limit that the runner states; `left_ms` is the time
+ * until the caller's deadline.
+ */
 export function logRunnerChosen(
   daemon: Daemon,
   routed: RoutedRequest,
   chosen: {
     readonly choice: RunnerChoice;
-    /** The same for each attempt of the request. */
+    /** Hash of the request's content, which is the same for each attempt. */
     readonly fingerprint: string;
+    /** Milliseconds until the caller's deadline. */
     readonly remainingMs: number;
   },
 ): void {
@@ -131,6 +157,7 @@
     prefill_tokens: choice.prefillTokens,
     fetch_from: choice.fetchFrom?.id,
     prompt_tokens: head.promptTokens,
+    // The last part of a prompt is specific to the request.
     shared_part: head.prompt.at(-2)?.id,
     rank: routed.rank,
     runners_age_ms: Math.round(daemon.runnerListAgeMs()),
--- a/packages/router/src/request/read_body.ts
+++ b/packages/router/src/request/read_body.ts
@@ -27,7 +27,10 @@
     });
     incoming.on("end", () => {
       if (!incoming.complete) {
-        return resolve({ kind: "broken", reason: "ended early" });
+        return resolve({
+          kind: "broken",
+          reason: "incomplete message",
+        });
       }
       const body = chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
       resolve({ kind: "complete", body });
@@ -35,6 +38,9 @@
     incoming.on("error", (error) => {
       resolve({ kind: "broken", reason: error.message });
     });
-    incoming.on("close", () => resolve({ kind: "broken", reason: "closed" }));
+    incoming.on(
+      "close",
+      () => resolve({ kind: "broken", reason: "connection closed" }),
+    );
   });
 }
--- a/packages/router/src/request/routed_request.ts
+++ b/packages/router/src/request/routed_request.ts
@@ -25,16 +25,23 @@
   readonly service: Service;
   readonly workspace: Workspace | undefined;
   readonly version: number;
-  /** Rank among all kinds of requests; 0 is the most urgent. */
+  /**
+   * Rank by the tiers of the workspace and then of the route; 0 is the most
+   * urgent.
+   */
   readonly rank: number;
-  /** Rank by which an engine selects requests to preempt. */
+  /**
+   * Rank by which the runner's inference engine selects requests to preempt; 0
+   * is the most urgent. The route's tier counts before the workspace's.
+   */
   readonly preemptionRank: number;
-  /** Number of less urgent ranks. */
+  /** Number of ranks that are less urgent than `rank`. */
   readonly lessUrgentRanks: number;
 }
 
 /**
- * Finds the route, service and workspace of a request, or why it is refused.
+ * Returns the route of a request, one of the route's services, drawn by weight,
+ * and the workspace; or the refusal.
  */
 export function routeRequest(
   daemon: Daemon,
@@ -43,6 +50,7 @@
 ): RoutedRequest | Refusal {
   const table = daemon.routingTable();
   if (daemon.closed) {
+    // This daemon is shutting down.
     return { status: 503, code: "leaving", retryAfterMs: 0, close: true };
   }
   if (table === undefined) {
@@ -81,6 +89,10 @@
   };
 }
 
+/**
+ * Returns the workspace of the request's key, undefined if the request may be
+ * anonymous, or "unknown" if it must be refused.
+ */
 function authenticate(
   table: RoutingTable,
   route: Route,
--- a/packages/router/src/request/stream_relay.ts
+++ b/packages/router/src/request/stream_relay.ts
@@ -16,13 +16,17 @@
 
 /**
  * Relays the stream of one response, from one runner or from several in turn.
- * Events that the caller already has are dropped when a later runner repeats
- * them.
+ * Events whose id is not above that of the last event that the caller has are
+ * dropped, because a runner may repeat them when a stream is resumed. Events
+ * without an id are always relayed.
  */
 export class StreamRelay {
   readonly #body: StreamBody;
   readonly #dialect: Dialect;
-  /** Initially the last event that the caller states to have received. */
+  /**
+   * Id of the last event relayed; at first, the id of the last event that the
+   * caller says it has received.
+   */
   #lastEventId: number | undefined;
   #eventCount = 0;
 
@@ -38,12 +42,15 @@
     this.#lastEventId = options.lastEventId;
   }
 
-  /** Id of the last event relayed. */
+  /**
+   * Id of the last event that the caller has, relayed or stated by the caller;
+   * undefined if there is none.
+   */
   get lastEventId(): number | undefined {
     return this.#lastEventId;
   }
 
-  /** Number of events relayed. */
+  /** Number of events relayed from all runners, without the dropped ones. */
   get eventCount(): number {
     return this.#eventCount;
   }
@@ -51,12 +58,14 @@
   /**
    * Relays a runner's events until its response ends.
    *
-   * @param onEvent called before each event; writes the head at the first one.
+   * @param onEvent called for each event of the runner, before it is relayed or
+   * dropped; at the first one it must write the head of the caller's response.
    */
   relay(incoming: IncomingMessage, onEvent: () => void): Promise<StreamEnd> {
     const splitter = new EventSplitter();
     return new Promise((resolve) => {
-      const broken = (reason: string) => resolve({ kind: "broken", reason });
+      const resolveBroken = (reason: string) =>
+        resolve({ kind: "broken", reason });
       incoming.on("data", (chunk: Buffer) => {
         for (const event of splitter.push(chunk)) {
           onEvent();
@@ -64,15 +73,21 @@
         }
       });
       incoming.on("end", () => {
-        if (!incoming.complete) return broken("ended early");
-        if (splitter.pending) return broken("ended within an event");
+        if (!incoming.complete) return resolveBroken("incomplete response");
+        if (splitter.pending) return resolveBroken("ended within an event");
         resolve({ kind: "complete" });
       });
-      incoming.on("error", (error) => broken(error.message));
-      incoming.on("close", () => broken("closed"));
+      incoming.on("error", (error) => resolveBroken(error.message));
+      // Has no effect after "end" or "error".
+      incoming.on("close", () => resolveBroken("connection closed"));
     });
   }
 
+  /**
+   * Relays an event, or drops it if the caller has it.
+   *
+   * @returns false if the runner is to be paused until the caller has read more.
+   */
   #write(event: Buffer): boolean {
     const id = this.#dialect.eventId(event.toString("latin1"));
     if (id !== undefined) {
--- a/packages/router/src/version/routing_table.ts
+++ b/packages/router/src/version/routing_table.ts
@@ -127,7 +127,7 @@
     return this.#preemptions.filter((other) => other < urgency).length;
   }
 
-  /** Number of classes of requests that are less urgent than a rank. */
+  /** Returns the number of ranks that are less urgent than a rank. */
   lessUrgentRanks(rank: number): number {
     return this.#urgencies.length - 1 - rank;
   }
--- a/packages/router/tests/leader_test.ts
+++ b/packages/router/tests/leader_test.ts
@@ -20,8 +20,8 @@
 
 const LEASE_MS = 3_000;
 const TIMING = { windowMs: 5_000, delayMs: 10_000 };
-/** Time after the start until the leader makes its first calls, in ms. */
-const FIRST_CALL_MS = 6_000;
+/** Time after the start by which a daemon has become leader, in ms. */
+const ELECTION_MS = 6_000;
 
 /** The platform's API; tests set the result and the duration of calls. */
 class FakeApi implements PlatformApi {
@@ -54,26 +54,28 @@
   }
 }
 
-interface Daemon {
+/** The parts of a daemon that lead. */
+interface TestLeader {
   readonly leader: Leader;
   readonly lease: LeaderLease;
   readonly meter: UsageMeter;
 }
 
-/** Daemons that share a store and the platform's API. */
+/** Starts daemons that share a store and a fake of the platform's API. */
 class LeaderFixture {
   readonly clock: FakeClock;
   readonly store = new MemoryLeaderStore();
   readonly api = new FakeApi();
-  demand: ScalingPolicy | undefined;
+  /** Has to be set before {@linkcode start}. */
+  scalingPolicy: ScalingPolicy | undefined;
 
   constructor(t: TestContext) {
     this.clock = new FakeClock(t);
   }
 
-  start(name: string): Daemon {
-    const steady = () => performance.now();
-    const time = new FleetTime({ wall: steady, monotonic: steady });
+  start(name: string): TestLeader {
+    const monotonicNow = () => performance.now();
+    const time = new FleetTime({ wall: monotonicNow, monotonic: monotonicNow });
     const meter = new UsageMeter({
       incarnation: name,
       windowMs: TIMING.windowMs,
@@ -83,7 +85,7 @@
       store: this.store,
       own: { name, incarnation: name },
       leaseMs: LEASE_MS,
-      clock: { now: steady, monotonic: steady },
+      clock: { now: monotonicNow, monotonic: monotonicNow },
       log: SILENT_LOG,
     });
     const leader = new Leader({
@@ -92,11 +94,11 @@
       leaseMs: LEASE_MS,
       api: this.api,
       usage: { meter, timing: TIMING, complete: () => true },
-      scalingPolicy: this.demand,
+      scalingPolicy: this.scalingPolicy,
       eligible: () => true,
       leaseChanged() {},
       now: () => time.now(),
-      monotonic: steady,
+      monotonic: monotonicNow,
       random: Math.random,
       log: SILENT_LOG,
       metrics: { term() {}, usageWindow() {}, platformCall() {} },
@@ -106,10 +108,10 @@
   }
 }
 
-test("a report without a response is sent again with the same counts", async (t) => {
+test("a report is sent again with the same counts until it is accepted", async (t) => {
   const fixture = new LeaderFixture(t);
   const { meter } = fixture.start("a");
-  await fixture.clock.advance(FIRST_CALL_MS);
+  await fixture.clock.advance(ELECTION_MS);
   meter.countRequest("fitters");
   const { window } = meter;
   fixture.api.result = { kind: "failed", reason: "No response in time" };
@@ -137,26 +139,28 @@
 test("a leader that shuts down finishes its call before it releases the lease", async (t) => {
   const fixture = new LeaderFixture(t);
   const first = fixture.start("a");
-  await fixture.clock.advance(FIRST_CALL_MS);
+  await fixture.clock.advance(ELECTION_MS);
   fixture.api.responseMs = 800;
   while (fixture.api.calls.length === 0) await fixture.clock.advance(50);
-  const leaving = first.leader.stepDown();
+  const stepDown = first.leader.stepDown();
   await fixture.clock.advance(100);
+  // The holder's id is empty once the lease is released.
   assert.notEqual(fixture.store.record?.record.holding.holderId, "");
   await fixture.clock.advance(1_000);
-  await leaving;
+  await stepDown;
   assert.equal(fixture.store.record?.record.holding.holderId, "");
 });
 
-test("a leader stops while the store is unavailable, and resumes later", async (t) => {
+test("a leader makes no calls while the store is unavailable, and leads again later", async (t) => {
   const fixture = new LeaderFixture(t);
   const { lease, meter } = fixture.start("a");
-  await fixture.clock.advance(FIRST_CALL_MS);
+  await fixture.clock.advance(ELECTION_MS);
   assert.ok(lease.held);
   fixture.store.down = true;
   await fixture.clock.advance(LEASE_MS);
   assert.equal(lease.held, false);
   const before = fixture.api.calls.length;
+  // Meanwhile the report of a window, even of an empty one, falls due.
   await fixture.clock.advance(5_000);
   assert.equal(fixture.api.calls.length, before);
   fixture.store.down = false;
@@ -167,7 +171,7 @@
   assert.ok(fixture.api.calls.length > before);
 });
 
-test("orders are sent after they are stored, and only when they change", async (t) => {
+test("orders are stored and sent, and sent again when they change", async (t) => {
   const fixture = new LeaderFixture(t);
   const order = {
     service: "drafting",
@@ -176,9 +180,12 @@
     runners: 5,
   };
   let desired: readonly RunnerOrder[] = [order];
-  fixture.demand = { desiredOrders: () => desired, recordNoRunnersLeft() {} };
+  fixture.scalingPolicy = {
+    desiredOrders: () => desired,
+    recordNoRunnersLeft() {},
+  };
   fixture.start("a");
-  await fixture.clock.advance(FIRST_CALL_MS + 5_000);
+  await fixture.clock.advance(ELECTION_MS + 5_000);
   assert.deepEqual(fixture.api.orders, [order]);
   assert.deepEqual(fixture.store.record?.record.work.orders, [order]);
   desired = [{ ...order, runners: 7 }];
--- a/scripts/failures_reporter.mjs
+++ b/scripts/failures_reporter.mjs
@@ -1,5 +1,5 @@
-// A reporter for Node's test runner that writes one line of JSON for each test
-// that failed itself, not only because of a failed subtest.
+// A reporter for Node's test runner that writes one line of JSON for each failed
+// test, except those that failed only because a subtest did.
 export default async function* failures(events) {
   for await (const { type, data } of events) {
     if (type !== "test:fail") continue;
