--- a/packages/daemon/src/connection/caller_server.ts
+++ b/packages/daemon/src/connection/caller_server.ts
@@ -76,7 +76,7 @@
 
 /** Opens the server for callers. */
 export const openCallerServer = Effect.fnUntraced(function* (
-  at: ListenOptions,
+  listenAt: ListenOptions,
   options: { readonly limits: CallerLimits; readonly handler: CallerHandler },
 ) {
   const { limits, handler } = options;
@@ -121,7 +121,7 @@
     refuse(socket, connectionFault(error));
   });
   server.on("drop", () => handler.connectionDropped());
-  yield* listen(server, at);
+  yield* listen(server, listenAt);
   const opened: CallerServer = {
     address: addressOf(server),
     get connections() {
--- a/packages/daemon/src/connection/operator_server.ts
+++ b/packages/daemon/src/connection/operator_server.ts
@@ -155,7 +155,7 @@
 
 /** Opens the server for operators. */
 export const openOperatorServer = Effect.fnUntraced(function* (
-  at: ListenOptions & { readonly token: string },
+  listenAt: ListenOptions & { readonly token: string },
   resources: OperatorResources,
   options: { readonly postHandlers?: OperatorPostHandlers } = {},
 ) {
@@ -167,18 +167,19 @@
       noDelay: true,
     },
     (request, response) => {
-      handleRequest(request, { token: at.token, resources, postHandlers }).then(
-        (result) => send(response, result),
-        () =>
-          send(
-            response,
-            errorResponse(500, "internal", "Cannot answer: fault"),
-          ),
-      );
+      handleRequest(request, { token: listenAt.token, resources, postHandlers })
+        .then(
+          (result) => send(response, result),
+          () =>
+            send(
+              response,
+              errorResponse(500, "internal", "Cannot answer: fault"),
+            ),
+        );
     },
   );
   server.maxConnections = MAX_CONNECTIONS;
-  yield* listen(server, at);
+  yield* listen(server, listenAt);
   const opened: OperatorServer = {
     address: addressOf(server),
     close: () => {
--- a/packages/daemon/src/connection/runner_response.ts
+++ b/packages/daemon/src/connection/runner_response.ts
@@ -10,7 +10,7 @@
 
 /** No head of a response was received. */
 export interface NoResponse {
-  readonly _tag: "NoAnswer";
+  readonly _tag: "NoResponse";
   /**
    * Whether bytes of the request may have reached the runner. False only if no
    * connection was established.
@@ -22,7 +22,7 @@
 
 /** The response was interrupted before its end. */
 export interface ResponseInterrupted {
-  readonly _tag: "AnswerBroken";
+  readonly _tag: "ResponseInterrupted";
   readonly reason: "reset" | "silent";
 }
 
@@ -134,7 +134,7 @@
     }
     if (this.#ended) return ENDED;
     if (this.#failure === undefined) return undefined;
-    return Effect.fail({ _tag: "AnswerBroken", reason: this.#failure });
+    return Effect.fail({ _tag: "ResponseInterrupted", reason: this.#failure });
   }
 
   /** Restarts the response's single idle timer, to avoid a timer for each token. */
@@ -269,7 +269,7 @@
   #fail(reason: NoResponse["reason"], message: string): void {
     const mayHaveArrived = this.#connected;
     this.#settle(
-      Effect.fail({ _tag: "NoAnswer", mayHaveArrived, reason, message }),
+      Effect.fail({ _tag: "NoResponse", mayHaveArrived, reason, message }),
     );
   }
 
--- a/packages/daemon/src/connection/runner_response_test.ts
+++ b/packages/daemon/src/connection/runner_response_test.ts
@@ -32,7 +32,7 @@
   const second = await Effect.runPromise(answer.next(LONG_MS));
   const end = await Effect.runPromise(Effect.flip(answer.next(LONG_MS)));
   assert.deepEqual([String(first), String(second)], ["one", "two"]);
-  assert.deepEqual(end, { _tag: "AnswerBroken", reason: "reset" });
+  assert.deepEqual(end, { _tag: "ResponseInterrupted", reason: "reset" });
   server.close();
 });
 
--- a/packages/daemon/src/request/attempt.ts
+++ b/packages/daemon/src/request/attempt.ts
@@ -73,17 +73,17 @@
   /** Runs the attempt to its end. After an interruption, call `abandon`. */
   run(): Effect.Effect<AttemptResult> {
     return Effect.gen({ self: this }, function* () {
-      let end = yield* this.#send({});
+      let result = yield* this.#send({});
       let fruitless = 0;
-      while (end._tag === "Lost" && end.resumable) {
+      while (result._tag === "Lost" && result.resumable) {
         if (fruitless >= this.#services.settings.fruitlessResumes) break;
         const before = this.metrics.progress.tokens;
-        const resumed = yield* this.#resume(end);
+        const resumed = yield* this.#resume(result);
         if (resumed === undefined) break;
-        end = resumed;
+        result = resumed;
         fruitless = this.metrics.progress.tokens > before ? 0 : fruitless + 1;
       }
-      return end;
+      return result;
     });
   }
 
@@ -158,17 +158,17 @@
       if (crashPoints !== undefined) {
         yield* crashPoints.reached("answer.before_end");
       }
-      const end = yield* this.#relay(head.success, {
+      const result = yield* this.#relay(head.success, {
         attemptId,
         firstMs: limits.headMs,
       });
-      if (end._tag !== "Complete") head.success.destroy();
-      return end;
+      if (result._tag !== "Complete") head.success.destroy();
+      return result;
     });
   }
 
   /** Requests the rest of an interrupted stream; `undefined` if unavailable. */
-  #resume(end: Lost): Effect.Effect<AttemptResult | undefined> {
+  #resume(result: Lost): Effect.Effect<AttemptResult | undefined> {
     const { call, grant } = this.#input;
     return Effect.gen({ self: this }, function* () {
       const offset = this.metrics.progress.tokens;
@@ -177,7 +177,7 @@
         requestId: call.requestId,
         runner: grant.runner.name,
         offset,
-        cause: end.code,
+        cause: result.code,
         outcome: next._tag === "NotRun" ? "refused" : next._tag,
       });
       return next._tag === "NotRun" ? undefined : next;
@@ -199,7 +199,7 @@
     if (!failure.mayHaveArrived) {
       return notRun("runner_unreachable", "The runner cannot be reached");
     }
-    // After the deadline the rest of the stream is useless, so no resume follows.
+    // After the deadline a response is useless, so the send is not repeated.
     if (this.#isPastDeadline()) {
       return lost("deadline_passed", { outcome: "unknown", resumable: false });
     }
@@ -238,7 +238,7 @@
     if (this.#sendCount > 1) {
       return Effect.succeed(notRun("runner_refused", "The stream is not held"));
     }
-    return catchDisconnect(this.#relayWhole(response));
+    return catchDisconnect(this.#relayBufferedResponse(response));
   }
 
   #relayStream(
@@ -249,32 +249,32 @@
     const { clock, settings, connections } = this.#services;
     const progress = this.metrics.progress;
     return Effect.gen({ self: this }, function* () {
-      const end = yield* relayStream(response, {
+      const result = yield* relayStream(response, {
         reply,
         settings,
         clock,
         progress,
         firstMs,
       });
-      if (end._tag === "Whole") {
+      if (result._tag === "Complete") {
         return { _tag: "Complete", status: response.status } as const;
       }
       const outcome = "failed";
-      if (end.reason === "silent") {
+      if (result.reason === "silent") {
         connections.dropIdle(this.#input.grant.runner);
         const resumable = this.#isResumable();
         return lost("runner_silent", { outcome, resumable });
       }
-      const code = end.reason === "engine-error"
+      const code = result.reason === "engine-error"
         ? "runner_failed"
         : "answer_broken";
       const resumable = this.#isResumable() &&
-        (end.reason === "reset" || end.reason === "no-end-mark");
+        (result.reason === "reset" || result.reason === "no-end-mark");
       return lost(code, { outcome, resumable });
     });
   }
 
-  #relayWhole(
+  #relayBufferedResponse(
     response: RunnerResponse,
   ): Effect.Effect<AttemptResult, CallerGone> {
     const { call, reply } = this.#input;
@@ -286,12 +286,14 @@
       if (call.model !== undefined && response.status >= 500) {
         return lost("runner_failed", { outcome: "failed", resumable: false });
       }
-      const end = yield* relayBuffered(response, { call, reply, settings });
-      if (end._tag === "Whole") {
-        this.metrics.usage = end.usage;
+      const result = yield* relayBuffered(response, { call, reply, settings });
+      if (result._tag === "Complete") {
+        this.metrics.usage = result.usage;
         return { _tag: "Complete", status: response.status } as const;
       }
-      const code = end.reason === "silent" ? "runner_silent" : "answer_broken";
+      const code = result.reason === "silent"
+        ? "runner_silent"
+        : "answer_broken";
       return lost(code, { outcome: "failed", resumable: false });
     });
   }
--- a/packages/daemon/src/request/buffered_relay.ts
+++ b/packages/daemon/src/request/buffered_relay.ts
@@ -15,8 +15,11 @@
 
 /** How the relay of a non-streamed response ended. */
 export type BufferedResult =
-  | { readonly _tag: "Whole"; readonly usage: Usage }
-  | { readonly _tag: "Cut"; readonly reason: "reset" | "silent" | "no-end" };
+  | { readonly _tag: "Complete"; readonly usage: Usage }
+  | {
+    readonly _tag: "Truncated";
+    readonly reason: "reset" | "silent" | "no-end";
+  };
 
 /** Collaborators and limits of the relay. */
 export interface BufferedRelayContext {
@@ -45,7 +48,7 @@
     if (!ended) return yield* passThrough(response, pieces, context);
     const body = Buffer.concat(pieces);
     const verdict = checkComplete(response, body, context.call);
-    if (verdict._tag === "Cut") return verdict;
+    if (verdict._tag === "Truncated") return verdict;
     context.reply.writeHead(headWithLength(response, body, context.call));
     if (body.length > 0) yield* context.reply.write(body);
     context.reply.end();
@@ -93,7 +96,7 @@
       yield* reply.write(next.success);
     }
     reply.end();
-    return { _tag: "Whole", usage: NO_USAGE };
+    return { _tag: "Complete", usage: NO_USAGE };
   });
 }
 
@@ -145,9 +148,9 @@
 }
 
 function complete(usage: Usage): BufferedResult {
-  return { _tag: "Whole", usage };
+  return { _tag: "Complete", usage };
 }
 
 function truncated(reason: "reset" | "silent" | "no-end"): BufferedResult {
-  return { _tag: "Cut", reason };
+  return { _tag: "Truncated", reason };
 }
--- a/packages/daemon/src/request/call_state.ts
+++ b/packages/daemon/src/request/call_state.ts
@@ -34,7 +34,7 @@
   askCount: number;
   excluded: readonly string[];
   /** Result of the previous attempt; `undefined` before the first retry. */
-  last: NotRun | Lost | undefined;
+  lastResult: NotRun | Lost | undefined;
 }
 
 /** Builds the next ask of the call, with its own id, and counts it. */
--- a/packages/daemon/src/request/caller_requests.ts
+++ b/packages/daemon/src/request/caller_requests.ts
@@ -31,7 +31,7 @@
   callEnded(
     call: Call,
     options: {
-      readonly ending: CallResult;
+      readonly result: CallResult;
       /** Epoch milliseconds of the response's head; undefined without one. */
       readonly headersSentAt: number | undefined;
     },
@@ -60,14 +60,14 @@
 }
 
 /** Builds the log fields of a call's result. */
-function resultFields(ending: CallResult) {
-  if (ending._tag === "Complete") {
-    return { outcome: "complete", status: ending.status };
+function resultFields(result: CallResult) {
+  if (result._tag === "Complete") {
+    return { outcome: "complete", status: result.status };
   }
-  if (ending._tag === "CallerLeft") {
-    return { outcome: "caller-left", reason: ending.reason };
+  if (result._tag === "CallerLeft") {
+    return { outcome: "caller-left", reason: result.reason };
   }
-  const { outcome, code, status } = ending.problem;
+  const { outcome, code, status } = result.problem;
   return { outcome, code, status };
 }
 
@@ -168,17 +168,17 @@
         return reply.sendJson(modelList(admission.table.table));
       }
       const call = yield* fromResult(buildCall(admission, body));
-      const ending = yield* runner.run(call, reply).pipe(
+      const result = yield* runner.run(call, reply).pipe(
         Effect.onInterrupt(() =>
           Effect.sync(() =>
             this.#recordResult(call, {
-              ending: this.#interruptionResult(reply),
+              result: this.#interruptionResult(reply),
               reply,
             })
           )
         ),
       );
-      this.#recordResult(call, { ending, reply });
+      this.#recordResult(call, { result, reply });
     }).pipe(
       Effect.catch((problem) =>
         Effect.sync(() => this.#refuse(arrival, { reply, problem }))
@@ -188,14 +188,14 @@
 
   #recordResult(
     call: Call,
-    { ending, reply }: {
-      readonly ending: CallResult;
+    { result, reply }: {
+      readonly result: CallResult;
       readonly reply: HttpReply;
     },
   ): void {
     const { headersSentAt } = reply;
     this.#dependencies.observer.callEnded(call, {
-      ending,
+      result,
       headersSentAt,
     });
     this.#dependencies.log.event("request_ended", {
@@ -203,7 +203,7 @@
       workspace: call.workspace,
       class: call.class,
       service: call.service,
-      ...resultFields(ending),
+      ...resultFields(result),
       answerMs: headersSentAt === undefined
         ? undefined
         : headersSentAt - call.arrivedAt,
--- a/packages/daemon/src/request/event_scanner.ts
+++ b/packages/daemon/src/request/event_scanner.ts
@@ -47,7 +47,7 @@
    * @returns the original bytes of the events that are now complete; bytes after
    * the last complete event are kept for the next call.
    */
-  push(chunk: Buffer): Buffer {
+  scan(chunk: Buffer): Buffer {
     if (this.done || this.failed) return EMPTY;
     const bytes = this.#remainder.length === 0
       ? chunk
--- a/packages/daemon/src/request/event_scanner_test.ts
+++ b/packages/daemon/src/request/event_scanner_test.ts
@@ -11,7 +11,7 @@
 function scan(pieces: readonly string[]) {
   const scanner = new EventScanner();
   const passed = pieces.map((piece) =>
-    scanner.push(Buffer.from(piece)).toString("utf8")
+    scanner.scan(Buffer.from(piece)).toString("utf8")
   );
   return { scanner, passed };
 }
@@ -66,6 +66,6 @@
 
 test("an incomplete event longer than the limit marks the stream as oversized", () => {
   const scanner = new EventScanner();
-  scanner.push(Buffer.alloc(MAX_EVENT_BYTES + 1, 0x61));
+  scanner.scan(Buffer.alloc(MAX_EVENT_BYTES + 1, 0x61));
   assert.equal(scanner.oversized, true);
 });
--- a/packages/daemon/src/request/idempotent_call_runner.ts
+++ b/packages/daemon/src/request/idempotent_call_runner.ts
@@ -65,16 +65,16 @@
     }
     return Effect.uninterruptibleMask((restore) =>
       Effect.gen({ self: this }, function* () {
-        const claimant = new CallClaim(call, this.#services);
-        const first = yield* Effect.exit(restore(claimant.claim()));
+        const claim = new CallClaim(call, this.#services);
+        const first = yield* Effect.exit(restore(claim.claim()));
         if (Exit.isFailure(first)) {
-          const denied = Exit.findErrorOption(first);
-          if (denied._tag === "None") return yield* Effect.interrupt;
-          return yield* restore(denied.value.respond(reply));
+          const denial = Exit.findErrorOption(first);
+          if (denial._tag === "None") return yield* Effect.interrupt;
+          return yield* restore(denial.value.respond(reply));
         }
         const recorder = new RecordingReply(reply);
         const run = this.#runner.runGuarded(call, recorder, {
-          permit: claimant.ensureFresh(),
+          permit: claim.ensureFresh(),
         });
         const exit = yield* Effect.exit(run);
         const settlement = settlementOf(exit, recorder);
@@ -82,7 +82,7 @@
         if (crashPoints !== undefined) {
           yield* crashPoints.reached("answer.after_end");
         }
-        yield* claimant.settle(settlement);
+        yield* claim.settle(settlement);
         return yield* exit;
       })
     );
@@ -103,10 +103,10 @@
   }
 
   claim(): Effect.Effect<void, Denial> {
-    const asked = this.#services.claims.claim(keyOf(this.#call), {
+    const claimed = this.#services.claims.claim(keyOf(this.#call), {
       digest: this.#digest,
     });
-    return Effect.matchEffect(asked, {
+    return Effect.matchEffect(claimed, {
       onFailure: (unavailable) => {
         const { reason, detail } = unavailable;
         this.#logDecision("unavailable", { reason, detail });
@@ -180,8 +180,8 @@
 }
 
 /**
- * What is recorded of a call's end. Interruption strikes such a call only
- * before its send: afterwards it runs to its end.
+ * Builds the settlement of a call's claim. Such a call can be interrupted only
+ * before its send; afterwards it runs to its end.
  */
 function settlementOf(
   exit: Exit.Exit<CallResult>,
@@ -192,15 +192,15 @@
       ? { _tag: "NotRun" }
       : { _tag: "MayHaveRun" };
   }
-  const ending = exit.value;
-  if (ending._tag === "Complete") {
+  const result = exit.value;
+  if (result._tag === "Complete") {
     const answer = recorder.recording;
     return answer === undefined
       ? { _tag: "Answered" }
       : { _tag: "Answered", answer };
   }
-  const notRun = ending._tag === "Ended" &&
-    ending.problem.outcome === "not-run";
+  const notRun = result._tag === "Ended" &&
+    result.problem.outcome === "not-run";
   return { _tag: notRun ? "NotRun" : "MayHaveRun" };
 }
 
--- a/packages/daemon/src/request/request_metrics.ts
+++ b/packages/daemon/src/request/request_metrics.ts
@@ -7,10 +7,10 @@
 import type { Call, CallResult, Problem } from "./call.ts";
 import type { RequestObserver } from "./caller_requests.ts";
 
-function outcomeOf(ending: CallResult): string {
-  if (ending._tag === "Complete") return "complete";
-  if (ending._tag === "CallerLeft") return "caller-left";
-  return ending.problem.outcome;
+function outcomeOf(result: CallResult): string {
+  if (result._tag === "Complete") return "complete";
+  if (result._tag === "CallerLeft") return "caller-left";
+  return result.problem.outcome;
 }
 
 /** Reports results, refusals and dropped connections to the metrics. */
@@ -24,15 +24,15 @@
   callEnded(
     call: Call,
     options: {
-      readonly ending: CallResult;
+      readonly result: CallResult;
       readonly headersSentAt: number | undefined;
     },
   ): void {
-    const { headersSentAt, ending } = options;
+    const { headersSentAt, result } = options;
     this.#metrics.requestEnded({
       class: call.class,
       service: call.service,
-      outcome: outcomeOf(ending),
+      outcome: outcomeOf(result),
       durationMs: Date.now() - call.arrivedAt,
       ...(headersSentAt === undefined
         ? {}
--- a/packages/daemon/src/request/retrying_call_runner.ts
+++ b/packages/daemon/src/request/retrying_call_runner.ts
@@ -85,19 +85,19 @@
           if (failure._tag === "Denial") return yield* failure.respond(reply);
           return endWithProblem(state, problemOfFailure(state, failure));
         }
-        const end = step.success;
-        if (end._tag === "Complete") {
+        const result = step.success;
+        if (result._tag === "Complete") {
           this.#services.retryBudget.recordSuccess();
-          return end;
+          return result;
         }
-        if (end._tag === "CallerLeft") return end;
-        const verdict = this.#decideRetry(state, end);
+        if (result._tag === "CallerLeft") return result;
+        const verdict = this.#decideRetry(state, result);
         if (verdict !== "retry") {
           const withheld = verdict === "budget_spent";
-          const problem = problemOf(end, state.outcome, { withheld });
+          const problem = problemOf(result, state.outcome, { withheld });
           return endWithProblem(state, problem);
         }
-        state.last = end;
+        state.lastResult = result;
       }
     });
   }
@@ -117,7 +117,7 @@
       attempts: 0,
       askCount: 0,
       excluded: [],
-      last: undefined,
+      lastResult: undefined,
     };
   }
 
@@ -153,9 +153,9 @@
           ? Effect.interruptible(attempt.run())
           : attempt.run();
         const exit = yield* Effect.exit(run);
-        const end = Exit.isSuccess(exit) ? exit.value : undefined;
-        if (end?._tag !== "Complete") attempt.abandon();
-        const settlement = settlementOf(attempt, end);
+        const result = Exit.isSuccess(exit) ? exit.value : undefined;
+        if (result?._tag !== "Complete") attempt.abandon();
+        const settlement = settlementOf(attempt, result);
         if (crashPoints !== undefined) {
           yield* crashPoints.reached("release.before");
         }
@@ -163,7 +163,7 @@
         if (crashPoints !== undefined) {
           yield* crashPoints.reached("release.after");
         }
-        this.#recordAttempt(state, grant, { end, settlement });
+        this.#recordAttempt(state, grant, { result, settlement });
         return yield* exit;
       }),
     );
@@ -174,53 +174,53 @@
     state: CallState,
     grant: Grant,
     how: {
-      readonly end: AttemptResult | undefined;
+      readonly result: AttemptResult | undefined;
       readonly settlement: Settlement;
     },
   ): void {
     const { call } = state;
-    const { end, settlement } = how;
+    const { result, settlement } = how;
     this.#services.log.decision("attempt_ended", {
       requestId: call.requestId,
       attempt: state.askCount,
       runner: grant.runner.name,
       outcome: settlement.outcome,
-      code: end !== undefined && "code" in end ? end.code : undefined,
+      code: result !== undefined && "code" in result ? result.code : undefined,
       outputTokens: settlement.outputTokens,
       firstTokenMs: settlement.firstTokenMs,
     });
-    if (end?._tag === "Lost") {
-      state.outcome = leastCertain(state.outcome, end.outcome);
+    if (result?._tag === "Lost") {
+      state.outcome = leastCertain(state.outcome, result.outcome);
     }
-    if (end?._tag === "NotRun" && end.code === "grant_expired") return;
+    if (result?._tag === "NotRun" && result.code === "grant_expired") return;
     state.attempts += 1;
     state.excluded = [...state.excluded, grant.runner.name];
   }
 
   /** Decides whether a call is retried at another runner, and logs the reason. */
-  #decideRetry(state: CallState, end: NotRun | Lost): RetryDecision {
-    const verdict = this.#evaluateRetry(state, end);
+  #decideRetry(state: CallState, result: NotRun | Lost): RetryDecision {
+    const verdict = this.#evaluateRetry(state, result);
     this.#services.log.decision("retry_decided", {
       requestId: state.call.requestId,
       verdict,
-      cause: end.code,
+      cause: result.code,
       attempts: state.attempts,
     });
     return verdict;
   }
 
-  #evaluateRetry(state: CallState, end: NotRun | Lost): RetryDecision {
+  #evaluateRetry(state: CallState, result: NotRun | Lost): RetryDecision {
     const { call, reply } = state;
     const { clock, settings, retryBudget } = this.#services;
     if (reply.headersSent) return "already_begun";
-    if (end._tag === "Lost" && !call.repeatable) return "not_repeatable";
+    if (result._tag === "Lost" && !call.repeatable) return "not_repeatable";
     if (isPast(clock.monotonic(), state.deadlineAt)) {
       return "deadline_passed";
     }
     if (state.attempts >= settings.attempts) return "attempts_spent";
     const unused = state.askCount - state.attempts;
     if (unused >= MAX_UNUSED_GRANTS) return "grants_unused";
-    if (end.code === "grant_expired") return "retry";
+    if (result.code === "grant_expired") return "retry";
     if (!retryBudget.take()) return "budget_spent";
     return "retry";
   }
@@ -231,11 +231,11 @@
  * attempt, which tells the caller more than the lack of another runner.
  */
 function problemOfFailure(state: CallState, refusal: Refusal): Problem {
-  const { last, outcome } = state;
-  if (last === undefined || refusal.code !== "no_runner") {
+  const { lastResult, outcome } = state;
+  if (lastResult === undefined || refusal.code !== "no_runner") {
     return problemOfRefusal(refusal, outcome);
   }
-  return problemOf(last, outcome);
+  return problemOf(lastResult, outcome);
 }
 
 /** Aborts the response if its headers have been sent, else sends the problem. */
--- a/packages/daemon/src/request/stream_relay.ts
+++ b/packages/daemon/src/request/stream_relay.ts
@@ -35,9 +35,9 @@
 
 /** How the relay of a stream ended. */
 export type StreamResult =
-  | { readonly _tag: "Whole" }
+  | { readonly _tag: "Complete" }
   | {
-    readonly _tag: "Cut";
+    readonly _tag: "Truncated";
     readonly reason:
       | "reset"
       | "silent"
@@ -86,7 +86,7 @@
     yield* reply.write(DONE_EVENT);
     reply.end();
     yield* Effect.ignore(response.next(TRAILER_TIMEOUT_MS));
-    return { _tag: "Whole" };
+    return { _tag: "Complete" };
   });
 }
 
@@ -103,7 +103,7 @@
   const { reply, clock, progress } = context;
   return (piece) => {
     const before = scanner.tokens;
-    const events = scanner.push(piece);
+    const events = scanner.scan(piece);
     const goesOn = !scanner.done && !scanner.failed && !scanner.oversized;
     if (events.length === 0) return goesOn;
     recordTokens(progress, scanner, scanner.tokens - before);
@@ -116,9 +116,9 @@
 }
 
 function truncated(
-  reason: Extract<StreamResult, { readonly _tag: "Cut" }>["reason"],
+  reason: Extract<StreamResult, { readonly _tag: "Truncated" }>["reason"],
 ): StreamResult {
-  return { _tag: "Cut", reason };
+  return { _tag: "Truncated", reason };
 }
 
 function recordTokens(
