--- a/packages/table/src/change.ts
+++ b/packages/table/src/change.ts
@@ -19,18 +19,18 @@
 /** Any entry of the table. */
 export type Entry = SectionEntries[Section];
 
-/** One entry that differs. */
+/** One entry that differs between two tables. */
 export interface Change {
   readonly section: Section;
   /** Name of the entry; `workspace/class` for a row. */
   readonly key: string;
-  /** Absent when the entry is added. */
+  /** Absent if the entry is added. */
   readonly before?: Entry;
-  /** Absent when the entry is removed. */
+  /** Absent if the entry is removed. */
   readonly after?: Entry;
 }
 
-/** The sections in the order in which they are shown. */
+/** All sections, in display order. */
 export const SECTIONS: readonly Section[] = [
   "classes",
   "workspaces",
@@ -38,25 +38,25 @@
   "services",
 ];
 
-/** The key of an entry, unique within its section. */
+/** Returns the key of an entry, which is unique within its section. */
 export function keyOf(section: Section, entry: Entry): string {
   if (section !== "rows") return (entry as Class).name;
   const row = entry as Row;
   return `${row.workspace}/${row.class}`;
 }
 
-/** Whether two entries say the same, whatever the order of their fields. */
+/** Whether two entries are equal, regardless of the order of their fields. */
 export function entriesEqual(
-  one: Entry | undefined,
-  other: Entry | undefined,
+  left: Entry | undefined,
+  right: Entry | undefined,
 ): boolean {
-  if (one === undefined || other === undefined) return one === other;
-  return canonical(one) === canonical(other);
+  if (left === undefined || right === undefined) return left === right;
+  return canonicalJson(left) === canonicalJson(right);
 }
 
 /**
- * What must change in `before` to give `after`. The order of entries is not a
- * difference.
+ * Returns the changes that turn `before` into `after`, ignoring the order of
+ * entries.
  *
  * @example
  * ```ts
@@ -74,11 +74,16 @@
   before: Table,
   after: Table,
 ): readonly Change[] {
-  const old = entriesByKey(section, before);
-  const young = entriesByKey(section, after);
+  const oldEntries = entriesByKey(section, before);
+  const newEntries = entriesByKey(section, after);
   const changes: Change[] = [];
-  for (const key of new Set([...old.keys(), ...young.keys()])) {
-    const change = changeOf(section, key, old.get(key), young.get(key));
+  for (const key of new Set([...oldEntries.keys(), ...newEntries.keys()])) {
+    const change = changeOf(
+      section,
+      key,
+      oldEntries.get(key),
+      newEntries.get(key),
+    );
     if (change !== undefined) changes.push(change);
   }
   return changes;
@@ -99,7 +104,7 @@
   };
 }
 
-/** The entries of a section by key, in their order. */
+/** Returns the entries of a section by key, in the order of the table. */
 export function entriesByKey(
   section: Section,
   table: Table,
@@ -108,13 +113,15 @@
   return new Map(entries.map((entry) => [keyOf(section, entry), entry]));
 }
 
-function canonical(value: unknown): string {
-  return JSON.stringify(value, (_key, part) => {
-    if (typeof part !== "object" || part === null || Array.isArray(part)) {
-      return part;
+function canonicalJson(value: unknown): string {
+  return JSON.stringify(value, (_key, member) => {
+    if (
+      typeof member !== "object" || member === null || Array.isArray(member)
+    ) {
+      return member;
     }
     return Object.fromEntries(
-      Object.entries(part).sort(([one], [other]) => one < other ? -1 : 1),
+      Object.entries(member).sort(([left], [right]) => left < right ? -1 : 1),
     );
   });
 }
--- a/packages/table/src/csv_columns.ts
+++ b/packages/table/src/csv_columns.ts
@@ -5,10 +5,10 @@
  */
 import type { Row } from "./table.ts";
 
-/** A column, named as the field of a row. */
+/** A column, which has the name of a row's field. */
 export type Column = keyof Row;
 
-/** The columns in the order in which they are written. */
+/** The columns in the order of a written file. */
 export const COLUMNS: readonly Column[] = [
   "workspace",
   "class",
@@ -18,7 +18,7 @@
   "inFlight",
 ];
 
-/** Columns that hold text; the others hold numbers. */
+/** Columns that contain text; the others contain numbers. */
 export const TEXT_COLUMNS: ReadonlySet<Column> = new Set([
   "workspace",
   "class",
--- a/packages/table/src/csv_read.ts
+++ b/packages/table/src/csv_read.ts
@@ -1,5 +1,5 @@
 /**
- * Rows read from CSV, as a spreadsheet saves it.
+ * Import of the table's rows from CSV as saved by a spreadsheet.
  *
  * @module
  */
@@ -12,33 +12,33 @@
 import { parseTable } from "./parse.ts";
 import type { Row, Table } from "./table.ts";
 
-/** Bounds the work for one file; a table at the planned size has 0.2 MB. */
+/** Bounds the work for one file; a table of the planned size takes 0.2 MB. */
 export const MAX_CSV_BYTES = 4_000_000;
 
-/** Delimiters in use, by locale of the spreadsheet. */
+/** Supported delimiters; which one a spreadsheet uses depends on its locale. */
 const DELIMITERS = [",", ";", "\t"];
 const NUMBER = /^\d+(\.\d+)?([eE][+-]?\d+)?$/;
 const DECIMAL_COMMA = /^\d+,\d+$/;
 
-/** A record of the file with its row number as a spreadsheet shows it. */
+/** A record of the file, with its row number in the spreadsheet. */
 interface CsvRecord {
   readonly row: number;
   readonly cells: readonly string[];
 }
 
-/** A row as read, with its row number. */
+/** A parsed row, with its row number in the spreadsheet. */
 interface NumberedRow {
   readonly row: number;
   readonly value: Row;
 }
 
 /**
- * Replaces the table's rows by those of a CSV file and validates the whole.
- * Findings carry the row and column as a spreadsheet shows them.
+ * Replaces the table's rows with those of a CSV file and validates the result.
+ * The places of findings are rows and columns as a spreadsheet shows them.
  *
- * All columns are needed, in any order: a file without the column of a limit
- * would otherwise lift that limit everywhere. Numbers are written with a
- * decimal point; a decimal comma is refused, since "1,500" may mean either.
+ * All columns are required, in any order: otherwise a file without the column of
+ * a limit would remove that limit from every row. Numbers have a decimal point; a
+ * decimal comma is rejected, since "1,500" is ambiguous.
  *
  * @example
  * ```ts
@@ -52,44 +52,44 @@
   table: Table,
   csv: string,
 ): Result<Table, readonly Finding[]> {
-  return rowsFromCsv(csv).andThen((numbered) => {
+  return parseRows(csv).andThen((numbered) => {
     const rows = numbered.map(({ value }) => value);
     return parseTable({ ...table, rows }).mapErr((findings) =>
-      findings.map((finding) => inSpreadsheet(finding, numbered))
+      findings.map((finding) => withSpreadsheetPlace(finding, numbered))
     );
   });
 }
 
-function rowsFromCsv(
+function parseRows(
   csv: string,
 ): Result<readonly NumberedRow[], readonly Finding[]> {
-  return recordsOf(csv).andThen(([header, ...records]) => {
+  return splitRecords(csv).andThen(([header, ...records]) => {
     if (header === undefined) {
       return err([{ place: "row 1", message: "Expected a header" }]);
     }
     const columns = header.cells.map((cell) => cell.trim());
     const findings = headerFindings(columns);
     if (findings.length > 0) return err(findings);
-    return readAll(records, columns as Column[]);
+    return parseRecords(records, columns as Column[]);
   });
 }
 
-function readAll(
+function parseRecords(
   records: readonly CsvRecord[],
   columns: readonly Column[],
 ): Result<readonly NumberedRow[], readonly Finding[]> {
   const rows: NumberedRow[] = [];
   const findings: Finding[] = [];
   for (const record of records) {
-    readRecord(record, columns).match(
+    parseRecord(record, columns).match(
       (row) => rows.push(row),
-      (found) => findings.push(...found),
+      (rowFindings) => findings.push(...rowFindings),
     );
   }
   return findings.length === 0 ? ok(rows) : err(findings);
 }
 
-function recordsOf(
+function splitRecords(
   csv: string,
 ): Result<readonly CsvRecord[], readonly Finding[]> {
   if (Buffer.byteLength(csv) > MAX_CSV_BYTES) {
@@ -101,13 +101,13 @@
   try {
     const records = parse(csv, {
       bom: true,
-      delimiter: delimiterOf(csv),
+      delimiter: detectDelimiter(csv),
       relax_column_count: true,
     });
     return ok(
       records
-        .map((cells, at) => ({ row: at + 1, cells }))
-        // Spreadsheets keep cleared lines as lines of empty cells.
+        .map((cells, index) => ({ row: index + 1, cells }))
+        // Spreadsheets save cleared rows as lines of empty cells.
         .filter(({ cells }) => cells.some((cell) => cell.trim() !== "")),
     );
   } catch (error) {
@@ -116,8 +116,8 @@
   }
 }
 
-/** The delimiter that occurs most in the first line. */
-function delimiterOf(csv: string): string {
+/** Returns the delimiter that occurs most often in the first line. */
+function detectDelimiter(csv: string): string {
   const [header = ""] = csv.split(/\r?\n/, 1);
   const counts = DELIMITERS.map((delimiter) => header.split(delimiter).length);
   return DELIMITERS[counts.indexOf(Math.max(...counts))] ?? ",";
@@ -127,15 +127,17 @@
   const known: readonly string[] = COLUMNS;
   const missing = known.filter((column) => !columns.includes(column));
   const unknown = columns.filter((column) => !known.includes(column));
-  const twice = columns.filter((column, at) => columns.indexOf(column) !== at);
+  const duplicate = columns.filter((column, index) =>
+    columns.indexOf(column) !== index
+  );
   return [
     ...missing.map((column) => `Missing column "${column}"`),
     ...unknown.map((column) => `Unknown column "${column}"`),
-    ...twice.map((column) => `Duplicate column "${column}"`),
+    ...duplicate.map((column) => `Duplicate column "${column}"`),
   ].map((message) => ({ place: "row 1", message }));
 }
 
-function readRecord(
+function parseRecord(
   { row, cells }: CsvRecord,
   columns: readonly Column[],
 ): Result<NumberedRow, readonly Finding[]> {
@@ -148,19 +150,19 @@
   }
   const findings: Finding[] = [];
   const value: Partial<Record<Column, string | number>> = {};
-  for (const [at, column] of columns.entries()) {
-    readCell(cells[at] ?? "", column).match(
+  for (const [index, column] of columns.entries()) {
+    parseCell(cells[index] ?? "", column).match(
       (cell) => {
         if (cell !== undefined) value[column] = cell;
       },
-      (message) => findings.push({ place: placeOf(row, column), message }),
+      (message) => findings.push({ place: cellPlace(row, column), message }),
     );
   }
   if (findings.length > 0) return err(findings);
   return ok({ row, value: value as unknown as Row });
 }
 
-function readCell(
+function parseCell(
   cell: string,
   column: Column,
 ): Result<string | number | undefined, string> {
@@ -185,27 +187,27 @@
 
 const ROW_POINTER = /^\/rows\/(\d+)(?:\/(\w+))?$/;
 
-function inSpreadsheet(
+function withSpreadsheetPlace(
   finding: Finding,
   rows: readonly NumberedRow[],
 ): Finding {
   return {
-    place: shownPlace(finding.place, rows),
-    // A duplicate row names the place of the first one.
+    place: spreadsheetPlace(finding.place, rows),
+    // The message on a duplicate row ends with the place of the first one.
     message: finding.message.replace(
       /\/rows\/\d+$/,
-      (place) => shownPlace(place, rows),
+      (place) => spreadsheetPlace(place, rows),
     ),
   };
 }
 
-function shownPlace(place: string, rows: readonly NumberedRow[]): string {
+function spreadsheetPlace(place: string, rows: readonly NumberedRow[]): string {
   const match = ROW_POINTER.exec(place);
   const row = rows[Number(match?.[1])]?.row;
   if (match === null || row === undefined) return place;
-  return match[2] === undefined ? `row ${row}` : placeOf(row, match[2]);
+  return match[2] === undefined ? `row ${row}` : cellPlace(row, match[2]);
 }
 
-function placeOf(row: number, column: string): string {
+function cellPlace(row: number, column: string): string {
   return `row ${row}, column "${column}"`;
 }
--- a/packages/table/src/csv_test.ts
+++ b/packages/table/src/csv_test.ts
@@ -27,7 +27,7 @@
   );
 });
 
-test("any rows survive the way through CSV", () => {
+test("any rows survive a round trip through CSV", () => {
   const positive = fc.double({ min: 1e-6, max: 1e9, noNaN: true });
   const limits = fc.record({
     weight: positive,
@@ -36,15 +36,15 @@
     inFlight: fc.integer({ min: 1, max: 1e6 }),
   }, { requiredKeys: ["weight"] });
   fc.assert(
-    fc.property(limits, limits, (one, other) => {
-      const rows = [rowOf(one), rowOf({ ...other, workspace: "fitters" })];
+    fc.property(limits, limits, (first, second) => {
+      const rows = [rowOf(first), rowOf({ ...second, workspace: "fitters" })];
       assert.deepEqual(rowsOf(rowsToCsv(rows)), rows);
     }),
     { seed: 20261, numRuns: 200 },
   );
 });
 
-test("a cell that begins like a formula is written so that none runs", () => {
+test("a cell that starts like a formula is escaped, so that it does not run", () => {
   const csv = rowsToCsv([rowOf({ workspace: '=HYPERLINK("http://x")' })]);
   assert.match(csv, /"'=HYPERLINK/);
 });
@@ -59,13 +59,13 @@
   );
 });
 
-test("cleared lines are passed over and do not shift row numbers", () => {
+test("cleared lines are skipped and do not shift row numbers", () => {
   assert.deepEqual(findingsOf(HEADER, ",,,,,", "office,quote,x,,,"), [
     'row 3, column "weight": Expected a number, got "x"',
   ]);
 });
 
-test("decimal commas are refused with what to write", () => {
+test("a decimal comma is rejected with a suggested correction", () => {
   assert.deepEqual(
     findingsOf(
       HEADER.replaceAll(",", ";"),
@@ -97,7 +97,7 @@
   );
 });
 
-test("findings of the whole table are placed in the file", () => {
+test("findings of table validation have their row and column in the file", () => {
   assert.deepEqual(
     findingsOf(
       HEADER,
@@ -124,7 +124,7 @@
   );
 });
 
-test("a missing column is refused, since its limits would be lifted", () => {
+test("a missing column is rejected, since its limits would be removed", () => {
   assert.deepEqual(findingsOf("workspace,class,weight,colour", "a,b,1,red"), [
     'row 1: Missing column "requestsPerSecond"',
     'row 1: Missing column "tokensPerSecond"',
--- a/packages/table/src/csv_write.ts
+++ b/packages/table/src/csv_write.ts
@@ -1,5 +1,5 @@
 /**
- * The table's rows as CSV, for a spreadsheet.
+ * Export of the table's rows as CSV for spreadsheets.
  *
  * @module
  */
@@ -8,12 +8,13 @@
 import type { Row } from "./table.ts";
 
 /**
- * Writes rows as CSV: UTF-8 with a byte order mark and CRLF line ends, without
- * which spreadsheets misread names; every cell of text quoted; no limit is an
- * empty cell.
+ * Formats rows as CSV. The byte order mark, for UTF-8, and CRLF line ends keep
+ * spreadsheets from misreading names. Every text cell is quoted; an absent limit
+ * is an empty cell.
  *
- * A cell that begins like a formula gets a leading apostrophe. Names of a valid
- * table cannot begin so, but a spreadsheet would run what a faulty one holds.
+ * A cell that starts like a formula gets a leading apostrophe. Names in a valid
+ * table cannot start like that, but a spreadsheet would execute a formula from an
+ * invalid table.
  *
  * @example
  * ```ts
--- a/packages/table/src/decode.ts
+++ b/packages/table/src/decode.ts
@@ -1,5 +1,5 @@
 /**
- * The adapter from schemas to results with findings.
+ * Adapter from Effect schemas to results with findings.
  *
  * @internal
  * @module
@@ -15,7 +15,7 @@
 
 const format = SchemaIssue.makeFormatterStandardSchemaV1();
 
-/** A function that checks a value and reports every finding. */
+/** Returns a function that validates a value and reports all findings. */
 export function decoderOf<S extends Schema.ConstraintDecoder<unknown>>(
   schema: S,
 ): (value: unknown) => Result<S["Type"], readonly Finding[]> {
@@ -36,44 +36,48 @@
   issue: SchemaIssue.Issue,
   value: unknown,
 ): readonly Finding[] {
-  // A number may fail several checks at once; the first says what is needed.
-  const found = new Map<string, Finding>();
+  // A number may fail several checks at once; only the first is reported.
+  const findings = new Map<string, Finding>();
   for (const { message, path } of format(issue).issues) {
     const segments = (path ?? []).map((segment) =>
       typeof segment === "object" ? segment.key : segment
     );
     const place = jsonPointer(segments);
-    if (found.has(place)) continue;
-    found.set(place, {
+    if (findings.has(place)) continue;
+    findings.set(place, {
       place,
-      message: `${message}${gotten(value, segments)}`,
+      message: `${message}${describeActual(value, segments)}`,
     });
   }
-  return [...found.values()];
+  return [...findings.values()];
 }
 
-function gotten(value: unknown, segments: readonly PropertyKey[]): string {
-  const found = valueAt(value, segments);
-  return found === undefined ? "" : `, got ${shortly(found)}`;
+function describeActual(
+  value: unknown,
+  segments: readonly PropertyKey[],
+): string {
+  const actual = valueAt(value, segments);
+  return actual === undefined ? "" : `, got ${abbreviate(actual)}`;
 }
 
 function valueAt(value: unknown, segments: readonly PropertyKey[]): unknown {
-  let at = value;
+  let current = value;
   for (const segment of segments) {
-    if (typeof at !== "object" || at === null) return undefined;
-    at = Reflect.get(at, segment);
+    if (typeof current !== "object" || current === null) return undefined;
+    current = Reflect.get(current, segment);
   }
-  return at;
+  return current;
 }
 
-const SHOWN_LENGTH = 60;
+/** Length in characters above which a value is truncated in a message. */
+const MAX_VALUE_CHARS = 60;
 
-function shortly(value: unknown): string {
-  // JSON has no word for some numbers and would show them as null.
+function abbreviate(value: unknown): string {
+  // JSON cannot represent NaN and infinities, and would show them as null.
   const text = typeof value === "number"
     ? String(value)
     : JSON.stringify(value) ?? String(value);
-  return text.length <= SHOWN_LENGTH
+  return text.length <= MAX_VALUE_CHARS
     ? text
-    : `${text.slice(0, SHOWN_LENGTH)}...`;
+    : `${text.slice(0, MAX_VALUE_CHARS)}...`;
 }
--- a/packages/table/src/edit_fixtures.ts
+++ b/packages/table/src/edit_fixtures.ts
@@ -1,5 +1,5 @@
 /**
- * Stores, edits and faults for tests of editing.
+ * Stores, edits and injected faults for tests of edits.
  *
  * @internal
  * @module
@@ -19,24 +19,24 @@
 import { TABLE_KIND } from "./stored_table.ts";
 import type { Row } from "./table.ts";
 
-/** A store that holds the table, written by the edit "first". */
+/** A store that holds the table as created by the edit "first". */
 export async function storeWithTable(): Promise<MemoryStore> {
   const store = new MemoryStore();
-  const note = { editId: "first", editor: "ana", at: 1 };
+  const metadata = { editId: "first", editor: "ana", at: 1 };
   await runOnVirtualClock(
-    createTable(store, { table: tableOf(), metadata: note }),
+    createTable(store, { table: tableOf(), metadata }),
   );
   return store;
 }
 
-/** The stored table. */
+/** Reads the stored table. */
 export async function readFrom(store: Store): Promise<VersionedTable> {
   const read = await runOnVirtualClock(readTable(store));
   assert.ok(read !== undefined);
   return read;
 }
 
-/** An edit that sets one row, made from what the store holds now. */
+/** An edit of one row, based on the currently stored table. */
 export async function rowEdit(
   store: Store,
   row: Row,
@@ -55,7 +55,7 @@
   };
 }
 
-/** Ids of all edits, newest first. */
+/** Ids of all edits in the history, newest first. */
 export async function historyIds(store: Store): Promise<readonly string[]> {
   const { stored } = await readFrom(store);
   const entries = await runOnVirtualClock(
@@ -73,47 +73,59 @@
   return row?.weight ?? NaN;
 }
 
-/** What an effect fails with. */
+/** Runs an effect that must fail, and returns its failure. */
 export function failureOf<A, E>(effect: Effect.Effect<A, E>): Promise<E> {
   return runOnVirtualClock(Effect.flip(effect));
 }
 
-/** A store whose next write of the table meets a fault. */
+/**
+ * A store whose next write of the table has a fault. `beforeRead` runs before
+ * each read after it.
+ */
 export function withTableWriteFault(
   store: MemoryStore,
   fault: "lose-reply" | "lose-request",
-  then: () => Effect.Effect<void> = () => Effect.void,
+  beforeRead: () => Effect.Effect<void> = () => Effect.void,
 ): Store {
-  let pending = true;
+  let faultPending = true;
   return store.withPlan(({ operation, kind }) => {
-    if (operation === "read" && !pending) return Effect.as(then(), "none");
-    if (operation !== "write" || kind !== TABLE_KIND || !pending) return "none";
-    pending = false;
+    if (operation === "read" && !faultPending) {
+      return Effect.as(beforeRead(), "none");
+    }
+    if (operation !== "write" || kind !== TABLE_KIND || !faultPending) {
+      return "none";
+    }
+    faultPending = false;
     return fault;
   });
 }
 
-/** Loses the first write of the table and delivers it when told to. */
+/**
+ * A store whose first write of the table is delayed until `deliver` runs, and
+ * fails for its caller as if the reply had been lost.
+ */
 export function withDelayedWrite(store: MemoryStore) {
-  let late: Effect.Effect<unknown, unknown> | undefined;
+  let delayedWrite: Effect.Effect<unknown, unknown> | undefined;
   const failure: Unavailable = {
     _tag: "Unavailable",
     reason: "held up",
     mayHaveWritten: true,
   };
-  const delaying: Store = {
+  const delayedStore: Store = {
     read: (kind, name) => store.read(kind, name),
     list: (kind) => store.list(kind),
     watch: (kind, options) => store.watch(kind, options),
     remove: (object, options) => store.remove(object, options),
     write: (object, options) => {
-      if (late !== undefined || object.kind !== TABLE_KIND) {
+      if (delayedWrite !== undefined || object.kind !== TABLE_KIND) {
         return store.write(object, options);
       }
-      late = store.write(object, options);
+      delayedWrite = store.write(object, options);
       return Effect.fail(failure);
     },
   };
-  const deliver = Effect.suspend(() => Effect.exit(late ?? Effect.void));
-  return { delaying, deliver };
+  const deliver = Effect.suspend(() =>
+    Effect.exit(delayedWrite ?? Effect.void)
+  );
+  return { delayedStore, deliver };
 }
--- a/packages/table/src/edit_id.ts
+++ b/packages/table/src/edit_id.ts
@@ -1,5 +1,5 @@
 /**
- * Ids of edits.
+ * Edit ids, which contain the sequence that the edit is based on.
  *
  * @module
  */
@@ -9,8 +9,8 @@
 const EDIT_ID = /^e(\d+)-[0-9a-f]+$/;
 
 /**
- * A new id. It holds the sequence of the version that the edit is made from, so
- * that resolving it need not look at older history.
+ * Returns a new edit id. It contains the sequence of the version that the edit is
+ * based on, so that resolving the edit need not read older history.
  *
  * @example
  * ```ts
@@ -21,7 +21,10 @@
   return `e${baseSequence}-${randomBytes(RANDOM_BYTES).toString("hex")}`;
 }
 
-/** The sequence in an id; 0, and so all of history, for an id of another form. */
+/**
+ * Returns the base sequence in an edit id. For an id of another form it is 0, so
+ * that the whole history is searched.
+ */
 export function baseSequenceOf(editId: string): number {
   return Number(EDIT_ID.exec(editId)?.[1] ?? 0);
 }
--- a/packages/table/src/edit_property_test.ts
+++ b/packages/table/src/edit_property_test.ts
@@ -21,13 +21,13 @@
   "refuse",
 ];
 
-/** What one operator was told of one edit. */
-interface Told {
+/** The outcome that was reported to the operator for one edit. */
+interface ReportedOutcome {
   readonly editId: string;
   readonly accepted: boolean;
 }
 
-/** One operator who makes edits, resolving each that is unknown. */
+/** Makes edits as one operator, and resolves each edit whose outcome is unknown. */
 function operator(
   store: MemoryStore,
   options: {
@@ -35,21 +35,21 @@
     readonly weights: readonly number[];
     readonly nextFault: () => StoreFault;
   },
-): Effect.Effect<readonly Told[]> {
+): Effect.Effect<readonly ReportedOutcome[]> {
   const faulty = store.withPlan(options.nextFault);
   return Effect.forEach(
     options.weights,
-    (weight, at) =>
+    (weight, index) =>
       Effect.gen(function* () {
-        const editId = `${options.name}-${at}`;
+        const editId = `${options.name}-${index}`;
         const read = yield* readTable(store);
         assert.ok(read !== undefined);
         const { table, sequence } = read.stored;
         const [first, ...rest] = table.rows;
         const rows = [{ ...(first ?? rowOf()), weight }, ...rest];
-        const note = { editId, editor: options.name, at };
+        const metadata = { editId, editor: options.name, at: index };
         const accepted = yield* applyEdit(faulty, {
-          ...note,
+          ...metadata,
           baseSequence: sequence,
           changes: diffTables(table, { ...table, rows }),
         }, { retryTimeoutMs: 300 }).pipe(
@@ -57,7 +57,7 @@
           Effect.catchTag("UnknownWhetherAccepted", () =>
             resolveEdit(store, {
               editId,
-              closing: { ...note, editId: `${editId}-closing` },
+              closing: { ...metadata, editId: `${editId}-closing` },
             }).pipe(
               Effect.map(({ _tag }) => _tag === "Accepted"),
             )),
@@ -68,26 +68,27 @@
   );
 }
 
-// Two operators edit one row while the store refuses calls and loses requests
-// and replies. Whatever the order, the history must hold exactly the edits that
-// were reported as accepted, each once, and each made from what was there.
-test("under any faults an edit is reported as accepted exactly when it is in the history, once", async () => {
+// Two operators edit one row while the store refuses calls and loses requests and
+// replies. In every interleaving, the history must contain exactly the edits that
+// were reported as accepted, each once and each applied to the version before it,
+// so that the sequences have no gaps.
+test("an edit is reported as accepted exactly when it is in the history once, under any faults", async () => {
   const weights = fc.array(fc.integer({ min: 1, max: 5 }), { maxLength: 6 });
   const faults = fc.array(fc.constantFrom(...FAULTS), { maxLength: 60 });
   await fc.assert(
     fc.asyncProperty(weights, weights, faults, async (one, other, planned) => {
       const store = new MemoryStore();
-      const note = { editId: "first", editor: "ana", at: 0 };
+      const metadata = { editId: "first", editor: "ana", at: 0 };
       await runOnVirtualClock(
-        createTable(store, { table: tableOf(), metadata: note }),
+        createTable(store, { table: tableOf(), metadata }),
       );
-      const left = [...planned];
-      const nextFault = () => left.pop() ?? "none";
-      const told = await runOnVirtualClock(Effect.all([
+      const remainingFaults = [...planned];
+      const nextFault = () => remainingFaults.pop() ?? "none";
+      const outcomes = await runOnVirtualClock(Effect.all([
         operator(store, { name: "one", weights: one, nextFault }),
         operator(store, { name: "other", weights: other, nextFault }),
       ], { concurrency: "unbounded" }));
-      const accepted = told.flat().filter((each) => each.accepted);
+      const accepted = outcomes.flat().filter((outcome) => outcome.accepted);
       const read = await runOnVirtualClock(readTable(store));
       assert.ok(read !== undefined);
       const entries = await runOnVirtualClock(
@@ -100,7 +101,7 @@
       );
       assert.deepEqual(
         entries.map(({ sequence }) => sequence),
-        entries.map((_, at) => entries.length - at),
+        entries.map((_, index) => entries.length - index),
       );
     }),
     { seed: 41, numRuns: 150 },
--- a/packages/table/src/edit_test.ts
+++ b/packages/table/src/edit_test.ts
@@ -17,7 +17,7 @@
 import { runOnVirtualClock } from "./virtual_clock.ts";
 import { rowOf, tableOf } from "./fixtures.ts";
 
-test("an edit is accepted, in the table and in the history", async () => {
+test("an accepted edit is in the table and in the history", async () => {
   const store = await storeWithTable();
   const edit = await rowEdit(store, rowOf({ weight: 5 }));
   const accepted = await runOnVirtualClock(applyEdit(store, edit));
@@ -42,16 +42,16 @@
   assert.deepEqual(await historyIds(store), ["first"]);
 });
 
-test("edits of two operators to disjoint rows both stand", async () => {
+test("concurrent edits of different rows are both accepted", async () => {
   const store = await storeWithTable();
-  const one = await rowEdit(store, rowOf({ weight: 5 }), "one");
-  const other = await rowEdit(
+  const first = await rowEdit(store, rowOf({ weight: 5 }), "one");
+  const second = await rowEdit(
     store,
     rowOf({ workspace: "fitters", weight: 6 }),
     "other",
   );
   await runOnVirtualClock(
-    Effect.all([applyEdit(store, one), applyEdit(store, other)], {
+    Effect.all([applyEdit(store, first), applyEdit(store, second)], {
       concurrency: "unbounded",
     }),
   );
@@ -60,7 +60,7 @@
   assert.equal((await historyIds(store)).length, 3);
 });
 
-test("the later of two edits to one row gets both values and changes nothing", async () => {
+test("a concurrent edit of the same row fails with a conflict that shows both values", async () => {
   const store = await storeWithTable();
   const later = await rowEdit(store, rowOf({ weight: 6 }), "later");
   const earlier = await rowEdit(store, rowOf({ weight: 5 }), "earlier");
@@ -78,9 +78,8 @@
   assert.equal(await weightOf(store, "office/quote"), 5);
 });
 
-// The operator's edit takes effect and the reply is lost. Trying again blindly
-// would meet the edit's own version as a conflict, or apply it twice; reading
-// back and finding its id reports it as accepted, once.
+// The edit takes effect but its reply is lost. A retry without reading back would
+// conflict with the edit's own version or apply the edit twice.
 test("an edit whose reply was lost is accepted once", async () => {
   const store = await storeWithTable();
   const edit = await rowEdit(store, rowOf({ weight: 5 }));
@@ -91,7 +90,7 @@
   assert.deepEqual(await historyIds(store), ["edit", "first"]);
 });
 
-test("an edit whose request was lost is sent again and accepted once", async () => {
+test("an edit whose request was lost is retried and accepted once", async () => {
   const store = await storeWithTable();
   const edit = await rowEdit(store, rowOf({ weight: 5 }));
   const outcome = await runOnVirtualClock(
@@ -101,24 +100,20 @@
   assert.deepEqual(await historyIds(store), ["edit", "first"]);
 });
 
-// The reply of an accepted edit is lost, and before its writer reads back so
-// many others edit that its entry has left the table's object, one of them on
-// the same row. Without the pages the writer would see a conflict and report
-// an accepted edit as refused.
-// The first write is held up by the network and arrives after the second one,
-// which the editor sent because it found its edit missing. Both are conditional
-// on the same version, so the late one is refused.
-test("a write that arrives late does not apply the edit twice", async () => {
+// The network delays the first write until after the second one, which the editor
+// sent because its edit was missing from the history. Both are conditional on the
+// same version, so the delayed one must fail.
+test("a delayed write does not apply the edit twice", async () => {
   const store = await storeWithTable();
   const edit = await rowEdit(store, rowOf({ weight: 5 }));
-  const { delaying, deliver } = withDelayedWrite(store);
-  const outcome = await runOnVirtualClock(applyEdit(delaying, edit));
+  const { delayedStore, deliver } = withDelayedWrite(store);
+  const outcome = await runOnVirtualClock(applyEdit(delayedStore, edit));
   await runOnVirtualClock(deliver);
   assert.equal(outcome._tag, "Accepted");
   assert.deepEqual(await historyIds(store), ["edit", "first"]);
 });
 
-test("with the store down before any write the edit is not accepted", async () => {
+test("an edit is not accepted if the store is down before any write", async () => {
   const store = await storeWithTable();
   const edit = await rowEdit(store, rowOf({ weight: 5 }));
   const down = store.withPlan(() => "refuse");
@@ -127,14 +122,7 @@
   assert.deepEqual(await historyIds(store), ["first"]);
 });
 
-/** Applies an edit whose write meets a fault, with the store down afterwards. */
-// The store goes down between the write and the reading back, so the operator
-// is told that it is unknown. Once the store is back, resolving must say what
-// truly happened, and its answer must stay true.
-// The operator's first write is still on its way when a colleague resolves the
-// edit as not accepted. The closing edit has raised the version, so the write
-// is refused when it arrives, and the answer given stays true.
-test("an edit that is applied again with its id is accepted once", async () => {
+test("an edit that is applied twice with the same id is accepted once", async () => {
   const store = await storeWithTable();
   const edit = await rowEdit(store, rowOf({ weight: 5 }));
   await runOnVirtualClock(applyEdit(store, edit));
@@ -145,22 +133,22 @@
   assert.equal(await weightOf(store, "office/quote"), 6);
 });
 
-test("a second first version is refused, the same one is not", async () => {
+test("creating the table again succeeds only with the same edit id", async () => {
   const store = await storeWithTable();
   const table = tableOf();
-  const note = { editId: "first", editor: "ana", at: 1 };
+  const metadata = { editId: "first", editor: "ana", at: 1 };
   const again = await runOnVirtualClock(
-    createTable(store, { table, metadata: note }),
+    createTable(store, { table, metadata }),
   );
   assert.equal(again._tag, "Accepted");
-  const other = createTable(store, {
+  const otherEdit = createTable(store, {
     table,
-    metadata: { ...note, editId: "x" },
+    metadata: { ...metadata, editId: "x" },
   });
-  assert.equal((await failureOf(other))._tag, "TableExists");
+  assert.equal((await failureOf(otherEdit))._tag, "TableExists");
 });
 
-test("a table beyond the store's limit is refused before it is sent", async () => {
+test("a table above the store's size limit is rejected before it is written", async () => {
   const store = await storeWithTable();
   const { stored } = await readFrom(store);
   const workspaces = Array.from({ length: 10_000 }, (_, at) => ({
@@ -182,7 +170,7 @@
   assert.equal(failure._tag, "TooLarge");
 });
 
-test("an edit that meets another one each time gives up", async () => {
+test("an edit whose every write conflicts fails as not accepted", async () => {
   const store = await storeWithTable();
   const edit = await rowEdit(store, rowOf({ weight: 5 }));
   const conflicting: Store = {
--- a/packages/table/src/finding.ts
+++ b/packages/table/src/finding.ts
@@ -1,29 +1,34 @@
 /**
- * Findings: what is wrong with a table, each with its place.
+ * Findings: errors found in a table by validation, each with its place.
  *
  * @module
  */
 
-/** One thing that is wrong, and where. */
+/** One error that validation found. */
 export interface Finding {
-  /** JSON pointer (RFC 6901) into the value, such as `/rows/3/weight`. */
+  /**
+   * JSON pointer (RFC 6901) into the value, such as `/rows/3/weight`; row and
+   * column for a CSV file.
+   */
   readonly place: string;
-  /** What is there and what is needed. */
+  /** What is expected, and what was found instead. */
   readonly message: string;
 }
 
 /**
- * A JSON pointer of path segments, with `~` and `/` escaped.
+ * Returns the JSON pointer for a path, with `~` and `/` escaped.
  *
  * @example
  * ```ts
- * pointer(["rows", 3, "weight"]); // "/rows/3/weight"
+ * jsonPointer(["rows", 3, "weight"]); // "/rows/3/weight"
  * ```
  */
 export function jsonPointer(segments: readonly PropertyKey[]): string {
-  return segments.map((segment) => `/${escaped(String(segment))}`).join("");
+  return segments.map((segment) => `/${escapeSegment(String(segment))}`).join(
+    "",
+  );
 }
 
-function escaped(segment: string): string {
+function escapeSegment(segment: string): string {
   return segment.replaceAll("~", "~0").replaceAll("/", "~1");
 }
--- a/packages/table/src/fixtures.ts
+++ b/packages/table/src/fixtures.ts
@@ -6,12 +6,15 @@
  */
 import type { Row, Table } from "./table.ts";
 
-/** A row that differs from the usual one only where it is said. */
+/** The default row, with the given fields replaced. */
 export function rowOf(fields: Partial<Row> = {}): Row {
   return { workspace: "office", class: "quote", weight: 1, ...fields };
 }
 
-/** A table of two classes, two workspaces, three rows and two services. */
+/**
+ * A table of two classes, two workspaces, three rows and two services, with the
+ * given sections replaced.
+ */
 export function tableOf(fields: Partial<Table> = {}): Table {
   return {
     classes: [
--- a/packages/table/src/history_entry.ts
+++ b/packages/table/src/history_entry.ts
@@ -1,5 +1,5 @@
 /**
- * Accepted edits, as the history keeps them.
+ * Entries of the edit history, and their validation.
  *
  * @module
  */
@@ -9,28 +9,29 @@
 import { decoderOf } from "./decode.ts";
 import type { Finding } from "./finding.ts";
 
-/** Who edits, when and why. */
+/** Identity, author, time and purpose of an edit. */
 export interface EditMetadata {
-  /** Unique for each edit; an edit that is tried again keeps it. */
+  /** Unique id of the edit; retries of the edit use the same id. */
   readonly editId: string;
   /** Name of the operator. */
   readonly editor: string;
-  /** Epoch milliseconds, by the operator's clock. */
+  /** Time of the edit by the operator's clock, in epoch milliseconds. */
   readonly at: number;
   readonly note?: string;
 }
 
 /** One accepted edit. */
 export interface HistoryEntry extends EditMetadata {
-  /** 1 for the first edit of a table, then without gaps. */
+  /** Position of the edit, counted from 1 without gaps. */
   readonly sequence: number;
   readonly changes: readonly Change[];
-  /** Id of an edit that is not accepted and from here on cannot be. */
+  /** Id of an edit that this entry closes: it can no longer be accepted. */
   readonly closes?: string;
 }
 
-// Entries inside changes are history: they need not be valid in the table of
-// today, and are checked with it when a rollback brings them back.
+// The table's entries in `before` and `after` are not validated here: they need
+// not be valid in the current table, and are validated with it when a rollback
+// restores them.
 const CHANGE = Schema.Struct({
   section: Schema.Literals(["classes", "workspaces", "rows", "services"]),
   key: Schema.String,
@@ -51,7 +52,7 @@
 const decode = decoderOf(HISTORY);
 
 /**
- * Checks entries read from the store.
+ * Validates history entries read from the store.
  *
  * @internal
  */
--- a/packages/table/src/history_test.ts
+++ b/packages/table/src/history_test.ts
@@ -13,21 +13,24 @@
 import { runOnVirtualClock } from "./virtual_clock.ts";
 import { rowOf } from "./fixtures.ts";
 
-test("a lost reply is resolved also when the edit's entry has moved to a page", async () => {
+// The reply of an accepted edit is lost. Before its editor reads back, 100 other
+// edits move its entry to a page, and they change the same row. Without the pages
+// the editor would see a conflict and report the accepted edit as refused.
+test("a lost reply is resolved even if the edit's entry has moved to a page", async () => {
   const store = await storeWithTable();
   const edit = await rowEdit(store, rowOf({ weight: 5 }));
-  let others = 100;
-  const busy = () =>
+  let remaining = 100;
+  const editConcurrently = () =>
     Effect.promise(async () => {
-      while (others > 0) {
-        others -= 1;
-        const row = rowOf({ weight: 10 + others });
-        const edit = await rowEdit(store, row, `other-${others}`);
+      while (remaining > 0) {
+        remaining -= 1;
+        const row = rowOf({ weight: 10 + remaining });
+        const edit = await rowEdit(store, row, `other-${remaining}`);
         await runOnVirtualClock(applyEdit(store, edit));
       }
     });
   const outcome = await runOnVirtualClock(
-    applyEdit(withTableWriteFault(store, "lose-reply", busy), edit),
+    applyEdit(withTableWriteFault(store, "lose-reply", editConcurrently), edit),
   );
   const { stored } = await readFrom(store);
   assert.ok(!stored.history.some(({ editId }) => editId === "edit"));
@@ -35,7 +38,7 @@
   assert.equal((await historyIds(store)).length, 102);
 });
 
-test("a page of history that is gone is said so, not passed over", async () => {
+test("a missing page of the history is reported, not skipped", async () => {
   const store = await storeWithTable();
   const edit = await rowEdit(store, rowOf({ weight: 5 }));
   for (let at = 0; at < 80; at += 1) {
--- a/packages/table/src/merge_test.ts
+++ b/packages/table/src/merge_test.ts
@@ -13,12 +13,12 @@
   return { ...table, rows: [...others, row] };
 }
 
-/** Ignores the order of entries, which is no difference. */
-function assertSame(one: Table, other: Table): void {
-  assert.deepEqual(diffTables(one, other), []);
+/** Asserts that two tables are equal, ignoring the order of entries. */
+function assertSame(left: Table, right: Table): void {
+  assert.deepEqual(diffTables(left, right), []);
 }
 
-test("the order of entries and fields is no difference", () => {
+test("the order of entries and fields is ignored", () => {
   const table = tableOf();
   const rows = table.rows.toReversed().map((row) =>
     Object.fromEntries(Object.entries(row).reverse()) as unknown as Row
@@ -26,7 +26,7 @@
   assertSame(table, { ...table, rows });
 });
 
-test("changes to disjoint rows merge and both stand", () => {
+test("changes of different rows are merged", () => {
   const base = tableOf();
   const mine = withRow(base, rowOf({ weight: 5 }));
   const theirs = withRow(base, rowOf({ workspace: "fitters", weight: 7 }));
@@ -37,7 +37,7 @@
   );
 });
 
-test("changes to the same row conflict and show all three values", () => {
+test("changes of the same row conflict, and the conflict shows all three values", () => {
   const base = tableOf();
   const mine = withRow(base, rowOf({ weight: 5 }));
   const theirs = withRow(base, rowOf({ weight: 7 }));
@@ -56,7 +56,7 @@
   );
 });
 
-test("a row removed by one and changed by the other conflicts", () => {
+test("removing a row conflicts with changing it", () => {
   const base = tableOf();
   const mine = withRow(base, rowOf({ weight: 5 }));
   const theirs = { ...base, rows: base.rows.slice(1) };
@@ -65,14 +65,14 @@
   assert.equal(failure._tag, "EditConflict");
 });
 
-test("the same change made by both is no conflict and changes nothing", () => {
+test("the same change made by both sides is not a conflict and has no effect", () => {
   const base = tableOf();
   const mine = withRow(base, rowOf({ weight: 5 }));
   const merged = mergeChanges(mine, diffTables(base, mine))._unsafeUnwrap();
   assert.deepEqual(merged.changes, []);
 });
 
-test("two valid edits that are invalid together are refused", () => {
+test("two valid edits that are invalid together are rejected", () => {
   const base = tableOf();
   const mine = withRow(base, rowOf({ class: "cut-sheet" }));
   const theirs = {
@@ -92,8 +92,8 @@
   );
 });
 
-test("inverted changes take any change back", () => {
-  const weights = fc.array(
+test("inverted changes revert any change", () => {
+  const rowLists = fc.array(
     fc.record({
       workspace: fc.constantFrom("office", "fitters"),
       class: fc.constantFrom("quote", "cut-sheet"),
@@ -102,13 +102,13 @@
     { maxLength: 6 },
   );
   fc.assert(
-    fc.property(weights, (rows) => {
+    fc.property(rowLists, (rows) => {
       const base = tableOf();
       const edited = rows.reduce(withRow, { ...base, rows: [] } as Table);
       const changes = diffTables(base, edited);
-      const back = mergeChanges(edited, invertChanges(changes))
+      const reverted = mergeChanges(edited, invertChanges(changes))
         ._unsafeUnwrap();
-      assertSame(back.table, base);
+      assertSame(reverted.table, base);
     }),
     { seed: 7, numRuns: 200 },
   );
--- a/packages/table/src/mod.ts
+++ b/packages/table/src/mod.ts
@@ -1,5 +1,6 @@
 /**
- * The operators' table and what is done with it.
+ * The operators' table: validation, comparison, merging, CSV import and export,
+ * and edits of the stored table.
  *
  * @module
  */
--- a/packages/table/src/parse.ts
+++ b/packages/table/src/parse.ts
@@ -11,8 +11,8 @@
 import type { Table } from "./table.ts";
 
 /**
- * Validates a table read from JSON. All findings are reported together; the
- * cross-references are checked once every entry has its shape.
+ * Validates a table read from JSON. Reports all findings together; references
+ * between entries are checked only if the shape of every entry is valid.
  *
  * @example
  * ```ts
--- a/packages/table/src/parse_test.ts
+++ b/packages/table/src/parse_test.ts
@@ -14,12 +14,12 @@
   );
 }
 
-/** The table as JSON with one part replaced. */
-function withPart(part: keyof Table, value: unknown): unknown {
-  return { ...tableOf(), [part]: value };
+/** The table as JSON, with one section replaced. */
+function withSection(section: keyof Table, value: unknown): unknown {
+  return { ...tableOf(), [section]: value };
 }
 
-test("a valid table is accepted as it is", () => {
+test("a valid table is accepted unchanged", () => {
   const table = tableOf();
   assert.deepEqual(
     parseTable(JSON.parse(JSON.stringify(table)))._unsafeUnwrap(),
@@ -27,7 +27,7 @@
   );
 });
 
-test("a value that is no object is a finding at the root", () => {
+test("a value that is not an object is a finding at the root", () => {
   assert.deepEqual(placesOf("table"), [""]);
   assert.deepEqual(placesOf(undefined), [""]);
 });
@@ -53,17 +53,17 @@
   ]);
 });
 
-test("a finding says what is there and what is needed", () => {
+test("a finding states the expected and the actual value", () => {
   const [row] = tableOf().rows;
-  assert.deepEqual(messagesOf(withPart("rows", [{ ...row, weight: -1 }])), [
+  assert.deepEqual(messagesOf(withSection("rows", [{ ...row, weight: -1 }])), [
     "/rows/0/weight: Expected a number greater than 0, got -1",
   ]);
 });
 
-test("a weight that is no finite number is refused", () => {
+test("a weight that is not a finite number is rejected", () => {
   const [row] = tableOf().rows;
   for (const weight of [NaN, Infinity, "3", null]) {
-    assert.deepEqual(placesOf(withPart("rows", [{ ...row, weight }])), [
+    assert.deepEqual(placesOf(withSection("rows", [{ ...row, weight }])), [
       "/rows/0/weight",
     ]);
   }
@@ -73,7 +73,9 @@
   const [quote] = tableOf().classes;
   for (const tier of [-1, 0.5, 32]) {
     assert.deepEqual(
-      placesOf(withPart("classes", [{ ...quote, tier }, tableOf().classes[1]])),
+      placesOf(
+        withSection("classes", [{ ...quote, tier }, tableOf().classes[1]]),
+      ),
       ["/classes/0/tier"],
     );
   }
@@ -104,22 +106,22 @@
   ]);
 });
 
-test("minimum shares that sum above 1 are refused, exactly 1 is not", () => {
+test("minimum shares may sum to exactly 1, but not to more", () => {
   const [quote, cutSheet] = tableOf().classes;
-  const classes = (one: number, other: number) => [
-    { ...quote, minimumShare: one },
-    { ...cutSheet, minimumShare: other },
+  const classes = (quoteShare: number, cutSheetShare: number) => [
+    { ...quote, minimumShare: quoteShare },
+    { ...cutSheet, minimumShare: cutSheetShare },
   ];
-  assert.ok(parseTable(withPart("classes", classes(0.3, 0.7))).isOk());
-  assert.deepEqual(messagesOf(withPart("classes", classes(0.5, 0.6))), [
+  assert.ok(parseTable(withSection("classes", classes(0.3, 0.7))).isOk());
+  assert.deepEqual(messagesOf(withSection("classes", classes(0.5, 0.6))), [
     "/classes: Minimum shares sum to 1.1, which is above 1: they cannot all be kept",
   ]);
 });
 
-test("a plain service has no models and a model service has some", () => {
+test("a plain service has no models, a model service has at least one", () => {
   const [model, plain] = tableOf().services;
   const services = [{ ...model, models: [] }, { ...plain, models: ["x"] }];
-  assert.deepEqual(placesOf(withPart("services", services)), [
+  assert.deepEqual(placesOf(withSection("services", services)), [
     "/services/0/models",
     "/services/1/models",
   ]);
--- a/packages/table/src/resolve_test.ts
+++ b/packages/table/src/resolve_test.ts
@@ -15,6 +15,11 @@
 import { rowOf } from "./fixtures.ts";
 import { resolveEdit } from "./resolve.ts";
 
+/**
+ * Applies an edit whose write has a fault, with the store down afterwards, so that
+ * the write cannot be read back and the outcome is unknown. Resolving the edit
+ * once the store is back must report what happened, and that must not change.
+ */
 async function unknownEdit(
   store: MemoryStore,
   fault: "lose-reply" | "lose-request",
@@ -34,7 +39,7 @@
 
 const CLOSING = { editId: "closing", editor: "bo", at: 3 };
 
-test("an unknown edit that had been accepted is resolved as accepted", async () => {
+test("an unknown edit that was accepted is resolved as accepted", async () => {
   const store = await storeWithTable();
   const { editId } = await unknownEdit(store, "lose-reply");
   const outcome = await runOnVirtualClock(
@@ -44,7 +49,7 @@
   assert.deepEqual(await historyIds(store), ["edit", "first"]);
 });
 
-test("an unknown edit that had not been accepted is closed for good", async () => {
+test("an unknown edit that was not accepted is closed permanently", async () => {
   const store = await storeWithTable();
   const edit = await unknownEdit(store, "lose-request");
   const { editId } = edit;
@@ -62,11 +67,14 @@
   assert.deepEqual(await historyIds(store), ["closing", "first"]);
 });
 
-test("a write that arrives after its edit was closed is refused", async () => {
+// The first write is still in flight when another operator resolves the edit as
+// not accepted. The closing edit raises the version, so the write must fail when
+// it arrives.
+test("a write that arrives after its edit was closed is rejected", async () => {
   const store = await storeWithTable();
   const edit = await rowEdit(store, rowOf({ weight: 5 }));
-  const { delaying, deliver } = withDelayedWrite(store);
-  await failureOf(applyEdit(delaying, edit, { retryTimeoutMs: 0 }));
+  const { delayedStore, deliver } = withDelayedWrite(store);
+  await failureOf(applyEdit(delayedStore, edit, { retryTimeoutMs: 0 }));
   const { editId } = edit;
   const outcome = await runOnVirtualClock(
     resolveEdit(store, { editId, closing: CLOSING }),
--- a/packages/table/src/stored_table.ts
+++ b/packages/table/src/stored_table.ts
@@ -1,5 +1,5 @@
 /**
- * The object that holds the table in the platform's store.
+ * The stored object that holds the table, with its kind, name and value.
  *
  * @module
  */
@@ -10,23 +10,23 @@
 import { parseTable } from "./parse.ts";
 import type { Table } from "./table.ts";
 
-/** Kind of the object in the store. */
+/** Kind of the stored object. */
 export const TABLE_KIND = "tables";
 
-/** Name of the object in the store. */
+/** Name of the stored object. */
 export const TABLE_NAME = "main";
 
 /** The value of the stored object. */
 export interface StoredTable extends EditMetadata {
   readonly table: Table;
-  /** Sequence of the last edit; the number of edits so far. */
+  /** Sequence of the last edit, which is the number of edits so far. */
   readonly sequence: number;
-  /** The latest edits, oldest first; older ones are in archive objects. */
+  /** The latest edits, oldest first; older ones are in page objects. */
   readonly history: readonly HistoryEntry[];
 }
 
 /**
- * The value of the stored object for a table that has no earlier version.
+ * Returns the value of the stored object for the first version of a table.
  *
  * @example
  * ```ts
@@ -47,8 +47,8 @@
 }
 
 /**
- * Reads the value of the stored object. Only `table` is needed; a value written
- * by hand may leave out the rest.
+ * Validates the value of the stored object. Only `table` is required; a value
+ * written by hand may omit the other fields.
  */
 export function parseStoredTable(
   value: unknown,
@@ -58,17 +58,19 @@
   }
   const stored: Partial<Record<keyof StoredTable, unknown>> = value;
   const parsed = Result.combineWithAllErrors([
-    parseTable(stored.table).mapErr((findings) => under("/table", findings)),
+    parseTable(stored.table).mapErr((findings) =>
+      prefixPlaces("/table", findings)
+    ),
     decodeHistory(stored.history ?? []).mapErr((findings) =>
-      under("/history", findings)
+      prefixPlaces("/history", findings)
     ),
   ]);
   return parsed
     .mapErr((findings) => findings.flat())
     .map(([table, history]) => ({
       table,
-      editId: text(stored.editId),
-      editor: text(stored.editor),
+      editId: stringOrEmpty(stored.editId),
+      editor: stringOrEmpty(stored.editor),
       at: typeof stored.at === "number" ? stored.at : 0,
       ...(typeof stored.note === "string" ? { note: stored.note } : {}),
       sequence: typeof stored.sequence === "number" ? stored.sequence : 0,
@@ -76,7 +78,7 @@
     }));
 }
 
-function under(
+function prefixPlaces(
   place: string,
   findings: readonly Finding[],
 ): readonly Finding[] {
@@ -86,6 +88,6 @@
   }));
 }
 
-function text(value: unknown): string {
+function stringOrEmpty(value: unknown): string {
   return typeof value === "string" ? value : "";
 }
--- a/packages/table/src/table.ts
+++ b/packages/table/src/table.ts
@@ -4,34 +4,34 @@
  * @module
  */
 
-/** What the requests of a class are promised, in milliseconds. */
+/** Latency targets of a class's requests, in milliseconds. */
 export interface LatencyTarget {
-  /** Time from arrival to the first token; absent when not promised. */
+  /** Time from arrival to the first token; absent for no target. */
   readonly firstTokenMs?: number;
-  /** Time between two tokens; absent when not promised. */
+  /** Time between two tokens; absent for no target. */
   readonly betweenTokensMs?: number;
-  /** Time from arrival to the end of the answer; absent when not promised. */
+  /** Time from arrival to the end of the response; absent for no target. */
   readonly wholeAnswerMs?: number;
 }
 
-/** A class of requests. */
+/** A class of requests, with its priority and latency targets. */
 export interface Class {
   readonly name: string;
-  /** Rank of the class: 0 is served first. Several classes may share a tier. */
+  /** Priority of the class: 0 is the highest. Several classes may share a tier. */
   readonly tier: number;
   readonly target: LatencyTarget;
-  /** Milliseconds after which an answer that has not started is of no use. */
+  /** Milliseconds after which a response that has not started is useless. */
   readonly timeoutMs: number;
-  /** Share of service, 0 to 1, owed to the class while it has waiting work. */
+  /** Share of service, 0 to 1, guaranteed while requests of the class are queued. */
   readonly minimumShare: number;
 }
 
-/** A sender of requests. */
+/** A workspace, whose callers send requests with its keys. */
 export interface Workspace {
   readonly name: string;
   /** Hexadecimal SHA-256 digests of the workspace's keys. */
   readonly keyDigests: readonly string[];
-  /** Class of a request that names none. */
+  /** Class of requests that do not name one. */
   readonly defaultClass: string;
 }
 
@@ -39,26 +39,26 @@
 export interface Row {
   readonly workspace: string;
   readonly class: string;
-  /** Weight among the workspaces of the class; greater than 0. */
+  /** Weight relative to the class's other workspaces; greater than 0. */
   readonly weight: number;
-  /** Requests admitted a second; absent for no limit. */
+  /** Maximum requests admitted per second; absent for no limit. */
   readonly requestsPerSecond?: number;
-  /** Tokens served a second; absent for no limit. */
+  /** Maximum tokens served per second; absent for no limit. */
   readonly tokensPerSecond?: number;
-  /** Requests being served at once; absent for no limit. */
+  /** Maximum requests served concurrently; absent for no limit. */
   readonly inFlight?: number;
 }
 
 /** A service that requests are routed to. */
 export interface Service {
   readonly name: string;
-  /** `model` for engines, `plain` for services called by method and path. */
+  /** `model` for model engines, `plain` for services called by method and path. */
   readonly kind: "model" | "plain";
   /** Models that a model service serves. */
   readonly models: readonly string[];
-  /** Whether its runners refuse an order that carries an old fencing number. */
+  /** Whether its runners reject an order with a stale fencing token. */
   readonly checksFencing: boolean;
-  /** Requests that one runner may serve at once before adaptation. */
+  /** Initial number of concurrent requests per runner, before adaptation. */
   readonly slotsPerRunner: number;
 }
 
--- a/packages/table/src/table_at.ts
+++ b/packages/table/src/table_at.ts
@@ -1,5 +1,5 @@
 /**
- * Earlier versions of the table, worked out from the history.
+ * Earlier versions of the table, reconstructed from the history.
  *
  * @module
  */
@@ -15,15 +15,15 @@
 import type { MergeFailure } from "./merge.ts";
 import type { Table } from "./table.ts";
 
-/** The history holds no such edit. */
+/** The history contains no edit with this id. */
 export interface EditNotFound {
   readonly _tag: "EditNotFound";
   readonly editId: string;
 }
 
 /**
- * The table as it stood right after an edit. Its difference from the table of
- * now, applied as an edit, is a rollback.
+ * Returns the table as it was right after an edit. To roll back to it, apply its
+ * difference from the current table as a new edit.
  *
  * @example
  * ```ts
@@ -47,23 +47,23 @@
     if (entries.at(-1)?.editId !== editId) {
       return yield* Effect.fail<EditNotFound>({ _tag: "EditNotFound", editId });
     }
-    const before = withoutEdits(read.stored.table, entries.slice(0, -1));
-    return yield* before.isOk()
-      ? Effect.succeed(before.value)
-      : Effect.fail(before.error);
+    const reverted = revertEdits(read.stored.table, entries.slice(0, -1));
+    return yield* reverted.isOk()
+      ? Effect.succeed(reverted.value)
+      : Effect.fail(reverted.error);
   });
 }
 
-/** Takes edits back one by one, newest first. */
-function withoutEdits(
+/** Reverts edits one by one, newest first. */
+function revertEdits(
   table: Table,
   newestFirst: readonly HistoryEntry[],
 ): Result<Table, MergeFailure> {
-  let before = table;
+  let reverted = table;
   for (const { changes } of newestFirst) {
-    const merged = mergeChanges(before, invertChanges(changes));
+    const merged = mergeChanges(reverted, invertChanges(changes));
     if (merged.isErr()) return err(merged.error);
-    before = merged.value.table;
+    reverted = merged.value.table;
   }
-  return ok(before);
+  return ok(reverted);
 }
--- a/packages/table/src/table_at_test.ts
+++ b/packages/table/src/table_at_test.ts
@@ -15,7 +15,7 @@
 import { rowOf } from "./fixtures.ts";
 import { tableAt } from "./table_at.ts";
 
-test("rollback brings an earlier table back by a new edit", async () => {
+test("a rollback restores an earlier table by a new edit", async () => {
   const store = await storeWithTable();
   for (let at = 1; at <= 100; at += 1) {
     const edit = await rowEdit(store, rowOf({ weight: 1 + at }), `e${at}`);
--- a/packages/table/src/virtual_clock.ts
+++ b/packages/table/src/virtual_clock.ts
@@ -1,5 +1,5 @@
 /**
- * A clock for tests on which every pause is over at once.
+ * A virtual clock for tests, on which sleeping takes no real time.
  *
  * @internal
  * @module
@@ -10,7 +10,7 @@
 
 const NANOS_PER_MS = 1_000_000n;
 
-/** Runs an effect on a clock that jumps over each pause. */
+/** Runs an effect on a clock that each sleep advances at once. */
 export function runOnVirtualClock<A, E>(
   effect: Effect.Effect<A, E>,
 ): Promise<A> {
