--- a/packages/daemon/src/connection/operator_server.ts
+++ b/packages/daemon/src/connection/operator_server.ts
@@ -58,14 +58,14 @@
  * Compares secrets by digest and in constant time: a comparison that stops at the
  * first wrong character would allow guessing the token character by character.
  */
-function secretsEqual(given: string, expected: string): boolean {
+function secretsEqual(received: string, expected: string): boolean {
   const digest = (text: string) => createHash("sha256").update(text).digest();
-  return timingSafeEqual(digest(given), digest(expected));
+  return timingSafeEqual(digest(received), digest(expected));
 }
 
 function isAuthorized(request: IncomingMessage, token: string): boolean {
-  const given = BEARER.exec(request.headers.authorization ?? "")?.[1];
-  return given !== undefined && secretsEqual(given, token);
+  const received = BEARER.exec(request.headers.authorization ?? "")?.[1];
+  return received !== undefined && secretsEqual(received, token);
 }
 
 function send(response: ServerResponse, result: OperatorResponse): void {
--- a/packages/daemon/src/connection/operator_server_test.ts
+++ b/packages/daemon/src/connection/operator_server_test.ts
@@ -31,18 +31,18 @@
 
 test("serves a resource to a client with the token", async (context) => {
   const root = await opened(context);
-  const answer = await get(`${root}/status?q=1`);
-  assert.equal(answer.status, 200);
-  assert.deepEqual(await answer.json(), { q: "1" });
+  const response = await get(`${root}/status?q=1`);
+  assert.equal(response.status, 200);
+  assert.deepEqual(await response.json(), { q: "1" });
 });
 
 test("refuses every path to a client without the token", async (context) => {
   const root = await opened(context);
   for (const authorization of ["", "Bearer ", "Bearer x", `Basic ${TOKEN}`]) {
     for (const path of ["/status", "/none"]) {
-      const answer = await get(`${root}${path}`, { authorization });
-      assert.equal(answer.status, 401);
-      const { error } = await answer.json() as { error: { code: string } };
+      const response = await get(`${root}${path}`, { authorization });
+      assert.equal(response.status, 401);
+      const { error } = await response.json() as { error: { code: string } };
       assert.equal(error.code, "token_invalid");
     }
   }
@@ -50,9 +50,9 @@
 
 test("unknown paths, unsupported methods and faults have error codes", async (context) => {
   const root = await opened(context);
-  const codeOf = async (answer: Response) => {
-    const { error } = await answer.json() as { error: { code: string } };
-    return `${answer.status} ${error.code}`;
+  const codeOf = async (response: Response) => {
+    const { error } = await response.json() as { error: { code: string } };
+    return `${response.status} ${error.code}`;
   };
   assert.equal(await codeOf(await get(`${root}/none`)), "404 path_unknown");
   assert.equal(
--- a/packages/daemon/src/connection/runner_response.ts
+++ b/packages/daemon/src/connection/runner_response.ts
@@ -80,12 +80,12 @@
    */
   next(idleMs: number): Effect.Effect<Buffer | undefined, ResponseInterrupted> {
     return Effect.suspend(() => {
-      let piece: Buffer | undefined;
-      const pumped = this.forEachChunk(idleMs, (bytes) => {
-        piece = bytes;
+      let chunk: Buffer | undefined;
+      const finished = this.forEachChunk(idleMs, (bytes) => {
+        chunk = bytes;
         return false;
       });
-      return Effect.map(pumped, () => piece);
+      return Effect.map(finished, () => chunk);
     });
   }
 
@@ -97,11 +97,11 @@
    */
   forEachChunk(
     idleMs: number,
-    take: (bytes: Buffer) => boolean,
+    onChunk: (bytes: Buffer) => boolean,
   ): Effect.Effect<boolean, ResponseInterrupted> {
     return Effect.callback((resume) => {
       const step = () => {
-        const end = this.#drain(take);
+        const end = this.#drain(onChunk);
         if (end === undefined) return this.#startIdleTimer(idleMs);
         this.#wake = undefined;
         clearTimeout(this.#timer);
@@ -124,13 +124,13 @@
 
   /** Passes on the buffered chunks; `undefined` if more must be awaited. */
   #drain(
-    take: (bytes: Buffer) => boolean,
+    onChunk: (bytes: Buffer) => boolean,
   ): Effect.Effect<boolean, ResponseInterrupted> | undefined {
     for (;;) {
       const bytes = this.message.read() as Buffer | null;
       if (bytes === null) break;
       this.#reads += 1;
-      if (!take(bytes)) return STOPPED;
+      if (!onChunk(bytes)) return STOPPED;
     }
     if (this.#ended) return ENDED;
     if (this.#failure === undefined) return undefined;
--- a/packages/daemon/src/connection/runner_response_test.ts
+++ b/packages/daemon/src/connection/runner_response_test.ts
@@ -12,43 +12,50 @@
   const server = http.createServer().listen(0, "127.0.0.1");
   await once(server, "listening");
   const { port } = server.address() as AddressInfo;
-  const asked = once(server, "request");
+  const requested = once(server, "request");
   const request = http.get({ port, host: "127.0.0.1" });
-  const [, outgoing] = await asked as [unknown, http.ServerResponse];
+  const [, outgoing] = await requested as [unknown, http.ServerResponse];
   outgoing.write("one");
   const [response] = await once(request, "response") as [http.IncomingMessage];
-  return { answer: new RunnerResponse(response), outgoing, response, server };
+  return {
+    runnerResponse: new RunnerResponse(response),
+    outgoing,
+    response,
+    server,
+  };
 }
 
 // The caller reads slowly, so no read loop runs while the runner sends more and
 // its connection is lost. If the buffered chunks are not returned exactly once
 // before the error, the caller misses tokens or gets a token twice.
 test("returns chunks buffered before a lost connection once, then the error", async () => {
-  const { answer, outgoing, response, server } = await open();
-  const first = await Effect.runPromise(answer.next(LONG_MS));
+  const { runnerResponse, outgoing, response, server } = await open();
+  const first = await Effect.runPromise(runnerResponse.next(LONG_MS));
   const closed = new Promise((resolve) => response.once("close", resolve));
   outgoing.write("two", () => outgoing.destroy());
   await closed;
-  const second = await Effect.runPromise(answer.next(LONG_MS));
-  const end = await Effect.runPromise(Effect.flip(answer.next(LONG_MS)));
+  const second = await Effect.runPromise(runnerResponse.next(LONG_MS));
+  const end = await Effect.runPromise(
+    Effect.flip(runnerResponse.next(LONG_MS)),
+  );
   assert.deepEqual([String(first), String(second)], ["one", "two"]);
   assert.deepEqual(end, { _tag: "ResponseInterrupted", reason: "reset" });
   server.close();
 });
 
 test("passes chunks to one read loop one by one, and then ends", async () => {
-  const { answer, outgoing, server } = await open();
-  const pieces: string[] = [];
+  const { runnerResponse, outgoing, server } = await open();
+  const chunks: string[] = [];
   const ended = await Effect.runPromise(
-    answer.forEachChunk(LONG_MS, (piece) => {
-      pieces.push(String(piece));
-      if (pieces.length === 1) outgoing.write("two");
+    runnerResponse.forEachChunk(LONG_MS, (chunk) => {
+      chunks.push(String(chunk));
+      if (chunks.length === 1) outgoing.write("two");
       else outgoing.end();
       return true;
     }),
   );
   assert.equal(ended, true);
-  assert.deepEqual(pieces, ["one", "two"]);
+  assert.deepEqual(chunks, ["one", "two"]);
   server.close();
   server.closeAllConnections();
 });
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -68,11 +68,11 @@
   requests: CallerRequests,
   options: { readonly signals: ShutdownSignals; readonly graceMs: number },
 ): Effect.Effect<number> {
-  const cutOff = Effect.race(
+  const interrupted = Effect.race(
     Effect.as(options.signals.immediate, EXIT_INTERRUPTED),
     Effect.as(Effect.sleep(options.graceMs), EXIT_INTERRUPTED),
   );
-  return Effect.race(Effect.as(requests.idle, EXIT_DRAINED), cutOff);
+  return Effect.race(Effect.as(requests.idle, EXIT_DRAINED), interrupted);
 }
 
 /** Waits for an effect, but no longer than a time limit. */
@@ -105,13 +105,13 @@
 /** Runs a daemon until a shutdown signal; see {@linkcode Lifecycle}. */
 function runUntilSignal(
   settings: Settings,
-  tools: {
+  services: {
     readonly log: Log;
     readonly decisions: DecisionHistory;
     readonly metrics: Metrics;
   },
 ): Effect.Effect<number, StartFailed, Scope.Scope> {
-  const { log, decisions, metrics } = tools;
+  const { log, decisions, metrics } = services;
   return Effect.gen(function* () {
     const signals = yield* listenForSignals;
     const fleet = yield* joinFleet(settings, log);
@@ -120,8 +120,11 @@
       requestsInFlight: requests.inFlight,
       callerConnections: callers.connections,
       tableVersion: fleet.feed.current()?.version ?? 0,
-      members: countBy(fleet.node.membership.view().members, (it) => it.state),
-      runners: countBy(fleet.directory.all(), (it) => it.service),
+      members: countBy(
+        fleet.node.membership.view().members,
+        (entry) => entry.state,
+      ),
+      runners: countBy(fleet.directory.all(), (runner) => runner.service),
     }));
     const placement = yield* startPlacement(fleet, { settings, log });
     const requests = new CallerRequests({
--- a/packages/daemon/src/fleet.ts
+++ b/packages/daemon/src/fleet.ts
@@ -128,7 +128,7 @@
     return hostList.subscribe(replace);
   });
   return Effect.asVoid(
-    Effect.acquireRelease(follow, (end) => Effect.sync(end)),
+    Effect.acquireRelease(follow, (unsubscribe) => Effect.sync(unsubscribe)),
   );
 }
 
--- a/packages/daemon/src/placement.ts
+++ b/packages/daemon/src/placement.ts
@@ -39,7 +39,7 @@
     if (!placement.enabled) return { counter };
     const scope = yield* Effect.scope;
     const started = new Set<string>();
-    const startNew = () => {
+    const startNewTasks = () => {
       for (const { name, kind } of fleet.feed.current()?.table.services ?? []) {
         if (kind !== "model" || started.has(name)) continue;
         started.add(name);
@@ -48,10 +48,10 @@
       }
     };
     yield* Effect.acquireRelease(
-      Effect.sync(() => fleet.feed.subscribe(startNew)),
-      (end) => Effect.sync(end),
+      Effect.sync(() => fleet.feed.subscribe(startNewTasks)),
+      (unsubscribe) => Effect.sync(unsubscribe),
     );
-    startNew();
+    startNewTasks();
     return { counter };
   });
 }
--- a/packages/daemon/src/request/admission.ts
+++ b/packages/daemon/src/request/admission.ts
@@ -121,10 +121,10 @@
 
 /** Builds the call of an admitted request and its body. */
 export function buildCall(
-  admission: AdmittedRequest,
+  admitted: AdmittedRequest,
   body: Uint8Array,
 ): Result<Call, Problem> {
-  const { route, table, callerRequest } = admission;
+  const { route, table, callerRequest } = admitted;
   if (route._tag === "Service") {
     return ok(serviceCall(callerRequest, { route, body }));
   }
--- a/packages/daemon/src/request/buffered_relay.ts
+++ b/packages/daemon/src/request/buffered_relay.ts
@@ -42,22 +42,24 @@
   context: BufferedRelayContext,
 ): Effect.Effect<BufferedResult, CallerGone> {
   return Effect.gen(function* () {
-    const held = yield* Effect.result(bufferBody(response, context.settings));
-    if (held._tag === "Failure") return truncated(held.failure.reason);
-    const { pieces, ended } = held.success;
-    if (!ended) return yield* passThrough(response, pieces, context);
-    const body = Buffer.concat(pieces);
-    const verdict = checkComplete(response, body, context.call);
-    if (verdict._tag === "Truncated") return verdict;
+    const buffered = yield* Effect.result(
+      bufferBody(response, context.settings),
+    );
+    if (buffered._tag === "Failure") return truncated(buffered.failure.reason);
+    const { chunks, ended } = buffered.success;
+    if (!ended) return yield* passThrough(response, chunks, context);
+    const body = Buffer.concat(chunks);
+    const result = checkComplete(response, body, context.call);
+    if (result._tag === "Truncated") return result;
     context.reply.writeHead(headWithLength(response, body, context.call));
     if (body.length > 0) yield* context.reply.write(body);
     context.reply.end();
-    return verdict;
+    return result;
   });
 }
 
 interface BufferedBody {
-  readonly pieces: Buffer[];
+  readonly chunks: Buffer[];
   /** Whether the declared end was reached within the bound. */
   readonly ended: boolean;
 }
@@ -67,28 +69,28 @@
   settings: AttemptSettings,
 ): Effect.Effect<BufferedBody, ResponseInterrupted> {
   return Effect.gen(function* () {
-    const pieces: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let size = 0;
     while (size <= settings.heldAnswerBytes) {
-      const piece = yield* response.next(settings.bodyIdleMs);
-      if (piece === undefined) return { pieces, ended: true };
-      pieces.push(piece);
-      size += piece.length;
+      const chunk = yield* response.next(settings.bodyIdleMs);
+      if (chunk === undefined) return { chunks, ended: true };
+      chunks.push(chunk);
+      size += chunk.length;
     }
-    return { pieces, ended: false };
+    return { chunks, ended: false };
   });
 }
 
 function passThrough(
   response: RunnerResponse,
-  pieces: readonly Buffer[],
+  chunks: readonly Buffer[],
   context: BufferedRelayContext,
 ): Effect.Effect<BufferedResult, CallerGone> {
   return Effect.gen(function* () {
     const { reply, settings } = context;
     if (!hasDeclaredEnd(response, context.call)) return truncated("no-end");
     reply.writeHead(forwardedHead(response));
-    for (const piece of pieces) yield* reply.write(piece);
+    for (const chunk of chunks) yield* reply.write(chunk);
     for (;;) {
       const next = yield* Effect.result(response.next(settings.bodyIdleMs));
       if (next._tag === "Failure") return truncated(next.failure.reason);
--- a/packages/daemon/src/request/caller_requests.ts
+++ b/packages/daemon/src/request/caller_requests.ts
@@ -82,8 +82,8 @@
   readonly #active = new TrackedSet<ActiveRequest>();
   #stopped = false;
 
-  constructor(environment: CallerDependencies) {
-    this.#dependencies = environment;
+  constructor(dependencies: CallerDependencies) {
+    this.#dependencies = dependencies;
   }
 
   /** Number of requests being served. */
@@ -125,8 +125,8 @@
       isShuttingDown: this.#dependencies.isShuttingDown,
     });
     const fiber = Effect.runFork(this.#handle(arrival, reply));
-    const held = { fiber, reply };
-    this.#active.add(held);
+    const active = { fiber, reply };
+    this.#active.add(active);
     // When the caller disconnects, the fiber is interrupted immediately, which
     // also cancels the engine's work. A write that times out on a slow caller
     // fails by itself with that reason.
@@ -138,7 +138,7 @@
       if (Exit.isFailure(exit)) {
         this.#handleFailure(arrival, { reply, cause: exit.cause });
       }
-      this.#active.delete(held);
+      this.#active.delete(active);
     });
   }
 
@@ -158,16 +158,16 @@
     return Effect.gen({ self: this }, function* () {
       const { isShuttingDown, limits, runner, table } = this.#dependencies;
       if (isShuttingDown()) return yield* Effect.fail(shutdownProblem());
-      const admission = yield* fromResult(admit(arrival, table()));
+      const admitted = yield* fromResult(admit(arrival, table()));
       if (arrival.overLimit) {
         return yield* Effect.fail(overLimitProblem(limits.queuedRequests));
       }
       reply.sendContinue();
       const body = yield* readBody(arrival.request, limits);
-      if (admission.route._tag === "Models") {
-        return reply.sendJson(modelList(admission.table.table));
+      if (admitted.route._tag === "Models") {
+        return reply.sendJson(modelList(admitted.table.table));
       }
-      const call = yield* fromResult(buildCall(admission, body));
+      const call = yield* fromResult(buildCall(admitted, body));
       const result = yield* runner.run(call, reply).pipe(
         Effect.onInterrupt(() =>
           Effect.sync(() =>
--- a/packages/daemon/src/request/placement_demand.ts
+++ b/packages/daemon/src/request/placement_demand.ts
@@ -23,7 +23,7 @@
     return Effect.acquireUseRelease(
       Effect.sync(() => this.#counter.requestStarted(model)),
       () => this.#inner.run(call, reply),
-      (leave) => Effect.sync(leave),
+      (requestEnded) => Effect.sync(requestEnded),
     );
   }
 }
--- a/packages/daemon/src/request/recording_reply.ts
+++ b/packages/daemon/src/request/recording_reply.ts
@@ -22,7 +22,7 @@
 export class RecordingReply implements Reply {
   readonly #reply: Reply;
   #head: ResponseHead | undefined;
-  #pieces: Uint8Array[] = [];
+  #chunks: Uint8Array[] = [];
   #size = 0;
   #complete = false;
   #disconnected = false;
@@ -42,7 +42,7 @@
     return {
       status: this.#head.status,
       headers: this.#head.headers,
-      body: Buffer.concat(this.#pieces),
+      body: Buffer.concat(this.#chunks),
     };
   }
 
@@ -53,8 +53,8 @@
 
   push(bytes: Uint8Array): boolean {
     this.#size += bytes.length;
-    if (this.#size <= MAX_RECORDED_BYTES) this.#pieces.push(bytes);
-    else this.#pieces = [];
+    if (this.#size <= MAX_RECORDED_BYTES) this.#chunks.push(bytes);
+    else this.#chunks = [];
     return this.#disconnected || this.#reply.push(bytes);
   }
 
--- a/packages/daemon/src/request/stream_relay.ts
+++ b/packages/daemon/src/request/stream_relay.ts
@@ -99,19 +99,20 @@
   response: RunnerResponse,
   scanner: EventScanner,
   context: RelayContext,
-): (piece: Buffer) => boolean {
+): (chunk: Buffer) => boolean {
   const { reply, clock, progress } = context;
-  return (piece) => {
+  return (chunk) => {
     const before = scanner.tokens;
-    const events = scanner.scan(piece);
-    const goesOn = !scanner.done && !scanner.failed && !scanner.oversized;
-    if (events.length === 0) return goesOn;
+    const events = scanner.scan(chunk);
+    const shouldContinue = !scanner.done && !scanner.failed &&
+      !scanner.oversized;
+    if (events.length === 0) return shouldContinue;
     recordTokens(progress, scanner, scanner.tokens - before);
     progress.lastAt = clock.monotonic();
     progress.firstAt ??= progress.lastAt;
     const first = !reply.headersSent;
     if (first) reply.writeHead(forwardedHead(response));
-    return reply.push(events) && goesOn && !first;
+    return reply.push(events) && shouldContinue && !first;
   };
 }
 
--- a/packages/daemon/src/routing.ts
+++ b/packages/daemon/src/routing.ts
@@ -24,10 +24,12 @@
 ): Effect.Effect<RunnerConnections, never, Scope.Scope> {
   return Effect.gen(function* () {
     const connections = new RunnerConnections();
-    const end = directory.subscribe(() => connections.retain(directory.all()));
+    const unsubscribe = directory.subscribe(() =>
+      connections.retain(directory.all())
+    );
     yield* Effect.addFinalizer(() =>
       Effect.sync(() => {
-        end();
+        unsubscribe();
         connections.close();
       })
     );
--- a/packages/daemon/src/version/table_feed.ts
+++ b/packages/daemon/src/version/table_feed.ts
@@ -62,9 +62,9 @@
 ): TableVersion {
   const rows = new Map<string, Map<string, Row>>();
   for (const row of table.rows) {
-    const ofWorkspace = rows.get(row.workspace) ?? new Map<string, Row>();
-    ofWorkspace.set(row.class, row);
-    rows.set(row.workspace, ofWorkspace);
+    const workspaceRows = rows.get(row.workspace) ?? new Map<string, Row>();
+    workspaceRows.set(row.class, row);
+    rows.set(row.workspace, workspaceRows);
   }
   return {
     version: options.version,
