--- a/packages/cli/src/request/table_import.ts
+++ b/packages/cli/src/request/table_import.ts
@@ -59,7 +59,7 @@
     const base = baseId === undefined || baseId === read.stored.editId
       ? read.stored.table
       : yield* Effect.mapError(
-        tableAt(store, { read, editId: baseId }),
+        tableAt(store, { current: read, editId: baseId }),
         (error) => storeFailure(error),
       );
     const wanted = yield* orInputFailure(file.apply(base), options.file);
--- a/packages/cli/src/request/table_read.ts
+++ b/packages/cli/src/request/table_read.ts
@@ -94,7 +94,7 @@
     const table = options.at === undefined
       ? read.stored.table
       : yield* Effect.mapError(
-        tableAt(store, { read, editId: options.at }),
+        tableAt(store, { current: read, editId: options.at }),
         (error) => storeFailure(error),
       );
     const json = formatOf(options) === "json";
--- a/packages/cli/src/request/table_write.ts
+++ b/packages/cli/src/request/table_write.ts
@@ -87,7 +87,7 @@
     const read = yield* currentTable(store);
     const { editId } = options;
     const earlier = yield* Effect.mapError(
-      tableAt(store, { read, editId }),
+      tableAt(store, { current: read, editId }),
       (error) => storeFailure(error),
     );
     const changes = diffTables(read.stored.table, earlier);
--- a/packages/table/src/table_at.ts
+++ b/packages/table/src/table_at.ts
@@ -33,13 +33,13 @@
  */
 export function tableAt(
   store: Store,
-  target: { readonly read: VersionedTable; readonly editId: string },
+  target: { readonly current: VersionedTable; readonly editId: string },
 ): Effect.Effect<
   Table,
   Unavailable | HistoryMissing | EditNotFound | MergeFailure
 > {
   return Effect.gen(function* () {
-    const { editId, read } = target;
+    const { editId, current: read } = target;
     const entries = yield* readHistory(store, read.stored, {
       after: 0,
       until: (entry) => entry.editId === editId,
--- a/packages/table/src/table_at_test.ts
+++ b/packages/table/src/table_at_test.ts
@@ -23,7 +23,7 @@
   }
   const read = await readFrom(store);
   const earlier = await runOnVirtualClock(
-    tableAt(store, { read, editId: "e3" }),
+    tableAt(store, { current: read, editId: "e3" }),
   );
   const edit: Edit = {
     editId: "back",
@@ -35,6 +35,6 @@
   await runOnVirtualClock(applyEdit(store, edit));
   assert.equal(await weightOf(store, "office/quote"), 4);
   assert.equal((await historyIds(store)).length, 102);
-  const missing = tableAt(store, { read, editId: "nothing" });
+  const missing = tableAt(store, { current: read, editId: "nothing" });
   assert.equal((await failureOf(missing))._tag, "EditNotFound");
 });
