--- a/packages/table/src/commit.ts
+++ b/packages/table/src/commit.ts
@@ -71,7 +71,7 @@
     readonly _tag: "Write";
     readonly value: StoredTable;
     /** Maps the table as written, without history moved to pages, to the result. */
-    readonly toResult: (read: VersionedTable) => A;
+    readonly toResult: (written: VersionedTable) => A;
   };
 
 /** Options of a commit. */
@@ -115,7 +115,7 @@
 export function commit<A, E>(
   store: Store,
   decide: (
-    read: VersionedTable | undefined,
+    current: VersionedTable | undefined,
   ) => Effect.Effect<Decision<A, E>, Unavailable | HistoryMissing>,
   options: CommitOptions = {},
 ): Effect.Effect<A, E | CommitFailure> {
@@ -166,12 +166,12 @@
 function attemptCommit<A, E>(
   store: Store,
   decide: (
-    read: VersionedTable | undefined,
+    current: VersionedTable | undefined,
   ) => Effect.Effect<Decision<A, E>, Unavailable | HistoryMissing>,
 ): Effect.Effect<A, AttemptFailure<E>> {
   return Effect.gen(function* () {
-    const read = yield* readTable(store);
-    const decision = yield* decide(read);
+    const current = yield* readTable(store);
+    const decision = yield* decide(current);
     if (decision._tag === "Done") return decision.result;
     if (decision._tag === "Refused") {
       return yield* Effect.fail<Refused<E>>(decision);
@@ -188,7 +188,7 @@
     yield* asTableNotWritten(writePage(store, page));
     const version = yield* store.write(
       { kind: TABLE_KIND, name: TABLE_NAME, value },
-      { ifVersion: read?.version ?? 0 },
+      { ifVersion: current?.version ?? 0 },
     );
     return decision.toResult({ version, stored: value });
   }).pipe(
--- a/packages/table/src/edit.ts
+++ b/packages/table/src/edit.ts
@@ -82,11 +82,11 @@
  * @example
  * ```ts
  * const outcome = await Effect.runPromise(applyEdit(store, {
- *   editId: newEditId(read.stored.sequence),
+ *   editId: newEditId(current.stored.sequence),
  *   editor: "ana",
  *   at: Date.now(),
- *   baseSequence: read.stored.sequence,
- *   changes: diffTables(read.stored.table, wanted),
+ *   baseSequence: current.stored.sequence,
+ *   changes: diffTables(current.stored.table, wanted),
  * }));
  * ```
  */
@@ -95,7 +95,7 @@
   edit: Edit,
   options: CommitOptions = {},
 ): Effect.Effect<Accepted | Unchanged, EditFailure> {
-  return commit(store, (read) => decideEdit(store, edit, read), options);
+  return commit(store, (current) => decideEdit(store, edit, current), options);
 }
 
 /**
@@ -109,11 +109,11 @@
 ): Effect.Effect<Accepted, CommitFailure | TableExists> {
   const value = initialStoredTable(first.table, first.metadata);
   const entry = value.history[0] as HistoryEntry;
-  return commit(store, (read) =>
+  return commit(store, (current) =>
     Effect.succeed(
-      read === undefined
+      current === undefined
         ? writeDecision(value, entry)
-        : decideCreate(read, first.metadata.editId, entry),
+        : decideCreate(current, first.metadata.editId, entry),
     ), options);
 }
 
@@ -124,12 +124,12 @@
  */
 export function findEdit(
   store: Store,
-  read: VersionedTable,
+  current: VersionedTable,
   edit: { readonly editId: string; readonly baseSequence: number },
 ): Effect.Effect<HistoryEntry | undefined, Unavailable | HistoryMissing> {
   const matches = (entry: HistoryEntry) =>
     entry.editId === edit.editId || entry.closes === edit.editId;
-  const entries = readHistory(store, read.stored, {
+  const entries = readHistory(store, current.stored, {
     after: edit.baseSequence,
     until: matches,
   });
@@ -172,24 +172,24 @@
   return {
     _tag: "Write",
     value,
-    toResult: (read) => ({ _tag: "Accepted", ...read, entry }),
+    toResult: (written) => ({ _tag: "Accepted", ...written, entry }),
   };
 }
 
 function decideEdit(
   store: Store,
   edit: Edit,
-  read: VersionedTable | undefined,
+  current: VersionedTable | undefined,
 ): Effect.Effect<
   Decision<Accepted | Unchanged, MergeFailure | TableMissing | EditClosed>,
   Unavailable | HistoryMissing
 > {
   return Effect.gen(function* () {
-    if (read === undefined) {
+    if (current === undefined) {
       return { _tag: "Refused", error: { _tag: "TableMissing" } } as const;
     }
-    const { version, stored } = read;
-    const entry = yield* findEdit(store, read, edit);
+    const { version, stored } = current;
+    const entry = yield* findEdit(store, current, edit);
     if (entry?.closes === edit.editId) {
       return { _tag: "Refused", error: { _tag: "EditClosed", entry } } as const;
     }
--- a/packages/table/src/edit_fixtures.ts
+++ b/packages/table/src/edit_fixtures.ts
@@ -87,15 +87,11 @@
   fault: "lose-reply" | "lose-request",
   beforeRead: () => Effect.Effect<void> = () => Effect.void,
 ): Store {
-  let faultPending = true;
+  let armed = true;
   return store.withPlan(({ operation, kind }) => {
-    if (operation === "read" && !faultPending) {
-      return Effect.as(beforeRead(), "none");
-    }
-    if (operation !== "write" || kind !== TABLE_KIND || !faultPending) {
-      return "none";
-    }
-    faultPending = false;
+    if (operation === "read" && !armed) return Effect.as(beforeRead(), "none");
+    if (operation !== "write" || kind !== TABLE_KIND || !armed) return "none";
+    armed = false;
     return fault;
   });
 }
--- a/packages/table/src/edit_property_test.ts
+++ b/packages/table/src/edit_property_test.ts
@@ -76,34 +76,39 @@
   const weights = fc.array(fc.integer({ min: 1, max: 5 }), { maxLength: 6 });
   const faults = fc.array(fc.constantFrom(...FAULTS), { maxLength: 60 });
   await fc.assert(
-    fc.asyncProperty(weights, weights, faults, async (one, other, planned) => {
-      const store = new MemoryStore();
-      const metadata = { editId: "first", editor: "ana", at: 0 };
-      await runOnVirtualClock(
-        createTable(store, { table: tableOf(), metadata }),
-      );
-      const remainingFaults = [...planned];
-      const nextFault = () => remainingFaults.pop() ?? "none";
-      const outcomes = await runOnVirtualClock(Effect.all([
-        operator(store, { name: "one", weights: one, nextFault }),
-        operator(store, { name: "other", weights: other, nextFault }),
-      ], { concurrency: "unbounded" }));
-      const accepted = outcomes.flat().filter((outcome) => outcome.accepted);
-      const read = await runOnVirtualClock(readTable(store));
-      assert.ok(read !== undefined);
-      const entries = await runOnVirtualClock(
-        readHistory(store, read.stored, { after: 0 }),
-      );
-      const edits = entries.filter(({ changes }) => changes.length > 0);
-      assert.deepEqual(
-        edits.map(({ editId }) => editId).sort(),
-        accepted.map(({ editId }) => editId).sort(),
-      );
-      assert.deepEqual(
-        entries.map(({ sequence }) => sequence),
-        entries.map((_, index) => entries.length - index),
-      );
-    }),
+    fc.asyncProperty(
+      weights,
+      weights,
+      faults,
+      async (first, second, planned) => {
+        const store = new MemoryStore();
+        const metadata = { editId: "first", editor: "ana", at: 0 };
+        await runOnVirtualClock(
+          createTable(store, { table: tableOf(), metadata }),
+        );
+        const remainingFaults = [...planned];
+        const nextFault = () => remainingFaults.pop() ?? "none";
+        const outcomes = await runOnVirtualClock(Effect.all([
+          operator(store, { name: "one", weights: first, nextFault }),
+          operator(store, { name: "other", weights: second, nextFault }),
+        ], { concurrency: "unbounded" }));
+        const accepted = outcomes.flat().filter((outcome) => outcome.accepted);
+        const read = await runOnVirtualClock(readTable(store));
+        assert.ok(read !== undefined);
+        const entries = await runOnVirtualClock(
+          readHistory(store, read.stored, { after: 0 }),
+        );
+        const edits = entries.filter(({ changes }) => changes.length > 0);
+        assert.deepEqual(
+          edits.map(({ editId }) => editId).sort(),
+          accepted.map(({ editId }) => editId).sort(),
+        );
+        assert.deepEqual(
+          entries.map(({ sequence }) => sequence),
+          entries.map((_, index) => entries.length - index),
+        );
+      },
+    ),
     { seed: 41, numRuns: 150 },
   );
 });
--- a/packages/table/src/history.ts
+++ b/packages/table/src/history.ts
@@ -87,42 +87,36 @@
   return Effect.gen(function* () {
     const entries: HistoryEntry[] = [];
     let page = stored.history;
-    let nextSequence = stored.sequence;
-    while (nextSequence > options.after) {
+    let next = stored.sequence;
+    while (next > options.after) {
       for (const entry of page.toReversed()) {
         if (entry.sequence <= options.after) return entries;
         entries.push(entry);
         if (options.until?.(entry)) return entries;
-        nextSequence = entry.sequence - 1;
-      }
-      if (nextSequence > options.after) {
-        page = yield* readPage(store, nextSequence);
+        next = entry.sequence - 1;
       }
+      if (next > options.after) page = yield* readPage(store, next);
     }
     return entries;
   });
 }
 
+/** Reads the page whose last entry has the sequence `last`. */
 function readPage(
   store: Store,
-  lastSequence: number,
+  last: number,
 ): Effect.Effect<readonly HistoryEntry[], Unavailable | HistoryMissing> {
-  return Effect.flatMap(
-    store.read(HISTORY_KIND, pageName(lastSequence)),
-    (object) => {
-      const value = object?.value as { readonly entries?: unknown } | undefined;
-      const entries = decodeHistory(value?.entries).unwrapOr([]);
-      // Skipping a page that was removed would report the edits in it as never
-      // accepted.
-      if (entries.at(-1)?.sequence === lastSequence) {
-        return Effect.succeed(entries);
-      }
-      return Effect.fail<HistoryMissing>({
-        _tag: "HistoryMissing",
-        sequence: lastSequence,
-      });
-    },
-  );
+  return Effect.flatMap(store.read(HISTORY_KIND, pageName(last)), (object) => {
+    const value = object?.value as { readonly entries?: unknown } | undefined;
+    const entries = decodeHistory(value?.entries).unwrapOr([]);
+    // Skipping a page that was removed would report the edits in it as never
+    // accepted.
+    if (entries.at(-1)?.sequence === last) return Effect.succeed(entries);
+    return Effect.fail<HistoryMissing>({
+      _tag: "HistoryMissing",
+      sequence: last,
+    });
+  });
 }
 
 function pageName(lastSequence: number): string {
--- a/packages/table/src/merge.ts
+++ b/packages/table/src/merge.ts
@@ -48,7 +48,7 @@
  *
  * @example
  * ```ts
- * const changes = diffTables(read, wanted);
+ * const changes = diffTables(base, wanted);
  * mergeChanges(latest, changes).match(
  *   ({ table }) => write(table),
  *   (failure) => show(failure),
--- a/packages/table/src/resolve.ts
+++ b/packages/table/src/resolve.ts
@@ -49,7 +49,7 @@
 ): Effect.Effect<Accepted | Closed, CommitFailure | TableMissing> {
   return commit(
     store,
-    (read) => decideResolution(store, request, read),
+    (current) => decideResolution(store, request, current),
     options,
   );
 }
@@ -57,19 +57,19 @@
 function decideResolution(
   store: Store,
   request: { readonly editId: string; readonly closing: EditMetadata },
-  read: VersionedTable | undefined,
+  current: VersionedTable | undefined,
 ): Effect.Effect<
   Decision<Accepted | Closed, TableMissing>,
   Unavailable | HistoryMissing
 > {
   return Effect.gen(function* () {
-    if (read === undefined) {
+    if (current === undefined) {
       return { _tag: "Refused", error: { _tag: "TableMissing" } } as const;
     }
     const { editId, closing } = request;
-    const { version, stored } = read;
+    const { version, stored } = current;
     const baseSequence = baseSequenceOf(editId);
-    const entry = yield* findEdit(store, read, { editId, baseSequence });
+    const entry = yield* findEdit(store, current, { editId, baseSequence });
     if (entry !== undefined) {
       const result: Accepted | Closed = entry.editId === editId
         ? { _tag: "Accepted", version, stored, entry }
--- a/packages/table/src/table_at.ts
+++ b/packages/table/src/table_at.ts
@@ -27,8 +27,8 @@
  *
  * @example
  * ```ts
- * const earlier = await Effect.runPromise(tableAt(store, { read, editId }));
- * const changes = diffTables(read.stored.table, earlier);
+ * const earlier = await Effect.runPromise(tableAt(store, { current, editId }));
+ * const changes = diffTables(current.stored.table, earlier);
  * ```
  */
 export function tableAt(
@@ -39,15 +39,15 @@
   Unavailable | HistoryMissing | EditNotFound | MergeFailure
 > {
   return Effect.gen(function* () {
-    const { editId, current: read } = target;
-    const entries = yield* readHistory(store, read.stored, {
+    const { editId, current } = target;
+    const entries = yield* readHistory(store, current.stored, {
       after: 0,
       until: (entry) => entry.editId === editId,
     });
     if (entries.at(-1)?.editId !== editId) {
       return yield* Effect.fail<EditNotFound>({ _tag: "EditNotFound", editId });
     }
-    const reverted = revertEdits(read.stored.table, entries.slice(0, -1));
+    const reverted = revertEdits(current.stored.table, entries.slice(0, -1));
     return yield* reverted.isOk()
       ? Effect.succeed(reverted.value)
       : Effect.fail(reverted.error);
--- a/packages/table/src/table_at_test.ts
+++ b/packages/table/src/table_at_test.ts
@@ -21,20 +21,20 @@
     const edit = await rowEdit(store, rowOf({ weight: 1 + at }), `e${at}`);
     await runOnVirtualClock(applyEdit(store, edit));
   }
-  const read = await readFrom(store);
+  const current = await readFrom(store);
   const earlier = await runOnVirtualClock(
-    tableAt(store, { current: read, editId: "e3" }),
+    tableAt(store, { current, editId: "e3" }),
   );
   const edit: Edit = {
     editId: "back",
     editor: "bo",
     at: 4,
-    baseSequence: read.stored.sequence,
-    changes: diffTables(read.stored.table, earlier),
+    baseSequence: current.stored.sequence,
+    changes: diffTables(current.stored.table, earlier),
   };
   await runOnVirtualClock(applyEdit(store, edit));
   assert.equal(await weightOf(store, "office/quote"), 4);
   assert.equal((await historyIds(store)).length, 102);
-  const missing = tableAt(store, { current: read, editId: "nothing" });
+  const missing = tableAt(store, { current, editId: "nothing" });
   assert.equal((await failureOf(missing))._tag, "EditNotFound");
 });
