--- a/packages/coordination/src/connection/handshake.ts
+++ b/packages/coordination/src/connection/handshake.ts
@@ -28,7 +28,7 @@
 import { decodeItem, encodeItem } from "../process/codec.ts";
 import type { FrameReader, LinkClosed } from "./frame.ts";
 import { encodeFrame, linkClosed } from "./frame.ts";
-import { Opener, Sealer } from "./session.ts";
+import { FrameSigner, FrameVerifier } from "./session.ts";
 import type { Session } from "./session.ts";
 
 /** Largest frame that is accepted during the handshake, in bytes. */
@@ -185,8 +185,8 @@
     peer: peer.name,
     incarnation: peer.incarnation,
     version,
-    sealer: new Sealer(deriveSessionKey(key, "dialler", transcript)),
-    opener: new Opener(deriveSessionKey(key, "accepter", transcript)),
+    signer: new FrameSigner(deriveSessionKey(key, "dialler", transcript)),
+    verifier: new FrameVerifier(deriveSessionKey(key, "accepter", transcript)),
   };
 });
 
@@ -219,7 +219,7 @@
     peer: peer.name,
     incarnation: peer.incarnation,
     version,
-    sealer: new Sealer(deriveSessionKey(key, "accepter", transcript)),
-    opener: new Opener(deriveSessionKey(key, "dialler", transcript)),
+    signer: new FrameSigner(deriveSessionKey(key, "accepter", transcript)),
+    verifier: new FrameVerifier(deriveSessionKey(key, "dialler", transcript)),
   };
 });
--- a/packages/coordination/src/connection/link.ts
+++ b/packages/coordination/src/connection/link.ts
@@ -78,7 +78,7 @@
     this.establishedAt = context.clock.monotonic();
     this.#writer = new LinkWriter({
       socket: connection.socket,
-      sealer: connection.session.sealer,
+      signer: connection.session.signer,
       traffic: context.traffic,
       maxFrameBytes: context.settings.maxFrameBytes,
     });
@@ -156,7 +156,7 @@
       while (true) {
         const frame = yield* reader.next();
         context.traffic.addReceived(frame.length + LENGTH_BYTES);
-        const payload = yield* fromResult(this.#session.opener.open(frame));
+        const payload = yield* fromResult(this.#session.verifier.verify(frame));
         const message = yield* fromResult(decodeLinkMessage(payload));
         this.#activity.recordReceived();
         yield* this.#dispatch(message, requestScope);
--- a/packages/coordination/src/connection/link_writer.ts
+++ b/packages/coordination/src/connection/link_writer.ts
@@ -7,12 +7,12 @@
 import type { Socket } from "node:net";
 import type { TrafficCounter } from "../process/traffic.ts";
 import { TAG_BYTES } from "./session.ts";
-import type { Sealer } from "./session.ts";
+import type { FrameSigner } from "./session.ts";
 
 /** Settings of a {@linkcode LinkWriter}. */
 export interface LinkWriterOptions {
   readonly socket: Socket;
-  readonly sealer: Sealer;
+  readonly signer: FrameSigner;
   readonly traffic: TrafficCounter;
   /** Largest frame that the peer accepts, in bytes, including its tag. */
   readonly maxFrameBytes: number;
@@ -46,7 +46,7 @@
    * Writes a message; the messages of one turn of the event loop share packets.
    */
   write(payload: Uint8Array): void {
-    const { socket, sealer, traffic } = this.#options;
+    const { socket, signer, traffic } = this.#options;
     if (!this.#corked) {
       this.#corked = true;
       socket.cork();
@@ -55,7 +55,7 @@
         socket.uncork();
       });
     }
-    const frame = sealer.seal(payload);
+    const frame = signer.sign(payload);
     traffic.addSent(frame.length);
     socket.write(frame);
   }
--- a/packages/coordination/src/connection/session.ts
+++ b/packages/coordination/src/connection/session.ts
@@ -37,7 +37,7 @@
  * frames. If a frame is repeated, dropped, reordered or injected on the path,
  * the check therefore fails and the link closes.
  */
-export class Sealer {
+export class FrameSigner {
   readonly #key: Uint8Array;
   #sequence = 0n;
 
@@ -46,7 +46,7 @@
   }
 
   /** Encodes the frame of a payload and its tag. */
-  seal(payload: Uint8Array): Buffer {
+  sign(payload: Uint8Array): Buffer {
     const tag = computeTag(this.#key, this.#sequence, payload);
     this.#sequence += 1n;
     return encodeFrame([tag, payload]);
@@ -54,7 +54,7 @@
 }
 
 /** Checks the tags of incoming frames. */
-export class Opener {
+export class FrameVerifier {
   readonly #key: Uint8Array;
   #sequence = 0n;
 
@@ -63,7 +63,7 @@
   }
 
   /** Returns the payload of a frame, or `forged` if its tag is wrong. */
-  open(frame: Uint8Array): Result<Uint8Array, LinkClosed> {
+  verify(frame: Uint8Array): Result<Uint8Array, LinkClosed> {
     if (frame.length < TAG_BYTES) return err(linkClosed("forged"));
     const payload = frame.subarray(TAG_BYTES);
     const tag = computeTag(this.#key, this.#sequence, payload);
@@ -83,6 +83,6 @@
   readonly incarnation: number;
   /** Version of the link protocol that both ends support. */
   readonly version: number;
-  readonly sealer: Sealer;
-  readonly opener: Opener;
+  readonly signer: FrameSigner;
+  readonly verifier: FrameVerifier;
 }
--- a/packages/coordination/src/mod.ts
+++ b/packages/coordination/src/mod.ts
@@ -51,7 +51,7 @@
   StoreEvent,
   StoreListing,
   Unavailable,
-  WatchRange,
+  WatchOptions,
   WriteCondition,
 } from "./process/store.ts";
 export { peerUnreachable } from "./process/peers.ts";
--- a/packages/coordination/src/process/http_store.ts
+++ b/packages/coordination/src/process/http_store.ts
@@ -23,7 +23,7 @@
   StoredObject,
   StoreListing,
   Unavailable,
-  WatchRange,
+  WatchOptions,
   WriteCondition,
 } from "./store.ts";
 
@@ -172,7 +172,7 @@
 
   watch(
     kind: string,
-    options: WatchRange,
+    options: WatchOptions,
   ): Effect.Effect<StoreChanges, Unavailable> {
     const path = `/watch/${
       encodeURIComponent(kind)
--- a/packages/coordination/src/process/membership_datagram.ts
+++ b/packages/coordination/src/process/membership_datagram.ts
@@ -71,7 +71,7 @@
   }
 
   /** Encodes a probe as an authenticated datagram. */
-  seal(probe: Probe): Buffer {
+  encode(probe: Probe): Buffer {
     const payload = encodeItem([
       KINDS.indexOf(probe.kind),
       probe.sequence,
@@ -90,7 +90,7 @@
   }
 
   /** Decodes a datagram; undefined if it is not authentic or is malformed. */
-  open(datagram: Uint8Array): Probe | undefined {
+  decode(datagram: Uint8Array): Probe | undefined {
     if (datagram.length > this.#maxBytes) return undefined;
     if (datagram.length <= HEAD_BYTES) return undefined;
     if (datagram[0] !== VERSION) return undefined;
--- a/packages/coordination/src/process/membership_datagram_test.ts
+++ b/packages/coordination/src/process/membership_datagram_test.ts
@@ -32,33 +32,33 @@
   };
 }
 
-test("a sealed datagram opens to the same probe", () => {
+test("a datagram decodes to the probe that was encoded", () => {
   const codec = new ProbeCodec(KEY, MAX_BYTES);
   const probe = probeWith([recordOf("m4"), recordOf("m5")]);
-  assert.deepEqual(codec.open(codec.seal(probe)), probe);
+  assert.deepEqual(codec.decode(codec.encode(probe)), probe);
 });
 
-test("a datagram sealed with another key is ignored", () => {
+test("a datagram authenticated with another key is ignored", () => {
   const other = new ProbeCodec(Buffer.from("another key"), MAX_BYTES);
   const codec = new ProbeCodec(KEY, MAX_BYTES);
-  assert.equal(codec.open(other.seal(probeWith([]))), undefined);
+  assert.equal(codec.decode(other.encode(probeWith([]))), undefined);
 });
 
 test("a corrupted, truncated or empty datagram is ignored", () => {
   const codec = new ProbeCodec(KEY, MAX_BYTES);
-  const datagram = codec.seal(probeWith([recordOf("m4")]));
+  const datagram = codec.encode(probeWith([recordOf("m4")]));
   for (let at = 0; at < datagram.length; at++) {
     const changed = Buffer.from(datagram);
     changed[at] = (changed[at] ?? 0) ^ 1;
-    assert.equal(codec.open(changed), undefined, `byte ${at}`);
-    assert.equal(codec.open(datagram.subarray(0, at)), undefined);
+    assert.equal(codec.decode(changed), undefined, `byte ${at}`);
+    assert.equal(codec.decode(datagram.subarray(0, at)), undefined);
   }
 });
 
 test("a datagram over the maximum size is ignored even if it is authentic", () => {
   const sender = new ProbeCodec(KEY, MAX_BYTES);
   const strict = new ProbeCodec(KEY, 100);
-  const datagram = sender.seal(probeWith([recordOf("m4")]));
+  const datagram = sender.encode(probeWith([recordOf("m4")]));
   assert.ok(datagram.length > 100);
-  assert.equal(strict.open(datagram), undefined);
+  assert.equal(strict.decode(datagram), undefined);
 });
--- a/packages/coordination/src/process/membership_outbox.ts
+++ b/packages/coordination/src/process/membership_outbox.ts
@@ -81,7 +81,7 @@
       ? INDIRECT_PROBE_RECORD_BYTES
       : settings.maxDatagramBytes - used;
     const records = table.recordsFor(to, { bytes, rotating });
-    const datagram = codec.seal({
+    const datagram = codec.encode({
       kind,
       sequence,
       to,
--- a/packages/coordination/src/process/membership_probed.ts
+++ b/packages/coordination/src/process/membership_probed.ts
@@ -85,11 +85,11 @@
     yield* Effect.addFinalizer(() =>
       Effect.sync(() => {
         unsubscribe();
-        membership.#prober.announceDeparture();
+        membership.#prober.announceLeft();
       })
     );
     yield* membership.#prober.runProbing().pipe(Effect.forkScoped);
-    yield* membership.#prober.runMaintenance().pipe(Effect.forkScoped);
+    yield* membership.#prober.runGossipAndExpiry().pipe(Effect.forkScoped);
     return membership;
   });
 
--- a/packages/coordination/src/process/membership_prober.ts
+++ b/packages/coordination/src/process/membership_prober.ts
@@ -95,7 +95,7 @@
    * Sends gossip, removes members whose suspicion has expired, and detects
    * pauses of this process, without end.
    */
-  readonly runMaintenance = Effect.fnUntraced(
+  readonly runGossipAndExpiry = Effect.fnUntraced(
     { self: this },
     function* (): Effect.fn.Return<never> {
       const { settings, clock, table } = this.#options;
@@ -131,7 +131,7 @@
   );
 
   /** Announces that this process has left. */
-  announceDeparture(): void {
+  announceLeft(): void {
     this.#options.table.depart();
     this.#sendGossip(this.#options.settings.leaveFanout);
   }
@@ -209,7 +209,7 @@
 
   #receive(datagram: Uint8Array): void {
     const { table } = this.#options;
-    const probe = this.#codec.open(datagram);
+    const probe = this.#codec.decode(datagram);
     if (probe === undefined) return;
     // The datagram was addressed to a host that used this address before.
     if (probe.to !== table.self.member.name) return;
--- a/packages/coordination/src/process/store.ts
+++ b/packages/coordination/src/process/store.ts
@@ -39,7 +39,7 @@
 }
 
 /** Which changes a watch waits for, and how long. */
-export interface WatchRange {
+export interface WatchOptions {
   /** Changes later than this revision. */
   readonly from: number;
   /** Maximum wait for the first change, in milliseconds. */
@@ -116,6 +116,6 @@
    */
   watch(
     kind: string,
-    options: WatchRange,
+    options: WatchOptions,
   ): Effect.Effect<StoreChanges, Unavailable>;
 }
--- a/packages/coordination/src/testing/memory_store.ts
+++ b/packages/coordination/src/testing/memory_store.ts
@@ -14,7 +14,7 @@
   StoreEvent,
   StoreListing,
   Unavailable,
-  WatchRange,
+  WatchOptions,
   WriteCondition,
 } from "../process/store.ts";
 
@@ -120,7 +120,7 @@
 
   watch(
     kind: string,
-    options: WatchRange,
+    options: WatchOptions,
   ): Effect.Effect<StoreChanges, Unavailable> {
     return this.faulty(
       { operation: "watch", kind },
@@ -167,7 +167,7 @@
 
   #changes(
     kind: string,
-    options: WatchRange,
+    options: WatchOptions,
   ) {
     const newEvents = () =>
       this.#events.filter((event) =>
@@ -245,7 +245,7 @@
 
   watch(
     kind: string,
-    options: WatchRange,
+    options: WatchOptions,
   ) {
     const call = { operation: "watch", kind } as const;
     const watch = this.#store.watch(kind, options);
--- a/packages/coordination/src/version/published_value.ts
+++ b/packages/coordination/src/version/published_value.ts
@@ -95,7 +95,7 @@
       applyIfNewer: (candidate, source) =>
         this.#applyIfNewer(candidate, source),
       knownVersion: () =>
-        Math.max(this.#history.version, this.#rejectedVersion),
+        Math.max(this.#history.newestVersion, this.#rejectedVersion),
     });
     this.#follower = new StoreFollower({
       store,
@@ -134,7 +134,7 @@
 
   /** The current version, as a digest that heartbeats carry. */
   readonly digest = {
-    read: (): unknown => this.#history.version,
+    read: (): unknown => this.#history.newestVersion,
     receive: (from: string, digest: unknown): void =>
       this.#exchange.receiveVersion(from, digest),
   };
@@ -229,7 +229,7 @@
     source: VersionSource,
   ): boolean {
     const { version, value } = candidate;
-    const previous = this.#history.version;
+    const previous = this.#history.newestVersion;
     if (version <= Math.max(previous, this.#rejectedVersion)) return false;
     let decoded: T;
     try {
--- a/packages/coordination/src/version/version_exchange.ts
+++ b/packages/coordination/src/version/version_exchange.ts
@@ -180,14 +180,14 @@
   }
 
   #versionOnly(): VersionUpdate {
-    return { kind: "version", version: this.#options.history.version };
+    return { kind: "version", version: this.#options.history.newestVersion };
   }
 
   /** Returns false if the update is newer but its base is missing here. */
   #applyUpdate(from: string, update: VersionUpdate): boolean {
     const { knownVersion, history, applyIfNewer } = this.#options;
     if (update.version <= knownVersion()) return true;
-    const value = history.valueOf(update);
+    const value = history.resolveUpdate(update);
     if (value === undefined) return false;
     applyIfNewer({ version: update.version, value }, this.#sourceOf(from));
     return true;
--- a/packages/coordination/src/version/version_history.ts
+++ b/packages/coordination/src/version/version_history.ts
@@ -14,7 +14,7 @@
   readonly version: number;
   readonly value: Json;
   /** Length of the value as JSON, to compare with that of a delta. */
-  readonly size: number;
+  readonly jsonLength: number;
 }
 
 /** The last few versions of a value, newest last. */
@@ -23,27 +23,31 @@
   readonly #updateCache = new Map<number, VersionUpdate>();
 
   /** The newest version; 0 when there is none. */
-  get version(): number {
+  get newestVersion(): number {
     return this.#entries.at(-1)?.version ?? 0;
   }
 
   /** Adds a version that is newer than the others. */
   add(version: number, value: Json): void {
-    this.#entries.push({ version, value, size: JSON.stringify(value).length });
+    this.#entries.push({
+      version,
+      value,
+      jsonLength: JSON.stringify(value).length,
+    });
     if (this.#entries.length > MAX_VERSIONS) this.#entries.shift();
     this.#updateCache.clear();
   }
 
   /** Returns the update for members at version `have`; deltas are cached. */
-  updateFor(have: number): VersionUpdate {
+  updateFor(memberVersion: number): VersionUpdate {
     const newest = this.#entries.at(-1);
     if (newest === undefined) return { kind: "version", version: 0 };
-    if (have >= newest.version) {
+    if (memberVersion >= newest.version) {
       return { kind: "version", version: newest.version };
     }
-    const update = this.#updateCache.get(have) ??
-      this.#createUpdate(have, newest);
-    if (update.kind === "delta") this.#updateCache.set(have, update);
+    const update = this.#updateCache.get(memberVersion) ??
+      this.#createUpdate(memberVersion, newest);
+    if (update.kind === "delta") this.#updateCache.set(memberVersion, update);
     return update;
   }
 
@@ -51,7 +55,7 @@
    * Returns the value after an update; undefined if it carries none or its base
    * is missing.
    */
-  valueOf(update: VersionUpdate): Json | undefined {
+  resolveUpdate(update: VersionUpdate): Json | undefined {
     if (update.kind === "whole") return update.value;
     if (update.kind === "version") return undefined;
     const base = this.#entries.find(({ version }) => version === update.from);
@@ -59,14 +63,14 @@
     return applyDelta(base.value, update.delta);
   }
 
-  #createUpdate(have: number, newest: HistoryEntry): VersionUpdate {
-    const { version, value, size } = newest;
-    const base = this.#entries.find((entry) => entry.version === have);
+  #createUpdate(memberVersion: number, newest: HistoryEntry): VersionUpdate {
+    const { version, value, jsonLength } = newest;
+    const base = this.#entries.find((entry) => entry.version === memberVersion);
     if (base === undefined) return { kind: "whole", version, value };
     const delta = makeDelta(base.value, value);
-    if (JSON.stringify(delta).length >= size) {
+    if (JSON.stringify(delta).length >= jsonLength) {
       return { kind: "whole", version, value };
     }
-    return { kind: "delta", version, from: have, delta };
+    return { kind: "delta", version, from: memberVersion, delta };
   }
 }
--- a/packages/coordination/tests/handshake_test.ts
+++ b/packages/coordination/tests/handshake_test.ts
@@ -66,8 +66,8 @@
     assert.equal(accepter.value.peer, "a");
     assert.equal(accepter.value.incarnation, 7);
     const message = Buffer.from("hello");
-    const frame = dialler.value.sealer.seal(message).subarray(4);
-    const opened = accepter.value.opener.open(frame);
+    const frame = dialler.value.signer.sign(message).subarray(4);
+    const opened = accepter.value.verifier.verify(frame);
     assert.deepEqual(opened.unwrapOr(Buffer.alloc(0)), message);
   }))));
 
--- a/packages/coordination/tests/link_faults_test.ts
+++ b/packages/coordination/tests/link_faults_test.ts
@@ -137,9 +137,14 @@
     const reader = new FrameReader(socket, MAX_HANDSHAKE_FRAME_BYTES);
     const self = { name: "b", incarnation: 1 };
     const key = TEST_KEY;
-    const { sealer } = yield* dialHandshake({ socket, reader, key, self }, "a");
+    const { signer } = yield* dialHandshake({
+      socket,
+      reader,
+      key,
+      self,
+    }, "a");
     const goodbye = encodeLinkMessage({ kind: "goodbye" });
-    socket.end(sealer.seal(goodbye));
+    socket.end(signer.sign(goodbye));
     yield* Effect.flip(Effect.forever(reader.next()));
     assert.deepEqual(seen, ["b up"]);
   }))));
--- a/packages/coordination/tests/membership_pause_test.ts
+++ b/packages/coordination/tests/membership_pause_test.ts
@@ -38,14 +38,14 @@
   }
 
   send(datagram: Uint8Array): void {
-    const probe = this.#codec.open(datagram);
+    const probe = this.#codec.decode(datagram);
     if (probe === undefined) return;
     this.received.push(probe);
     if (this.answering && probe.kind === "ping") this.answer(probe);
   }
 
   answer(ping: Probe): void {
-    this.#listener(this.#codec.seal({
+    this.#listener(this.#codec.encode({
       ...ping,
       kind: "ack",
       to: ping.sender.member.name,
