--- a/packages/router/src/connection/load_sums.ts
+++ b/packages/router/src/connection/load_sums.ts
@@ -9,7 +9,7 @@
 import type { NeighbourFilter, WaitingEntry } from "../process/runner_queue.ts";
 import type { QueuedRequests, RunnerLoadEntry } from "./peer_message.ts";
 
-/** Longest time left in an update, for a request without a latency target. */
+/** Maximum of `leftMs`, which a request without a latency target gets. */
 const MAX_LEFT_MS = 3_600_000;
 /**
  * Requests at the head of a runner's queue that have an entry of their own in
--- a/packages/router/src/connection/overlay.ts
+++ b/packages/router/src/connection/overlay.ts
@@ -1,5 +1,5 @@
 /**
- * The overlay network of daemons: which peers to link to, and each link's role.
+ * Decides which peers a daemon links to, and which role each peer has.
  *
  * @module
  */
@@ -17,21 +17,23 @@
 import type { Peer, Peers } from "./peers.ts";
 
 /**
- * Role of a peer: `parent` or `child` in the tree of a failure domain, or `head`
- * of another domain. A link to a peer without a role carries versions only.
+ * Role of a peer: `parent` or `child` in the tree of this daemon's failure domain,
+ * or `head`, the root of another domain's tree (see link_plan.ts). A link to a peer
+ * without a role carries versions only, in a fleet with relays.
  */
 export type Role = "parent" | "child" | "head";
 
 /** Shortest time between two plans, which batches bursts of changes. */
 const PLAN_INTERVAL_MS = 100;
 /**
- * Failed dials after which a daemon is reported gone. Otherwise each daemon would
- * have to dial every dead daemon that ranks before it.
+ * Failed dials after which a daemon is reported gone to the others. If it were not,
+ * each daemon would have to dial every dead daemon that ranks before it.
  */
 const MAX_DIALS = 2;
 /**
- * The same in a fleet without relays, where contacts of all daemons fit: about a
- * minute, so that a daemon that was cut off is dialled until it is back.
+ * The same in a fleet without relays, where each daemon keeps the contacts of all
+ * others. The dials take about a minute, so that a daemon that was cut off is
+ * dialled until it is back.
  */
 const MAX_DIALS_DIRECT = 30;
 /**
@@ -63,7 +65,7 @@
   /** Fleet size from which loads go through relays. */
   readonly relaysFrom: number;
   readonly peers: Peers;
-  /** The recent sizes of the fleet and of the own failure domain. */
+  /** The recent sizes of the fleet and of this daemon's failure domain. */
   members(): MemberCounts;
   /** Called after the role of a peer changed from `before`. */
   roleChanged(peer: Peer, before: Role | undefined): void;
@@ -97,9 +99,10 @@
   #head = false;
   #smallSince = Infinity;
   #plannedAt = -Infinity;
-  /** Number of relays of the own failure domain in the last plan. */
+  /** Number of relays of this daemon's failure domain in the last plan. */
   #relayCount = 1;
-  #stale = true;
+  /** Whether the links must be planned again. */
+  #planStale = true;
 
   constructor(context: OverlayContext) {
     this.#context = context;
@@ -112,8 +115,8 @@
   }
 
   /**
-   * Whether this daemon receives the updates of its failure domain and of the
-   * others.
+   * Whether this daemon is the head of its failure domain, and thus receives the
+   * updates of all failure domains.
    */
   get isHead(): boolean {
     return this.#head;
@@ -132,7 +135,7 @@
     return isHead ? "head" : undefined;
   }
 
-  /** Whether a peer's link carries versions only. */
+  /** Whether a peer has no role, so that its link carries versions only. */
   isSpare({ name }: Peer): boolean {
     return this.#relayed && this.role(name) === undefined;
   }
@@ -200,7 +203,7 @@
 
   /** Marks the plan as stale. */
   invalidate(): void {
-    this.#stale = true;
+    this.#planStale = true;
   }
 
   /** Adds, replaces or removes the subscription of a peer. */
@@ -224,10 +227,10 @@
   /** Adapts links and subscriptions to the known contacts and sizes. */
   reconcile(now: number): void {
     this.#chooseTopology(now);
-    if (!this.#stale && !this.#isDue(now)) return;
+    if (!this.#planStale && !this.#isDue(now)) return;
     if (this.#relayed && now - this.#plannedAt < PLAN_INTERVAL_MS) return;
     this.#plannedAt = now;
-    this.#stale = false;
+    this.#planStale = false;
     if (!this.#relayed) return this.#linkAll(now);
     const plan = this.#plan(now);
     this.#head = plan.parent === undefined;
@@ -256,7 +259,8 @@
   }
 
   /**
-   * Whether a daemon counts as gone. A daemon that reaches no peer cannot tell.
+   * Whether a daemon counts as gone after a number of failed dials. While this
+   * daemon reaches no peer, it cannot tell.
    */
   #isGone({ failureDomain }: Contact, dials: number): boolean {
     const { book, peers } = this.#context;
@@ -279,9 +283,9 @@
       (this.#relayed && now - this.#smallSince < DIRECT_DELAY_MS);
     if (relayed === this.#relayed) return;
     this.#relayed = relayed;
-    this.#stale = true;
+    this.#planStale = true;
     log.event("relaying_changed", { relayed, size });
-    // Discards the reports of direct links. Neighbours in the tree keep their
+    // Discards the loads received over direct links. Peers in the tree keep their
     // roles: they have sent their snapshots and would not send them again.
     for (const peer of this.#context.peers.connected) {
       if (this.role(peer.name) !== undefined) continue;
@@ -298,7 +302,7 @@
     const ranked = inRankOrder(book.all());
     const links = discovered ? ranked : ranked.slice(0, INITIAL_LINKS);
     peers.maintainLinks(new Set(links.map(({ address }) => address)));
-    this.#stale = links.length < ranked.length;
+    this.#planStale = links.length < ranked.length;
   }
 
   #plan(now: number): LinkPlan {
--- a/packages/router/src/connection/peer_message.ts
+++ b/packages/router/src/connection/peer_message.ts
@@ -1,5 +1,6 @@
 /**
- * The messages that daemons exchange.
+ * The messages that daemons exchange. In a large fleet some daemons are relays:
+ * they sum the loads of others and forward them (see link_plan.ts).
  *
  * @module
  */
@@ -20,7 +21,7 @@
  */
 export const PROTOCOL_VERSION = 3;
 
-/** Requests that wait for a runner: one of them, or several of one rank. */
+/** One request that waits for a runner, or several of the same rank. */
 export interface QueuedRequests {
   readonly rank: number;
   /** Milliseconds since the requests arrived. */
@@ -52,7 +53,7 @@
 
 /** Versions of the store's contents that the sender has. */
 export interface Versions {
-  /** Version of the configuration in force; -1 without one. */
+  /** Version of the current configuration; -1 without one. */
   readonly configuration: number;
   /** Revision of the list of runners; 0 without one. */
   readonly runners: number;
@@ -92,7 +93,7 @@
   readonly members: MemberCounts;
   /** The sender's estimate of the time in epoch ms; absent without metering. */
   readonly timeMs: number | undefined;
-  /** Requests that runners started, counted for the daemons that may lead. */
+  /** Counts of requests that runners started, for the daemons that may lead. */
   readonly usage: readonly UsageCount[];
   readonly lease: LeaseAge | undefined;
 }
@@ -127,8 +128,7 @@
 }
 
 /**
- * Tells the peer that the sender no longer needs the link; the peer may keep
- * it.
+ * Informs the peer that the sender no longer needs the link; the peer may keep it.
  */
 export interface LinkUnneeded {
   readonly kind: "unneeded";
--- a/packages/router/src/connection/state_exchange.ts
+++ b/packages/router/src/connection/state_exchange.ts
@@ -29,7 +29,7 @@
 import { VersionExchange } from "./version_exchange.ts";
 import type { VersionedState } from "./version_exchange.ts";
 
-/** Longest time between two updates, so that a silent peer can be detected. */
+/** Maximum ms between two updates, so that a silent peer can be detected. */
 const HEARTBEAT_MS = 400;
 /**
  * Timer interval while nothing changes: half a heartbeat, so that a heartbeat is
@@ -69,15 +69,17 @@
 /**
  * Sends state updates to peers and applies the updates of peers.
  *
- * Every daemon chooses runners by itself. With only its own part of their load,
- * several daemons would choose the same runner at the same time. Each update
+ * Every daemon chooses runners by itself. If it knew only its own part of their
+ * load, several daemons would choose the same runner at the same time. Each update
  * includes the sender's versions, so that a change also reaches daemons whose
  * calls the store rejects.
  *
- * In a small fleet each daemon sends its own load at each runner to all others.
- * In a large one it sends its neighbours in a tree the sum of its own load and
- * the loads received from its other neighbours, so that traffic grows with the
- * number of runners and not with that of daemons.
+ * Neighbours are the peers with which a daemon exchanges loads. In a small fleet
+ * these are all others, and each daemon sends them its own load at each runner. In
+ * a large one they are the peers with a role in the overlay: a parent, children or
+ * heads. Each of them gets the sum of the daemon's own load and the loads received
+ * from its other neighbours, so that traffic grows with the number of runners and
+ * not with that of daemons.
  */
 export class StateExchange implements PeerListener {
   readonly #own: Contact;
@@ -151,13 +153,13 @@
     return Math.max(fleet, this.#book.size + 1);
   }
 
-  /** Whether neighbours' updates include all daemons of the recent fleet. */
+  /** Whether neighbours account for all daemons that were recently in the fleet. */
   get seesWholeFleet(): boolean {
     const { fleet } = this.#counts.sumFrom(() => true);
     return fleet >= this.#counts.recentMax(performance.now()).fleet;
   }
 
-  /** Time of the last fetch response from a peer, in monotonic ms. */
+  /** Time of a peer's last response to a `FetchRequest`, in monotonic ms. */
   get lastResponseAt(): number {
     return this.#versions.lastResponseAt;
   }
@@ -169,8 +171,9 @@
   }
 
   /**
-   * The daemons among which scarce resources are divided: all of a small fleet;
-   * in a large one the first of each failure domain, whose contacts all have.
+   * The daemons among which scarce resources are divided: all of a small fleet; in
+   * a large one the first ones by rank of each failure domain, whose contacts all
+   * daemons have.
    */
   get view(): FleetView {
     const { name: own } = this.#own;
@@ -181,8 +184,9 @@
   }
 
   /**
-   * Whether this daemon receives the updates of all others, as a leader must:
-   * in a small fleet those that watch the store, in a large one the heads.
+   * Whether this daemon receives the updates of all others and may therefore lead.
+   * In a large fleet only the heads receive them; in a small one all daemons do, and
+   * those that watch the store may lead.
    */
   get receivesFleetUpdates(): boolean {
     if (this.#overlay.relayed) return this.#overlay.isHead;
@@ -295,7 +299,10 @@
     this.wake();
   }
 
-  /** Removes a neighbour's reports, and has other daemons remove them. */
+  /**
+   * Removes the loads and counts that a neighbour reported, and schedules updates
+   * by which other daemons remove them.
+   */
   #removeReports(peer: Peer, role?: Role): void {
     const changed = this.#state.loads.removeNeighbour(peer.name);
     this.#state.time.forget(peer.name);
--- a/packages/router/src/connection/update_broadcaster.ts
+++ b/packages/router/src/connection/update_broadcaster.ts
@@ -1,5 +1,6 @@
 /**
- * Sends state updates to neighbours, within a bandwidth budget.
+ * Sends state updates to neighbours, the peers with which a daemon exchanges loads,
+ * within a bandwidth budget.
  *
  * @module
  */
@@ -94,10 +95,11 @@
 }
 
 /**
- * Collects changes of this daemon and its neighbours and sends them. The parent,
- * or the other heads, get the state of this daemon and its children; each child
- * gets the state of all daemons but itself. In a small fleet every peer gets the
- * state of this daemon.
+ * Collects changes of this daemon and its neighbours and sends them. In a large
+ * fleet, where daemons form trees (see link_plan.ts), the parent or the other heads
+ * get the state of this daemon and its children, and each child gets the state of
+ * all daemons but itself. In a small fleet every peer gets the state of this
+ * daemon.
  */
 export class UpdateBroadcaster {
   readonly #sources: BroadcastSources;
@@ -213,7 +215,7 @@
    * A snapshot for a peer that becomes a neighbour, or whose link has come up.
    */
   snapshotFor(peer: Peer): StateUpdate {
-    const includes = this.#sourcesFor(peer);
+    const includes = this.#includedFor(peer);
     const versionsOnly = this.#sources.overlay.isSpare(peer);
     if (versionsOnly) return { ...this.versionsFor(peer), whole: true };
     const now = performance.now();
@@ -225,13 +227,14 @@
     const usage = isChild ? [] : this.#sources.usage?.snapshot() ?? [];
     const lease = this.#sources.lease?.observation;
     const contents = { ...NO_CHANGES, contacts, crashes, limits, usage, lease };
-    return { ...this.#state(contents, loads, includes), whole: true };
+    return { ...this.#stateUpdate(contents, loads, includes), whole: true };
   }
 
   /**
    * Contacts for a peer's snapshot. A child missed the updates between the
    * opening of its link and its subscription; without this it would permanently
-   * lack the contacts in them, and choose other relays than the rest.
+   * lack the contacts in them, and choose other relays than the
+   * other daemons.
    */
   #contactsFor(peer: Peer): ContactUpdates {
     const isChild = this.#sources.overlay.role(peer.name) === "child";
@@ -241,7 +244,7 @@
 
   /** An update with versions only. */
   versionsFor(peer: Peer): StateUpdate {
-    return this.#state(NO_CHANGES, [], this.#sourcesFor(peer));
+    return this.#stateUpdate(NO_CHANGES, [], this.#includedFor(peer));
   }
 
   #sendUpstream(now: number): void {
@@ -250,7 +253,9 @@
     const budget = relayed ? this.#upstreamBudget.available(now) : Infinity;
     const pending = this.#upstream.take(Math.max(0, budget / LOAD_BYTES));
     const loads = this.#sums.forRunners(pending.runners, this.#isChild);
-    const frame = encodeMessage(this.#state(pending, loads, this.#isChild));
+    const frame = encodeMessage(
+      this.#stateUpdate(pending, loads, this.#isChild),
+    );
     this.#upstreamBudget.take(frame.length);
     const receivers = relayed
       ? overlay.peersWith("parent", "head")
@@ -287,10 +292,10 @@
     };
     const limits = pending.limits.filter(isOthers);
     const contents = { ...pending, parts, crashes, limits, usage: [] };
-    return encodeMessage(this.#state(contents, loads, others));
+    return encodeMessage(this.#stateUpdate(contents, loads, others));
   }
 
-  #state(
+  #stateUpdate(
     { parts, contacts, crashes, limits, usage, lease }: UpdateContents,
     loads: readonly RunnerLoadEntry[],
     includes: NeighbourFilter,
@@ -323,7 +328,7 @@
   }
 
   /** Selects the neighbours whose state an update for a peer includes. */
-  #sourcesFor({ name }: Peer): NeighbourFilter {
+  #includedFor({ name }: Peer): NeighbourFilter {
     if (this.#sources.overlay.role(name) !== "child") return this.#isChild;
     return (other) => other !== name;
   }
--- a/packages/router/src/connection/version_exchange.ts
+++ b/packages/router/src/connection/version_exchange.ts
@@ -16,7 +16,7 @@
 export interface VersionedState {
   readonly prefixes: PrefixIndex;
   readonly directory: RunnerDirectory;
-  /** The configuration in force. */
+  /** The current configuration. */
   configuration(): Configuration | undefined;
   /** Applies a configuration from a peer. */
   applyConfiguration(configuration: Configuration, source: string): void;
@@ -51,7 +51,7 @@
     };
   }
 
-  /** Time of the last fetch response from a peer, in monotonic ms. */
+  /** Time of a peer's last response to a `FetchRequest`, in monotonic ms. */
   get lastResponseAt(): number {
     return this.#lastResponseAt;
   }
--- a/packages/router/src/process/autoscaler.ts
+++ b/packages/router/src/process/autoscaler.ts
@@ -125,8 +125,8 @@
   }
 
   /**
-   * Whether the list is complete; while all start, runners are added one by
-   * one.
+   * Whether the list of a service's runners has stopped growing and is presumed
+   * complete: when all runners start, they are added one by one.
    */
   #isSettled(
     service: string,
@@ -201,7 +201,7 @@
     return state;
   }
 
-  /** Current load, in units of fully busy runners. */
+  /** Returns the current load, in units of fully busy runners. */
   #busy({ engine }: ScaledService, ready: readonly Runner[]): number {
     return ready.reduce((sum, { id, slots }) => {
       const { inFlight, unreadTokens } = this.#sources.loads.of(id).total;
@@ -247,7 +247,8 @@
 }
 
 /**
- * Runners needed according to the previous leader's orders; none without one.
+ * Returns the number of runners needed according to the previous leader's orders;
+ * undefined without orders.
  */
 function neededByPreviousLeader(
   orders: readonly RunnerOrder[],
--- a/packages/router/src/process/crash_record.ts
+++ b/packages/router/src/process/crash_record.ts
@@ -37,16 +37,15 @@
 /** Duration of a quarantine in ms, from the last crash. */
 const QUARANTINE_MS = 600_000;
 /**
- * Milliseconds for which crashes and complete responses are remembered. A
- * request that is sent again after its quarantine is quarantined at the next
- * crash.
+ * Milliseconds for which crashes and complete responses are kept. A request that is
+ * sent again after its quarantine is quarantined at the next crash.
  */
-const MEMORY_MS = 3_600_000;
-/** Requests remembered for crashes: at most 2.6 MB, with eight runs each. */
+const RETENTION_MS = 3_600_000;
+/** Maximum number of requests kept for crashes: 2.6 MB, with eight runs each. */
 const MAX_REQUESTS = 2_000;
-/** Completed requests remembered: 0.24 MB. */
+/** Maximum number of completed requests kept: 0.24 MB. */
 const MAX_COMPLETED = 4_000;
-/** Runs sent to a daemon that has just connected. */
+/** Maximum number of runs sent to a daemon that has just connected. */
 const MAX_SNAPSHOT_RUNS = 200;
 /**
  * Milliseconds within which two complete responses count as one: updates arrive
@@ -184,13 +183,17 @@
     return { crashed, responses };
   }
 
-  /** @returns whether the run was new. */
+  /**
+   * Adds a run of a request at a runner that crashed.
+   *
+   * @returns whether the run was new.
+   */
   #add(run: CrashedRun, now: number): boolean {
     const { fingerprint, runner } = run;
     this.#evict(now);
     const before = this.#entries.get(fingerprint) ?? EMPTY_ENTRY;
-    const held = this.quarantine(fingerprint, now) !== undefined;
-    if (now - run.endedAt > MEMORY_MS) return false;
+    const wasQuarantined = this.quarantine(fingerprint, now) !== undefined;
+    if (now - run.endedAt > RETENTION_MS) return false;
     if (before.runs.some((known) => known.runner === runner)) return false;
     const completedBefore = before.completedAt === undefined &&
       this.#completedAt.has(fingerprint);
@@ -202,8 +205,9 @@
         at: this.#completedAt.get(fingerprint)!,
       });
     }
-    const begins = !held && this.quarantine(fingerprint, now) !== undefined;
-    if (begins) this.#startQuarantine(fingerprint);
+    const isNew = !wasQuarantined &&
+      this.quarantine(fingerprint, now) !== undefined;
+    if (isNew) this.#startQuarantine(fingerprint);
     return true;
   }
 
@@ -235,7 +239,7 @@
     this.#completedAt.delete(fingerprint);
     this.#completedAt.set(fingerprint, at);
     for (const [oldest, since] of this.#completedAt) {
-      const old = at - since > MEMORY_MS;
+      const old = at - since > RETENTION_MS;
       if (!old && this.#completedAt.size <= MAX_COMPLETED) break;
       this.#completedAt.delete(oldest);
     }
@@ -246,7 +250,7 @@
    */
   #evict(now: number): void {
     for (const [fingerprint, { lastCrashAt }] of this.#entries) {
-      if (now - lastCrashAt <= MEMORY_MS) break;
+      if (now - lastCrashAt <= RETENTION_MS) break;
       this.#entries.delete(fingerprint);
     }
     for (const keepBlamed of [true, false]) {
@@ -262,6 +266,7 @@
     for (const listener of this.#listeners) listener();
   }
 
+  /** Notifies the watchers of a request that its quarantine has started. */
   #startQuarantine(fingerprint: string): void {
     const entry = this.#entries.get(fingerprint)!;
     for (const watcher of this.#watchers.get(fingerprint) ?? []) watcher();
--- a/packages/router/src/process/demand_estimator.ts
+++ b/packages/router/src/process/demand_estimator.ts
@@ -24,6 +24,7 @@
 class HeldCount {
   #held = 0;
 
+  /** Returns the count to hold for the number of runners needed. */
   of(runners: number): number {
     const needed = Math.ceil(runners);
     const holds = needed <= this.#held &&
--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -37,7 +37,7 @@
 const CHECK_FRACTION = 0.6;
 /** Time-out of a call to the platform, in ms; the call is then aborted. */
 const TIMEOUT_MS = 900;
-/** Backoff in ms after the first failed call; doubled up to the maximum. */
+/** Backoff in ms after the first failed call; doubled at each further one. */
 const INITIAL_RETRY_MS = 400;
 const MAX_RETRY_MS = 3_200;
 
@@ -60,7 +60,7 @@
   readonly eligible: () => boolean;
   /** Called when other daemons should be notified of a change of the lease. */
   readonly leaseChanged: () => void;
-  /** Returns the fleet's time, in epoch ms. */
+  /** Returns the time in epoch ms, as the daemons estimate it together. */
   readonly now: () => number;
   /** Returns monotonic time, in ms. */
   readonly monotonic: () => number;
--- a/packages/router/src/process/link_plan.ts
+++ b/packages/router/src/process/link_plan.ts
@@ -1,5 +1,7 @@
 /**
- * Topology of the links between daemons: a tree for each failure domain.
+ * Plans the links between the daemons of a large fleet. The daemons of a failure
+ * domain form a tree. Its inner nodes, the relays, forward updates; its root is
+ * the head of the domain, and the heads link to each other.
  *
  * @module
  */
@@ -11,7 +13,7 @@
 /**
  * Approximate number of daemons for which one relay forwards loads. Each daemon
  * sends up to 25 state updates a second while requests wait, and each update takes
- * about 0.2 ms to read, so that 20 daemons cost a relay a tenth of a core. Fewer
+ * about 0.2 ms to process, so that 20 daemons cost a relay a tenth of a core. Fewer
  * daemons per relay mean more relays on a path, each of which delays the loads of
  * runners by one batch.
  */
--- a/packages/router/src/process/order_tracker.ts
+++ b/packages/router/src/process/order_tracker.ts
@@ -1,5 +1,5 @@
 /**
- * Delivery of orders for runners to the platform, with retries.
+ * Tracks the delivery of orders for runners to the platform, with retries.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import { isSamePool } from "./runner_order.ts";
 import type { RunnerOrder, ScalingPolicy } from "./runner_order.ts";
 
-/** Backoff in ms after the first failed attempt; doubled up to the longest. */
+/** Backoff in ms after the first failed attempt; doubled at each further one. */
 const INITIAL_RETRY_MS = 400;
 const MAX_RETRY_MS = 6_400;
 
@@ -63,17 +63,17 @@
       if (sentOrder?.order.runners !== order.runners) return true;
       return !sentOrder.accepted && now >= sentOrder.notBefore;
     });
-    // Bounds apply to both kinds together: orders that make room are sent
-    // first.
-    const needsRoom = ({ preemptible, runners }: RunnerOrder) =>
+    // The bounds of a failure domain apply to preemptible and regular runners
+    // together: orders that may reduce the total are sent first.
+    const needsCapacity = ({ preemptible, runners }: RunnerOrder) =>
       preemptible && runners > 0;
     return [
-      ...due.filter((order) => !needsRoom(order)),
-      ...due.filter(needsRoom),
+      ...due.filter((order) => !needsCapacity(order)),
+      ...due.filter(needsCapacity),
     ];
   }
 
-  /** Records the platform's answer to an order. */
+  /** Records the platform's response to an order. */
   recordResult(order: RunnerOrder, end: CallOutcome, sent: {
     readonly fencing: number;
     readonly now: number;
--- a/packages/router/src/process/prefix_index.ts
+++ b/packages/router/src/process/prefix_index.ts
@@ -41,7 +41,7 @@
  * not have cached, and parts in use are renewed well within their lifetime.
  */
 const REPUBLISH_MS = PART_TTL_MS / 3;
-/** Parts per runner: at 100 bytes each, about 10 MB for 98 runners. */
+/** Maximum number of parts per runner: at 100 bytes each, about 10 MB for 98 runners. */
 const MAX_PARTS = 1_000;
 
 /**
--- a/packages/router/src/process/runner_load.ts
+++ b/packages/router/src/process/runner_load.ts
@@ -27,7 +27,10 @@
   readonly tight: boolean;
 }
 
-/** Consecutive failures after which a runner is ejected. */
+/**
+ * Consecutive failures after which a runner is ejected: it gets no new requests for
+ * a while.
+ */
 const FAILURES_TO_EJECT = 2;
 /** Duration of the first ejection in ms; doubled at each further failure. */
 const INITIAL_EJECTION_MS = 500;
@@ -36,7 +39,7 @@
 /**
  * Milliseconds without any data on any request in flight after which a runner
  * is considered unresponsive. Runners send an event every 30 to 250 ms on a
- * stream, and plain services answer within 450 ms. While no stream has begun,
+ * stream, and plain services respond within 450 ms. While no stream has begun,
  * the time for prefilling the queued prompts is added.
  */
 const SILENCE_TIMEOUT_MS = 900;
@@ -244,7 +247,7 @@
   }
 
   /**
-   * Records that the runner did not answer or broke off. Consecutive failures
+   * Records that the runner did not respond or interrupted a response. Consecutive failures
    * eject it for a while, since an unresponsive runner would hold each of its
    * requests until a time-out. Ejections are short, so a false alarm costs
    * little.
--- a/packages/router/src/request/admission.ts
+++ b/packages/router/src/request/admission.ts
@@ -28,9 +28,10 @@
 const WORK_FACTOR_PER_RANK = 1.6;
 
 /**
- * Number of ranks beyond which a more urgent request gets no higher limits:
- * three classes in each of two tiers of workspaces make six ranks, and 1.6 to
- * the fifth power is ten backlogs.
+ * Number of less urgent ranks beyond which the limits of a request grow no further.
+ * Three classes in each of two tiers of workspaces make six ranks; 1.6 to the fifth
+ * power would allow the most urgent one ten times the backlog of the least urgent
+ * one.
  */
 const MAX_RANK_STEPS = 2;
 
--- a/packages/router/src/request/attempt_executor.ts
+++ b/packages/router/src/request/attempt_executor.ts
@@ -52,16 +52,16 @@
   readonly #relay: ResponseRelay;
   #attempt: Attempt | undefined;
 
-  constructor(daemon: Daemon, caller: Caller, parts: {
+  constructor(daemon: Daemon, caller: Caller, options: {
     readonly progress: Progress;
     readonly outcomes: LocalOutcomes;
   }) {
     this.#daemon = daemon;
     this.#caller = caller;
-    this.#progress = parts.progress;
-    this.#outcomes = parts.outcomes;
+    this.#progress = options.progress;
+    this.#outcomes = options.outcomes;
     this.#relay = new ResponseRelay(daemon, caller, {
-      cancelledLocally: () => parts.progress.abandoned,
+      cancelledLocally: () => options.progress.abandoned,
     });
   }
 
@@ -142,8 +142,8 @@
   }
 
   /**
-   * Gives up on a runner that stays silent where another one may continue:
-   * callers leave a silent stream after two seconds or more.
+   * Cancels the attempt if the runner is silent for too long and another one may
+   * continue: callers disconnect from a silent stream after two seconds or more.
    */
   #watchInactivity(
     { route }: RoutedRequest,
--- a/packages/router/src/request/capacity_wait.ts
+++ b/packages/router/src/request/capacity_wait.ts
@@ -1,5 +1,5 @@
 /**
- * A request's wait for capacity on a runner, shared with all daemons.
+ * A request's wait for capacity on a runner, which is reported to all daemons.
  *
  * @module
  */
--- a/packages/router/src/request/decision_log.ts
+++ b/packages/router/src/request/decision_log.ts
@@ -57,7 +57,7 @@
   daemon: Daemon,
   routed: RoutedRequest,
   limits: {
-    /** Number of these runners. */
+    /** Number of untried runners that state a rate limit. */
     readonly limited: number;
     readonly waitedMs: number;
     /**
--- a/packages/router/src/request/demand.ts
+++ b/packages/router/src/request/demand.ts
@@ -67,8 +67,8 @@
 export const MAX_TIGHT_PREFILL_MS = 160;
 
 /**
- * Whether prefill chunks in the same batch make the gaps of a stream too long.
- * An event holds several tokens, and each of them takes a whole step.
+ * Whether the request is a tight stream: one with so short a target for the gaps
+ * between its events that prefill chunks in the same batch exceed it. An event holds several tokens, and each of them takes a whole step.
  */
 export function isTight(demand: Demand): boolean {
   const { engine, gapTargetMs } = demand;
--- a/packages/router/src/request/exchange.ts
+++ b/packages/router/src/request/exchange.ts
@@ -171,7 +171,7 @@
     return this.#daemon.retryBudget(service.name).take(this.#daemon.now());
   }
 
-  /** Returns the request's quarantine if runners crash while running it. */
+  /** Returns the request's quarantine if runners crashed while running it. */
   #quarantine(): Quarantine | undefined {
     const { fingerprint } = this.#progress;
     return this.#daemon.crashes.quarantine(fingerprint, this.#daemon.now());
--- a/packages/router/src/request/placement.ts
+++ b/packages/router/src/request/placement.ts
@@ -38,17 +38,17 @@
 const REMOTE_DOMAIN_PENALTY = 0.7;
 
 /**
- * Relative cost that a runner of a plain service has in addition when all its
- * responses are failures. A runner that fails at once appears idle: one drew 19
- * of 46 requests in two seconds, half of which failed. With 16, a runner that
+ * Additional relative cost of a runner of a plain service when all its responses
+ * are failures. A runner that fails at once appears idle: one was sent 19 of 46 requests in two seconds, half of which failed. With 16, a runner that
  * fails 4 of 10 requests is selected only when the others have seven times its
  * load.
  */
 const FAILURE_RATE_WEIGHT = 16;
 
 /**
- * Returns the prompt part that most determines how much of its cache a runner
- * can reuse.
+ * Returns the deepest part of a prompt that other prompts share, which determines
+ * most how much of its cache a runner can reuse. The last part of a prompt is
+ * specific to the request.
  */
 function sharedPart(prompt: readonly PromptPart[]): PromptPart | undefined {
   return prompt.at(-2) ?? prompt[0];
@@ -114,6 +114,10 @@
     toleratesPrefill(fleet, demand, runner);
 }
 
+/**
+ * Whether a runner is not reserved for tight streams, or the prefill of the request
+ * would not delay them.
+ */
 function toleratesPrefill(
   fleet: RunnerFleet,
   demand: Demand,
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -112,7 +112,8 @@
    * limited time: most waits end within it, and a refusal costs the caller
    * more.
    *
-   * @returns `undefined` when no runner is left.
+   * @returns `undefined` when no runner is left, or "overloaded" when no runner has
+   * capacity and the request may not wait any longer.
    */
   async find(options: {
     readonly tried: ReadonlySet<string>;
@@ -168,8 +169,9 @@
   }
 
   /**
-   * Counts the request before anything else runs: all requests that wait for a
-   * runner check at the same moment whether it accepts another one.
+   * Counts the request against the runner's rate limit before anything else runs:
+   * all requests that wait for a runner check at the same moment whether it accepts
+   * another one.
    */
   #countRequest(choice: RunnerChoice | undefined): RunnerChoice | undefined {
     if (choice === undefined) return undefined;
@@ -190,7 +192,7 @@
       !this.#limitQueue.isFirst(this.#queueKey, this.#daemon.now());
   }
 
-  /** Returns the runners that were not tried and are at their rate limits. */
+  /** Returns the untried runners that state a rate limit. */
   #limitedRunners(tried: ReadonlySet<string>): readonly Runner[] {
     const { runners, limits } = this.#daemon.fleet(this.#routed.service.name);
     return runners.filter(({ id }) =>
@@ -213,9 +215,8 @@
   }
 
   /**
-   * Whether the response would finish before the caller's time-out. One that
-   * does not is prefilled and generated in vain, and slows down those that
-   * would.
+   * Whether the response would be complete before the caller's time-out. A response
+   * that would not is prefilled and generated in vain, and slows down the others.
    */
   #finishesInTime(choice: RunnerChoice, remainingMs: number): boolean {
     const { head, service, lessUrgentRanks } = this.#routed;
@@ -249,15 +250,15 @@
   }
 
   /**
-   * Checks one runner until it has capacity and the entry in its queue has
-   * propagated, or until the next review is due.
+   * Checks one runner until it has capacity and the request's entry in its queue has
+   * reached all daemons, or until the next review is due.
    */
   async #awaitCapacity(
     wait: CapacityWait,
     runner: Runner,
     waitUntil: number,
   ): Promise<void> {
-    const { sharedTimer: pulse, loads } = this.#daemon;
+    const { sharedTimer, loads } = this.#daemon;
     const propagationMs = this.#daemon.propagationMs();
     const late = this.#daemon.now() > this.#queueKey.startBy;
     const intervalMs = Math.max(
@@ -267,7 +268,7 @@
     const reviewAt = Math.min(waitUntil, this.#daemon.now() + intervalMs);
     const demand = this.#demand();
     do {
-      await pulse.next();
+      await sharedTimer.next();
       if (this.#limits.isAbandoned()) return;
       const fleet = this.#daemon.fleet(this.#routed.service.name);
       const capacity = hasCapacity(fleet, demand, runner);
