--- a/packages/daemon/src/request/admission.ts
+++ b/packages/daemon/src/request/admission.ts
@@ -1,5 +1,5 @@
 /**
- * Decides from a request's head whether it is taken.
+ * Admits or refuses requests by their heads, and builds calls of admitted ones.
  *
  * @module
  */
--- a/packages/daemon/src/request/event_scanner.ts
+++ b/packages/daemon/src/request/event_scanner.ts
@@ -31,7 +31,7 @@
   tokens = 0;
   /** Whether a token event with a finish reason has been found. */
   finished = false;
-  /** Whether `data: [DONE]` has been found. `push` never returns it. */
+  /** Whether `data: [DONE]` has been found. `scan` never returns it. */
   done = false;
   /** Whether the engine has reported an error inside the stream. */
   failed = false;
