--- a/packages/coordination/src/connection/link.ts
+++ b/packages/coordination/src/connection/link.ts
@@ -23,15 +23,18 @@
 import { LinkWriter } from "./link_writer.ts";
 import type { Session } from "./session.ts";
 
-/** Services of the process that a link uses. */
+/** What a link uses of its process. */
 export interface LinkContext {
   readonly clock: Clock;
   readonly settings: LinkSettings;
   readonly traffic: TrafficCounter;
   readonly handlers: ReadonlyMap<string, MessageHandler>;
-  /** Scope of the handlers of one-way messages, which outlive the link. */
+  /**
+   * Scope in which one-way messages are handled. Their handlers continue after
+   * the link has closed.
+   */
   readonly scope: Scope.Scope;
-  /** Returns the digest to send in a heartbeat. */
+  /** Returns the digest, a small record, to send in a heartbeat. */
   digest(): unknown;
   /** Called with the digest of another member's heartbeat. */
   receiveDigest(from: string, digest: unknown): void;
@@ -56,7 +59,7 @@
   readonly #activity: LinkActivity;
   readonly #handlers: LinkHandlers;
   readonly #pendingRequests = new Map<number, ResumeRequest>();
-  #nextId = 1;
+  #nextRequestId = 1;
   #drainingSince: number | undefined;
   #goodbyeReceived = false;
   #closed: LinkClosed | undefined;
@@ -89,7 +92,7 @@
       limit: context.settings.maxInProgress,
       scope: context.scope,
       reply: (message) => {
-        this.#recordMessage();
+        this.#recordUse();
         this.#sendControl(message);
       },
     });
@@ -101,8 +104,8 @@
   }
 
   /**
-   * Whether messages other than heartbeats passed recently, or a request is in
-   * progress.
+   * Whether one-way messages, requests or responses passed recently, or a
+   * request is in progress.
    */
   get isActive(): boolean {
     return this.#activity.isActive(this.#hasRequestsInProgress);
@@ -122,24 +125,30 @@
     if (this.#writer.queuedBytes + payload.length > maxQueuedBytes) {
       return false;
     }
-    this.#recordMessage();
+    this.#recordUse();
     this.#write(payload);
     return true;
   }
 
-  /** Sends a request and waits for its response, without a time-out. */
+  /**
+   * Sends a request and waits for its response. There is no time-out here; the
+   * caller applies one.
+   */
   request(
     channel: string,
     body: unknown,
   ): Effect.Effect<unknown, PeerUnreachable> {
     return Effect.callback((resume) => {
-      const id = this.#nextId;
-      this.#nextId += 1;
+      const id = this.#nextRequestId;
+      this.#nextRequestId += 1;
       if (!this.trySend({ kind: "request", id, channel, body })) {
+        // Also if the message is too large or the send queue is full: the
+        // request was not sent.
         resume(Effect.fail(peerUnreachable(this.peer, "no-link")));
         return;
       }
       this.#pendingRequests.set(id, resume);
+      // On interruption, the peer is asked to cancel the handler.
       return Effect.sync(() => {
         if (!this.#pendingRequests.delete(id)) return;
         this.#sendControl({ kind: "cancel", id });
@@ -163,9 +172,11 @@
       }
     });
     return Effect.scoped(run).pipe(
+      // The loop ends only by failing with the reason why the link closed.
       Effect.flip,
-      // Once the peer has sent its goodbye, the end of the stream is an orderly
-      // close, even if it is read before this end has closed its own side.
+      // After the peer's goodbye any reason counts as idle. The end of the stream
+      // is then an orderly close, even if it is read before this process has
+      // closed its own side.
       Effect.map((reason) =>
         this.#goodbyeReceived ? linkClosed("idle") : reason
       ),
@@ -178,7 +189,10 @@
     );
   }
 
-  /** Closes the link at once and fails its pending requests. */
+  /**
+   * Closes the link immediately, without a goodbye, and fails its pending
+   * requests.
+   */
   close(reason: LinkClosed): void {
     if (this.#closed !== undefined) return;
     this.#closed = reason;
@@ -191,10 +205,10 @@
   }
 
   /**
-   * Stops sending new messages, and closes the link once the peer has sent its
-   * goodbye and no request is in progress. Messages that the peer sent before
-   * it received this end's goodbye are still handled, so that closing an idle
-   * link loses no message.
+   * Stops sending new messages and sends a goodbye. `tick` closes the link once
+   * the peer has sent its goodbye and no request is in progress, or after
+   * `idleMs`. Messages that the peer sent before it received this process's
+   * goodbye are still handled, so that closing an idle link loses no message.
    */
   drain(): void {
     if (!this.isUsable) return;
@@ -202,7 +216,10 @@
     this.#drainingSince = this.#context.clock.monotonic();
   }
 
-  /** Restarts the silence time-out, after a pause of this process. */
+  /**
+   * Restarts the silence time-out. Called after a pause of this process, during
+   * which it could not receive anything.
+   */
   resetSilenceTimer(): void {
     this.#activity.recordReceived();
   }
@@ -223,6 +240,7 @@
     const now = this.#context.clock.monotonic();
     const since = this.#drainingSince ?? now;
     if (this.#goodbyeReceived && !this.#hasRequestsInProgress) {
+      // Unlike `close`, this lets the socket write its queued data.
       this.#closed = linkClosed("idle");
       this.#socket.end();
     } else if (now - since > this.#context.settings.idleMs) {
@@ -236,19 +254,20 @@
   ): Effect.Effect<void> {
     switch (message.kind) {
       case "send":
-        this.#recordMessage();
+        this.#recordUse();
         return this.#handlers.handleSend(message);
       case "request":
-        this.#recordMessage();
+        this.#recordUse();
         return this.#handlers.handleRequest(message, requestScope);
       case "answer":
-        return this.#settle(message.id, Effect.succeed(message.body));
+        return this.#completeRequest(message.id, Effect.succeed(message.body));
       case "failure": {
+        // With "no-handler" and "busy", the peer has not run a handler.
         const reason = message.reason === "handler-failed"
           ? "handler-failed"
           : "refused";
         const failure = peerUnreachable(this.peer, reason);
-        return this.#settle(message.id, Effect.fail(failure));
+        return this.#completeRequest(message.id, Effect.fail(failure));
       }
       case "cancel":
         return this.#handlers.cancel(message.id, requestScope);
@@ -264,11 +283,11 @@
     }
   }
 
-  #settle(
+  #completeRequest(
     id: number,
     result: Effect.Effect<unknown, PeerUnreachable>,
   ): Effect.Effect<void> {
-    this.#recordMessage();
+    this.#recordUse();
     const resume = this.#pendingRequests.get(id);
     this.#pendingRequests.delete(id);
     resume?.(result);
@@ -280,15 +299,16 @@
     return this.#pendingRequests.size > 0 || this.#handlers.hasRunningRequests;
   }
 
-  #recordMessage(): void {
+  /** Records that a message other than a control message passed. */
+  #recordUse(): void {
     this.#activity.recordMessage(this.#hasRequestsInProgress);
   }
 
   /**
-   * Sends a control message or a response. These are exempt from the bound of
-   * the send queue, since a lost response would cost the requester its whole
-   * time-out. If the queue reaches twice the bound, the peer is not reading and
-   * the link is closed.
+   * Sends a control message or a response. These are sent even if the send
+   * queue exceeds `maxQueuedBytes`, since a requester whose response is lost
+   * would wait for its whole time-out. If the queue exceeds twice that size, the
+   * peer reads too slowly or not at all, and the link is closed.
    */
   #sendControl(message: LinkMessage): void {
     if (this.#closed !== undefined) return;
@@ -296,6 +316,7 @@
     if (this.#writer.fitsFrame(payload)) {
       this.#write(payload);
     } else if (message.kind === "answer") {
+      // The response is larger than a frame.
       const { id } = message;
       this.#sendControl({ kind: "failure", id, reason: "handler-failed" });
     }
@@ -303,7 +324,7 @@
       this.close(
         linkClosed(
           "refused",
-          "peer is not reading: send queue over twice its limit",
+          "send queue over twice its limit: the peer reads too slowly or not at all",
         ),
       );
     }
--- a/packages/coordination/src/connection/link_liveness.ts
+++ b/packages/coordination/src/connection/link_liveness.ts
@@ -48,7 +48,10 @@
     this.#lastSentAt = this.#clock.monotonic();
   }
 
-  /** Records that a message other than a heartbeat was sent or received. */
+  /**
+   * Records that a one-way message, a request or a response was sent or
+   * received.
+   */
   recordMessage(hasRequests: boolean): void {
     const now = this.#clock.monotonic();
     if (!this.isActive(hasRequests)) this.#activeSince = now;
--- a/packages/coordination/src/connection/link_settings.ts
+++ b/packages/coordination/src/connection/link_settings.ts
@@ -9,36 +9,58 @@
 
 /** Bounds, intervals and time-outs of links. */
 export interface LinkSettings {
-  /** Largest frame accepted, in bytes. */
+  /**
+   * Maximum size of a frame that is sent or accepted, in bytes, without its
+   * length. All members must use the same value.
+   */
   readonly maxFrameBytes: number;
   /**
-   * Size of a link's send queue, in bytes; `send` returns false when it is
-   * full.
+   * Maximum size of a link's send queue, in bytes; `send` returns false when it
+   * is full.
    */
   readonly maxQueuedBytes: number;
-  /** Messages that are queued for one peer while its link is being dialled. */
+  /**
+   * Maximum number of messages that are queued for one peer while its link is
+   * being dialled.
+   */
   readonly maxWaiting: number;
-  /** Handlers in progress for one link; further requests are refused. */
+  /**
+   * Maximum number of handlers in progress for one link; further requests are
+   * refused, and further one-way messages dropped.
+   */
   readonly maxInProgress: number;
-  /** Accepted connections that may be in their handshake at once. */
+  /** Maximum number of accepted connections in their handshake. */
   readonly maxHandshakes: number;
-  /** Time-out for connecting and the handshake. */
+  /**
+   * Time-out for connecting and the handshake together, and for the handshake
+   * of an accepted connection.
+   */
   readonly dialTimeoutMs: number;
   /**
-   * Backoff after a failed dial; doubles with each failure up to
+   * Backoff after the first failed dial; doubles with each failure up to
    * `maxBackoffMs`.
    */
   readonly minBackoffMs: number;
+  /** Maximum backoff after failed dials. */
   readonly maxBackoffMs: number;
-  /** A link is active for this long after a message. */
+  /**
+   * Time for which a link is active after a one-way message, a request or a
+   * response. It is also active while a request is in progress.
+   */
   readonly activeMs: number;
   /** Interval of heartbeats on an active link that sends nothing else. */
   readonly heartbeatMs: number;
-  /** Interval of heartbeats on an inactive link. */
+  /** Interval of heartbeats on a link that is not active. */
   readonly idleHeartbeatMs: number;
-  /** Time-out after which an active link that receives nothing is closed. */
+  /**
+   * Time-out after which an active link that receives nothing is closed. On a
+   * link that is not active, `idleHeartbeatMs` is added.
+   */
   readonly silentMs: number;
-  /** A link that carries no messages for this long is closed. */
+  /**
+   * A link that carries no messages other than heartbeats for this long is
+   * closed. Also the maximum time for which a link drains.
+   */
   readonly idleMs: number;
 }
 
--- a/packages/coordination/src/connection/link_writer.ts
+++ b/packages/coordination/src/connection/link_writer.ts
@@ -14,12 +14,16 @@
   readonly socket: Socket;
   readonly signer: FrameSigner;
   readonly traffic: TrafficCounter;
-  /** Largest frame that the peer accepts, in bytes, including its tag. */
+  /**
+   * Maximum size of a frame, in bytes, with its authentication tag and without
+   * its length. The peer is assumed to have the same maximum.
+   */
   readonly maxFrameBytes: number;
 }
 
 /**
- * Seals messages, writes them to the socket of a link, and counts their bytes.
+ * Adds authentication tags to messages, writes them to the socket of a link, and
+ * counts their bytes.
  */
 export class LinkWriter {
   readonly #options: LinkWriterOptions;
@@ -43,7 +47,8 @@
   }
 
   /**
-   * Writes a message; the messages of one turn of the event loop share packets.
+   * Writes a message. The socket is corked until the next tick, so that messages
+   * of one callback are sent together.
    */
   write(payload: Uint8Array): void {
     const { socket, signer, traffic } = this.#options;
--- a/packages/coordination/src/process/membership_probed.ts
+++ b/packages/coordination/src/process/membership_probed.ts
@@ -23,6 +23,7 @@
   readonly transport: ProbeTransport;
   readonly settings: ProbeSettings;
   readonly clock: Clock;
+  /** The record that is sent with each probe and received from members. */
   readonly digest: Digest;
   /** Authentication key shared by all members. */
   readonly key: Uint8Array;
@@ -30,14 +31,15 @@
 }
 
 /**
- * Membership that discovers members by the platform's host list and detects
+ * Membership that discovers members from the platform's host list and detects
  * failures by probing.
  *
  * Listed hosts are initially taken as alive. Members that do not answer probes
  * are first suspected and then removed. Removed members are probed again at
- * intervals and return when they answer. This process announces that it leaves
- * when {@linkcode ProbedMembership.leave} is called, and that it has left when
- * its scope closes.
+ * intervals and return when they answer. When
+ * {@linkcode ProbedMembership.leave} is called, this process announces that it
+ * is leaving. When the scope of the membership closes, it announces that it has
+ * left.
  */
 export class ProbedMembership implements Membership {
   readonly #table: MemberTable;
@@ -55,6 +57,7 @@
   ) {
     this.#table = new MemberTable({
       ...options,
+      // First called by `applyHostList`, when the prober exists.
       onJoined: (name) => this.#prober.addMember(name),
     });
     this.#prober = new Prober({
@@ -106,7 +109,10 @@
     return () => this.#listeners.delete(listener);
   }
 
-  /** Announces that this process is leaving; it continues to answer probes. */
+  /**
+   * Announces that this process is leaving, and waits for the first ack, for
+   * at most a period. The process continues to answer probes.
+   */
   leave(): Effect.Effect<void> {
     return this.#prober.announceLeaving();
   }
@@ -116,7 +122,10 @@
     this.#prober.probeSoon(name);
   }
 
-  /** A member with its endpoint, including members that were removed. */
+  /**
+   * Returns a member with its endpoint, even if it was removed; undefined if
+   * there is no record of it.
+   */
   member(name: string): Member | undefined {
     return this.#table.get(name)?.member;
   }
--- a/packages/coordination/src/process/membership_prober.ts
+++ b/packages/coordination/src/process/membership_prober.ts
@@ -113,7 +113,10 @@
     },
   );
 
-  /** Announces that this process is leaving, and waits for the first ack. */
+  /**
+   * Announces that this process is leaving, and waits for the first ack, for
+   * at most a period.
+   */
   readonly announceLeaving = Effect.fnUntraced(
     { self: this },
     function* (): Effect.fn.Return<void> {
--- a/packages/coordination/src/process/membership_table.ts
+++ b/packages/coordination/src/process/membership_table.ts
@@ -287,8 +287,8 @@
   }
 
   #addSuspicion(name: string, by: string): boolean {
-    const members = this.otherNames().length + 1;
-    return this.#suspicions.add(name, by, { now: this.#now(), members });
+    const memberCount = this.otherNames().length + 1;
+    return this.#suspicions.add(name, by, { now: this.#now(), memberCount });
   }
 
   /** Deletes removed members that will not be probed again, to bound memory. */
--- a/packages/coordination/src/process/store.ts
+++ b/packages/coordination/src/process/store.ts
@@ -7,9 +7,10 @@
 
 /** An object read from the store. */
 export interface StoredObject {
+  /** Namespace of the object's name. */
   readonly kind: string;
   readonly name: string;
-  /** Positive; grows with each write. */
+  /** Version of this object: positive, and greater after each write of it. */
   readonly version: number;
   readonly value: unknown;
 }
@@ -31,7 +32,7 @@
   readonly ifVersion: number;
 }
 
-/** The objects of a kind. */
+/** All objects of one kind. */
 export interface StoreListing {
   /** Revision from which a watch continues. */
   readonly revision: number;
@@ -40,7 +41,7 @@
 
 /** Which changes a watch waits for, and how long. */
 export interface WatchOptions {
-  /** Changes later than this revision. */
+  /** Revision after which changes are returned; the revision is excluded. */
   readonly from: number;
   /** Maximum wait for the first change, in milliseconds. */
   readonly waitMs: number;
@@ -59,10 +60,13 @@
   readonly type: "put" | "delete";
   readonly name: string;
   readonly version: number;
+  /** The written value; absent for a removal. */
   readonly value?: unknown;
 }
 
-/** A conditional write found a different version. Nothing was written. */
+/**
+ * A conditional write or removal found a different version. Nothing was changed.
+ */
 export interface Conflict {
   readonly _tag: "Conflict";
   /** Version in the store; 0 when the object does not exist. */
@@ -70,8 +74,8 @@
 }
 
 /**
- * The store gave no usable response. `mayHaveWritten` tells whether a write may
- * have taken effect although its response was lost.
+ * The store gave no usable response. `mayHaveWritten` is whether a write or
+ * removal may have taken effect although its response was lost.
  */
 export interface Unavailable {
   readonly _tag: "Unavailable";
--- a/packages/coordination/src/version/json_delta.ts
+++ b/packages/coordination/src/version/json_delta.ts
@@ -19,21 +19,30 @@
   | { readonly op: "same" }
   /** The value is replaced. */
   | { readonly op: "set"; readonly value: Json }
-  /** The items between the common head and tail of two lists are replaced. */
+  /**
+   * The items of a list after the first `head` and before the last `tail` are
+   * replaced.
+   */
   | {
     readonly op: "splice";
     readonly head: number;
     readonly tail: number;
     readonly items: readonly Json[];
   }
-  /** Some fields of an object are changed, added or removed. */
+  /**
+   * Some fields of an object are changed, added or removed. `changed` holds a
+   * delta for each changed or added field.
+   */
   | {
     readonly op: "fields";
     readonly changed: { readonly [key: string]: JsonDelta };
     readonly removed: readonly string[];
   };
 
-/** Thrown when a delta does not match the value that it is applied to. */
+/**
+ * Thrown when a delta cannot be applied to a value, because the value has another
+ * type or is a list that is too short. Other differences are not detected.
+ */
 export class DeltaMismatch extends Error {
   override readonly name = "DeltaMismatch";
 }
@@ -57,7 +66,8 @@
 /**
  * Applies a delta to a value.
  *
- * @throws {DeltaMismatch} if the delta does not match the value.
+ * @throws {DeltaMismatch} if the value has another type or is a list that is too
+ * short.
  */
 export function applyDelta(from: Json, delta: JsonDelta): Json {
   switch (delta.op) {
@@ -72,6 +82,10 @@
   }
 }
 
+/**
+ * Returns a delta that replaces the items from the first that differs to the last
+ * that differs.
+ */
 function makeSplice(from: readonly Json[], to: readonly Json[]): JsonDelta {
   const shorter = Math.min(from.length, to.length);
   let head = 0;
@@ -102,7 +116,9 @@
 ): Json {
   const { head, tail, items } = delta;
   if (!isList(from) || from.length < head + tail) {
-    throw new DeltaMismatch("Cannot apply delta: the list is too short");
+    throw new DeltaMismatch(
+      "Cannot apply delta: the value is not a list or is too short",
+    );
   }
   return [
     ...from.slice(0, head),
@@ -125,6 +141,7 @@
   }
   for (const [key, change] of Object.entries(delta.changed)) {
     const before = Object.hasOwn(from, key) ? from[key] : undefined;
+    // The delta of an added field is a "set", which does not use `before`.
     defineField(next, key, applyDelta(before ?? null, change));
   }
   return next;
--- a/packages/coordination/src/version/json_delta_test.ts
+++ b/packages/coordination/src/version/json_delta_test.ts
@@ -6,7 +6,7 @@
 
 const json = fc.jsonValue({ maxDepth: 4 }) as fc.Arbitrary<Json>;
 
-/** Encodes and decodes a value as on the wire, where -0 becomes 0. */
+/** Encodes a value as JSON and decodes it, since JSON has no -0. */
 function roundTrip(value: Json): Json {
   return JSON.parse(JSON.stringify(value)) as Json;
 }
@@ -22,7 +22,7 @@
   );
 });
 
-test("the delta of a changed row holds only that row", () => {
+test("the delta of a list with one changed item holds only that item", () => {
   const rows = Array.from(
     { length: 500 },
     (_, index) => ({ index, weight: 1 }),
@@ -34,7 +34,7 @@
   assert.ok(JSON.stringify(delta).length < 200, JSON.stringify(delta));
 });
 
-test("a delta that does not match the value is rejected", () => {
+test("a delta of a longer list is rejected", () => {
   const delta = makeDelta([1, 2, 3], [1, 9, 3]);
   assert.throws(() => applyDelta([1], delta), DeltaMismatch);
 });
--- a/packages/coordination/src/version/version_history.ts
+++ b/packages/coordination/src/version/version_history.ts
@@ -1,5 +1,6 @@
 /**
- * Keeps the last versions of a value, to create and apply deltas between them.
+ * Keeps the newest versions of a value, to create deltas between them and to
+ * apply received ones.
  *
  * @module
  */
@@ -7,17 +8,20 @@
 import type { Json } from "./json_delta.ts";
 import type { VersionUpdate } from "./version_message.ts";
 
-/** Number of versions kept; members further behind get the whole value. */
+/** Number of versions kept; members with an older one get the whole value. */
 const MAX_VERSIONS = 4;
 
 interface HistoryEntry {
   readonly version: number;
   readonly value: Json;
-  /** Length of the value as JSON, to compare with that of a delta. */
+  /**
+   * Length of the value as JSON, in UTF-16 code units, to compare with that of a
+   * delta.
+   */
   readonly jsonLength: number;
 }
 
-/** The last few versions of a value, newest last. */
+/** The newest versions of a value, in ascending order. */
 export class VersionHistory {
   readonly #entries: HistoryEntry[] = [];
   readonly #updateCache = new Map<number, VersionUpdate>();
@@ -38,7 +42,11 @@
     this.#updateCache.clear();
   }
 
-  /** Returns the update for members at version `have`; deltas are cached. */
+  /**
+   * Returns the update to send to a member with the given version: the version
+   * alone if the member has the newest or a newer one, otherwise a delta or the
+   * whole value. Deltas are cached.
+   */
   updateFor(memberVersion: number): VersionUpdate {
     const newest = this.#entries.at(-1);
     if (newest === undefined) return { kind: "version", version: 0 };
@@ -52,8 +60,11 @@
   }
 
   /**
-   * Returns the value after an update; undefined if it carries none or its base
-   * is missing.
+   * Returns the value that results from an update; undefined if the update has
+   * neither a value nor a delta, or if the version to which its delta applies is
+   * not kept.
+   *
+   * @throws {DeltaMismatch} if the delta cannot be applied.
    */
   resolveUpdate(update: VersionUpdate): Json | undefined {
     if (update.kind === "whole") return update.value;
--- a/packages/coordination/tests/fleet_fixture.ts
+++ b/packages/coordination/tests/fleet_fixture.ts
@@ -10,7 +10,7 @@
 import * as Random from "effect/Random";
 import * as Scope from "effect/Scope";
 import * as TestClock from "effect/testing/TestClock";
-import type { Clock as Clocks } from "../src/process/clock.ts";
+import type { Clock as ProcessClock } from "../src/process/clock.ts";
 import { NO_DIGEST } from "../src/process/digest.ts";
 import type { Digest } from "../src/process/digest.ts";
 import type { Endpoint } from "../src/process/endpoint.ts";
@@ -30,8 +30,9 @@
 const FIRST_PORT = 7000;
 
 /** Whether a datagram between two members is lost. */
-export type Loss = (from: string, to: string) => boolean;
+export type LossRule = (from: string, to: string) => boolean;
 
+/** Creates a member whose port derives from the digits of its name. */
 export function memberNamed(
   name: string,
   overrides: Partial<Member> = {},
@@ -66,15 +67,18 @@
   readonly hostList = new SettableHostList();
   readonly events: { readonly at: string; readonly event: MembershipEvent }[] =
     [];
-  /** Datagram loss; none by default. */
-  loss: Loss = () => false;
-  datagrams = 0;
-  bytes = 0;
+  /** Decides which datagrams are lost; none by default. */
+  isLost: LossRule = () => false;
+  /** Number of datagrams sent, including lost ones. */
+  datagramsSent = 0;
+  /** Size of the datagrams sent, including lost ones. */
+  bytesSent = 0;
   readonly #options: FleetOptions;
-  readonly #clock: Clocks;
+  readonly #clock: ProcessClock;
   readonly #scope: Scope.Scope;
   readonly #running = new Map<string, Running>();
-  readonly #listeners = new Map<
+  /** By endpoint. */
+  readonly #receivers = new Map<
     string,
     { readonly name: string; readonly receive: (datagram: Uint8Array) => void }
   >();
@@ -88,12 +92,12 @@
     };
   }
 
-  get clock(): Clocks {
+  get clock(): ProcessClock {
     return this.#clock;
   }
 
   /** Sets the host list to the members, as live hosts. */
-  listAll(members: readonly Member[]): void {
+  setHostList(members: readonly Member[]): void {
     this.hostList.set(members.map((member) => hostOf(member)));
   }
 
@@ -120,26 +124,28 @@
     },
   );
 
-  /** Lists and starts members, all at once. */
+  /** Sets the host list to the members, and then starts each. */
   readonly startAll = Effect.fnUntraced(
     { self: this },
     function* (members: readonly Member[]): Effect.fn.Return<void> {
-      this.listAll(members);
+      this.setHostList(members);
       for (const member of members) yield* this.start(member);
     },
   );
 
-  /** Ends a member without an announcement. */
+  /** Ends a member without an announcement that it has left. */
   kill(name: string): Effect.Effect<void> {
     return Effect.suspend(() => {
-      for (const [key, listener] of this.#listeners) {
-        if (listener.name === name) this.#listeners.delete(key);
+      for (const [key, receiver] of this.#receivers) {
+        if (receiver.name === name) this.#receivers.delete(key);
       }
+      // Without a receiver at its endpoint, the member cannot send the
+      // announcement either.
       return this.stop(name);
     });
   }
 
-  /** Ends a member, which announces its departure. */
+  /** Ends a member, which announces that it has left. */
   stop(name: string): Effect.Effect<void> {
     return Effect.suspend(() => {
       const running = this.#running.get(name);
@@ -149,18 +155,18 @@
     });
   }
 
-  member(name: string): ProbedMembership {
+  membershipOf(name: string): ProbedMembership {
     const running = this.#running.get(name);
     if (running === undefined) throw new Error(`Cannot find member "${name}"`);
     return running.membership;
   }
 
   /**
-   * The view of a member as text: names, each with "=" and a state if not
-   * alive.
+   * The view of a member as text: the names in it, followed by "=" and the state
+   * for members that are not alive.
    */
   viewOf(name: string): string {
-    return this.member(name).view().members
+    return this.membershipOf(name).view().members
       .map(({ member, state }) =>
         state === "alive" ? member.name : `${member.name}=${state}`
       )
@@ -172,12 +178,12 @@
     return [...this.#running.keys()].map((name) => this.viewOf(name));
   }
 
-  /** All events in which a member removed another. */
+  /** All removals, as "NAME at MEMBER" for each member that recorded one. */
   removals(): readonly string[] {
     return this.#changesTo("removed");
   }
 
-  /** All events in which a member suspected another. */
+  /** All suspicions, as "NAME at MEMBER" for each member that recorded one. */
   suspicions(): readonly string[] {
     return this.#changesTo("suspect");
   }
@@ -193,37 +199,42 @@
   #connect(self: Member): ProbeTransport {
     const key = endpointKey(self);
     const connected = { name: self.name, receive: (_: Uint8Array) => {} };
-    this.#listeners.set(key, connected);
+    this.#receivers.set(key, connected);
     return {
       listen: (receive) => {
         connected.receive = receive;
       },
       send: (datagram, to) => {
-        if (this.#listeners.get(key) !== connected) return;
+        // Killed, or replaced by a member at the same endpoint.
+        if (this.#receivers.get(key) !== connected) return;
         this.#transmit(self.name, endpointKey(to), datagram);
       },
     };
   }
 
   #transmit(from: string, key: string, datagram: Uint8Array): void {
-    this.datagrams += 1;
-    this.bytes += datagram.length;
-    const to = this.#listeners.get(key);
-    if (to === undefined || this.loss(from, to.name)) return;
+    this.datagramsSent += 1;
+    this.bytesSent += datagram.length;
+    const to = this.#receivers.get(key);
+    if (to === undefined || this.isLost(from, to.name)) return;
     this.#deliver(key, datagram);
   }
 
+  /** Set by `startDelivery`; until then datagrams are dropped. */
   #deliver: (key: string, datagram: Uint8Array) => void = () => {};
 
-  /** Starts delivery of datagrams on fibres of the test. */
-  readonly open = Effect.fnUntraced(
+  /**
+   * Starts to deliver datagrams, each in a fiber that ends with the test's
+   * scope.
+   */
+  readonly startDelivery = Effect.fnUntraced(
     { self: this },
     function* (): Effect.fn.Return<void> {
       const run = Effect.runForkWith(yield* Effect.context());
       const latencyMs = this.#options.latencyMs ?? 2;
       this.#deliver = (key, datagram) => {
         const deliver = Effect.sync(() =>
-          this.#listeners.get(key)?.receive(datagram)
+          this.#receivers.get(key)?.receive(datagram)
         );
         run(
           Effect.sleep(latencyMs).pipe(
@@ -249,7 +260,7 @@
     const clock = yield* Clock.clockWith(Effect.succeed);
     const scope = yield* Effect.scope;
     const fleet = new Fleet(options, clock, scope);
-    yield* fleet.open();
+    yield* fleet.startDelivery();
     yield* test(fleet);
   });
   return Effect.runPromise(
--- a/packages/coordination/tests/membership_property_test.ts
+++ b/packages/coordination/tests/membership_property_test.ts
@@ -61,13 +61,13 @@
     ): Effect.fn.Return<void> {
       switch (fault.kind) {
         case "lossy":
-          fleet.loss = () => random() < fault.share;
+          fleet.isLost = () => random() < fault.share;
           return;
         case "one-way":
-          fleet.loss = (from, to) => from === fault.from && to === fault.to;
+          fleet.isLost = (from, to) => from === fault.from && to === fault.to;
           return;
         case "partition":
-          fleet.loss = (from, to) =>
+          fleet.isLost = (from, to) =>
             fault.side.includes(from) !== fault.side.includes(to);
           return;
         case "kill":
@@ -104,7 +104,7 @@
               yield* members.apply(fleet, fault, random);
               yield* advanceSeconds(seconds);
             }
-            fleet.loss = () => false;
+            fleet.isLost = () => false;
             yield* advanceSeconds(SETTLING_S);
             const expected = members.running().join(" ");
             for (const view of fleet.views()) assert.equal(view, expected);
--- a/packages/coordination/tests/membership_test.ts
+++ b/packages/coordination/tests/membership_test.ts
@@ -62,7 +62,7 @@
     Effect.gen(function* () {
       yield* fleet.startAll(members(8));
       yield* advanceSeconds(5);
-      yield* fleet.member("m3").leave().pipe(Effect.forkChild);
+      yield* fleet.membershipOf("m3").leave().pipe(Effect.forkChild);
       yield* advanceSeconds(0.1);
       for (const view of fleet.views()) {
         assert.equal(view, "m1 m2 m3=leaving m4 m5 m6 m7 m8");
@@ -75,7 +75,7 @@
     Effect.gen(function* () {
       yield* fleet.startAll(members(4));
       yield* advanceSeconds(5);
-      yield* fleet.member("m3").leave().pipe(Effect.forkChild);
+      yield* fleet.membershipOf("m3").leave().pipe(Effect.forkChild);
       yield* advanceSeconds(2);
       yield* fleet.kill("m3");
       yield* advanceSeconds(15);
@@ -100,7 +100,7 @@
   withFleet((fleet) =>
     Effect.gen(function* () {
       yield* fleet.startAll(members(5));
-      fleet.loss = (from, to) => from === "m1" && to === "m2";
+      fleet.isLost = (from, to) => from === "m1" && to === "m2";
       yield* advanceSeconds(120);
       assert.deepEqual(fleet.suspicions(), []);
     })
@@ -111,7 +111,7 @@
   withFleet((fleet) =>
     Effect.gen(function* () {
       yield* fleet.startAll(members(5));
-      fleet.loss = partition(["m1"], ["m2", "m3"]);
+      fleet.isLost = partition(["m1"], ["m2", "m3"]);
       yield* advanceSeconds(120);
       assert.deepEqual(fleet.suspicions(), []);
     })
@@ -121,14 +121,14 @@
   withFleet((fleet) =>
     Effect.gen(function* () {
       yield* fleet.startAll(members(5));
-      fleet.loss = partition(["m1"], ["m2", "m3", "m4", "m5"]);
+      fleet.isLost = partition(["m1"], ["m2", "m3", "m4", "m5"]);
       yield* advanceSeconds(60);
       assert.equal(fleet.viewOf("m1"), "m1");
       assert.equal(fleet.viewOf("m2"), "m2 m3 m4 m5");
-      fleet.loss = () => false;
+      fleet.isLost = () => false;
       yield* advanceSeconds(30);
       for (const view of fleet.views()) assert.equal(view, "m1 m2 m3 m4 m5");
-      assert.equal(fleet.member("m1").self.incarnation, 1);
+      assert.equal(fleet.membershipOf("m1").self.incarnation, 1);
     })
   ));
 
@@ -138,11 +138,11 @@
   withFleet((fleet) =>
     Effect.gen(function* () {
       yield* fleet.startAll(members(4));
-      fleet.loss = partition(["m1", "m2"], ["m3", "m4"]);
+      fleet.isLost = partition(["m1", "m2"], ["m3", "m4"]);
       yield* advanceSeconds(3600);
       assert.equal(fleet.viewOf("m1"), "m1 m2");
       assert.equal(fleet.viewOf("m3"), "m3 m4");
-      fleet.loss = () => false;
+      fleet.isLost = () => false;
       yield* advanceSeconds(30);
       for (const view of fleet.views()) assert.equal(view, "m1 m2 m3 m4");
     })
@@ -193,7 +193,7 @@
       yield* fleet.kill("m2");
       yield* fleet.start(memberNamed("m2", { incarnation: 2 }));
       yield* advanceSeconds(5);
-      const seen = fleet.member("m1").view().members[1]?.member;
+      const seen = fleet.membershipOf("m1").view().members[1]?.member;
       assert.equal(seen?.name, "m2");
       assert.equal(seen?.incarnation, 2);
       assert.deepEqual(fleet.removals(), []);
@@ -214,7 +214,7 @@
       yield* fleet.start({ ...m2, incarnation: 20 });
       yield* advanceSeconds(30);
       for (const view of fleet.views()) assert.equal(view, "m1 m2 m3");
-      assert.equal(fleet.member("m2").self.incarnation, 51);
+      assert.equal(fleet.membershipOf("m2").self.incarnation, 51);
     })
   ));
 
@@ -307,7 +307,7 @@
   withFleet((fleet) =>
     Effect.gen(function* () {
       const received = new Map<string, unknown>();
-      fleet.listAll(members(2));
+      fleet.setHostList(members(2));
       yield* fleet.start(memberNamed("m1"), {
         digest: { read: () => [7], receive: () => {} },
       });
@@ -328,7 +328,7 @@
       yield* fleet.startAll(members(3));
       yield* advanceSeconds(2);
       const seen: string[] = [];
-      const end = fleet.member("m1").subscribe(() => {
+      const end = fleet.membershipOf("m1").subscribe(() => {
         seen.push(fleet.viewOf("m1"));
       });
       yield* fleet.stop("m2");
@@ -350,14 +350,14 @@
         ...member,
         incarnation: 1000,
       }));
-      fleet.listAll(all.map((member) => ({ ...member, incarnation: 1 })));
+      fleet.setHostList(all.map((member) => ({ ...member, incarnation: 1 })));
       for (const member of all) yield* fleet.start(member);
       yield* advanceSeconds(30);
-      const startingBytes = fleet.bytes;
+      const startingBytes = fleet.bytesSent;
       yield* advanceSeconds(60);
-      const before = fleet.bytes;
+      const before = fleet.bytesSent;
       yield* advanceSeconds(30);
-      const steadyBytes = fleet.bytes - before;
+      const steadyBytes = fleet.bytesSent - before;
       assert.ok(
         startingBytes < 4 * steadyBytes,
         `${startingBytes} against ${steadyBytes} bytes`,
--- a/packages/coordination/tests/readme_test.ts
+++ b/packages/coordination/tests/readme_test.ts
@@ -7,29 +7,31 @@
 import { test } from "node:test";
 import { fileURLToPath } from "node:url";
 
+// Both paths are relative to the built test in dist/tests.
 const README = fileURLToPath(new URL("../../README.md", import.meta.url));
-/** Within the package, so that the example resolves its imports. */
-const BUILT = fileURLToPath(new URL("..", import.meta.url));
+/** The example is written here, so that its imports of this package resolve. */
+const BUILD_FOLDER = fileURLToPath(new URL("..", import.meta.url));
 const EXAMPLE = /```js\n([\s\S]*?)```/;
 const COMMANDS = /^node member\.mjs (.*)$/gm;
 
 /** Writes the README's first example to a file. */
-function exampleFile(): { readonly folder: string; readonly file: string } {
+function writeExample(): { readonly folder: string; readonly file: string } {
   const example = EXAMPLE.exec(readFileSync(README, "utf8"))?.[1];
   assert.ok(example, "README.md has no example");
-  const folder = mkdtempSync(join(BUILT, "readme-"));
+  const folder = mkdtempSync(join(BUILD_FOLDER, "readme-"));
   const file = join(folder, "member.mjs");
   writeFileSync(file, example);
   return { folder, file };
 }
 
 /**
- * The parameters of the README's commands, with ports replaced by free ones.
+ * Returns the arguments of the README's commands, with each port replaced by its
+ * value in `portReplacements`.
  */
-function parametersOf(ports: ReadonlyMap<string, string>) {
+function commandArguments(portReplacements: ReadonlyMap<string, string>) {
   const text = readFileSync(README, "utf8");
-  return [...text.matchAll(COMMANDS)].map(([, parameters = ""]) =>
-    parameters.split(" ").map((word) => ports.get(word) ?? word)
+  return [...text.matchAll(COMMANDS)].map(([, args = ""]) =>
+    args.split(" ").map((word) => portReplacements.get(word) ?? word)
   );
 }
 
@@ -40,8 +42,8 @@
   readonly #ended: Promise<number | null>;
   #onLine: (() => void) | undefined;
 
-  constructor(file: string, parameters: readonly string[]) {
-    this.#child = spawn(process.execPath, [file, ...parameters], {
+  constructor(file: string, args: readonly string[]) {
+    this.#child = spawn(process.execPath, [file, ...args], {
       stdio: ["ignore", "pipe", "inherit"],
     });
     assert.ok(this.#child.stdout);
@@ -52,7 +54,11 @@
     this.#ended = new Promise((resolve) => this.#child.on("close", resolve));
   }
 
-  line(pattern: RegExp): Promise<string> {
+  /**
+   * Waits for a line, which may have been printed earlier. Only one call may be
+   * pending at a time.
+   */
+  waitForLine(pattern: RegExp): Promise<string> {
     return new Promise((resolve) => {
       const check = () => {
         const found = this.#lines.find((line) => pattern.test(line));
@@ -63,31 +69,35 @@
     });
   }
 
-  end(signal: NodeJS.Signals): Promise<number | null> {
+  /** Sends a signal and returns the exit code. */
+  signalAndWait(signal: NodeJS.Signals): Promise<number | null> {
     this.#child.kill(signal);
     return this.#ended;
   }
 }
 
 test("the README's two processes discover each other, exchange messages and leave", async () => {
-  const { folder, file } = exampleFile();
+  const { folder, file } = writeExample();
   const running: Example[] = [];
   try {
-    const free = new Map([["7101", "0"], ["7102", "0"]]);
-    const first = new Example(file, parametersOf(free)[0] ?? []);
+    // Port 0 lets the system select a free port.
+    const ports = new Map([["7101", "0"], ["7102", "0"]]);
+    const first = new Example(file, commandArguments(ports)[0] ?? []);
     running.push(first);
-    const listens = await first.line(/ listens on port \d+$/);
-    const port = /\d+$/.exec(listens)?.[0] ?? "";
-    free.set("7101", port);
-    const second = new Example(file, parametersOf(free)[1] ?? []);
+    const listenLine = await first.waitForLine(/ listens on port \d+$/);
+    const port = /\d+$/.exec(listenLine)?.[0] ?? "";
+    ports.set("7101", port);
+    const second = new Example(file, commandArguments(ports)[1] ?? []);
     running.push(second);
-    await second.line(/^half-way-tree answers "hello portmore"$/);
-    await first.line(/^half-way-tree sees half-way-tree,portmore$/);
-    assert.equal(await second.end("SIGTERM"), 0);
-    await first.line(/^half-way-tree sees half-way-tree$/);
-    assert.equal(await first.end("SIGTERM"), 0);
+    await second.waitForLine(/^half-way-tree answers "hello portmore"$/);
+    await first.waitForLine(/^half-way-tree sees half-way-tree,portmore$/);
+    assert.equal(await second.signalAndWait("SIGTERM"), 0);
+    await first.waitForLine(/^half-way-tree sees half-way-tree$/);
+    assert.equal(await first.signalAndWait("SIGTERM"), 0);
   } finally {
-    await Promise.all(running.map((example) => example.end("SIGKILL")));
+    await Promise.all(
+      running.map((example) => example.signalAndWait("SIGKILL")),
+    );
     rmSync(folder, { recursive: true });
   }
 });
--- a/packages/coordination/tests/shares_property_test.ts
+++ b/packages/coordination/tests/shares_property_test.ts
@@ -1,6 +1,7 @@
 // Invariant: at any time the allowances of all holders of a limit add up to at
 // most the limit, whichever messages are lost, delayed or reordered, however
-// many processes believe that they own it, and whenever they restart.
+// many processes act as the limit's owner, which divides it among its holders,
+// and whenever they restart.
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
@@ -27,11 +28,14 @@
     readonly amount: number;
   }
   | { readonly type: "report"; readonly holder: number; readonly owner: number }
-  /** Delivers a message in flight; with `again`, it stays in flight. */
+  /**
+   * Delivers a message in flight. With `duplicate`, it stays in flight and may be
+   * delivered again.
+   */
   | {
     readonly type: "deliver";
     readonly index: number;
-    readonly again: boolean;
+    readonly duplicate: boolean;
   }
   /** Delivers a report and its response, without loss or delay. */
   | {
@@ -56,6 +60,7 @@
     arbitrary: fc.record({
       type: fc.constant("demand" as const),
       holder,
+      // 0 is twice as likely, since holders without demand yield.
       amount: fc.constantFrom(0, 0, 10, 30, 200),
     }),
   },
@@ -80,7 +85,7 @@
     arbitrary: fc.record({
       type: fc.constant("deliver" as const),
       index: fc.nat(),
-      again: fc.boolean(),
+      duplicate: fc.boolean(),
     }),
   },
   {
@@ -93,7 +98,7 @@
   readonly kind: "report";
   readonly holder: number;
   readonly owner: string;
-  readonly report: number;
+  readonly reportNumber: number;
   readonly sentAt: number;
   readonly body: ShareReport;
 }
@@ -106,16 +111,20 @@
 /**
  * Holders, owners and the messages in flight between them, driven step by step.
  */
-class Fleet {
+class LimitSimulation {
   readonly clock = new FakeClock();
   readonly #holdings = Array.from(
     { length: HOLDERS },
     () => new ShareHolding(TOTAL / HOLDERS, TIMES),
   );
   readonly #owners = new Map<string, ShareOwner>();
+  /**
+   * The latest timestamp from an owner to a holder, by `holder/owner`; the
+   * holder's next report repeats it.
+   */
   readonly #stamps = new Map<string, OwnerTimestamp>();
   readonly #inFlight: (ReportInFlight | ResponseInFlight)[] = [];
-  #reports = 0;
+  #lastReportNumber = 0;
 
   constructor() {
     for (const name of OWNERS) this.#restart(name);
@@ -137,7 +146,7 @@
       case "exchange":
         return this.#exchange(step.holder, OWNERS[step.owner] ?? "");
       case "deliver":
-        return this.#deliver(step.index, step.again);
+        return this.#deliver(step.index, step.duplicate);
       case "restart":
         return this.#restart(OWNERS[step.owner] ?? "");
     }
@@ -145,17 +154,18 @@
 
   report(holder: number, owner: string): void {
     const sentAt = this.clock.monotonic();
+    // What the holder yields and wants.
     const offer = this.#holdings[holder]?.offer(owner, sentAt);
     if (offer === undefined) return;
     const stamp = this.#stamps.get(`${holder}/${owner}`);
     const offers = [{ limit: "l", holder: `h${holder}`, ...offer }];
     const body = stamp === undefined ? { offers } : { stamp, offers };
-    const report = this.#reports += 1;
+    const reportNumber = this.#lastReportNumber += 1;
     this.#inFlight.push({
       kind: "report",
       holder,
       owner,
-      report,
+      reportNumber,
       sentAt,
       body,
     });
@@ -163,11 +173,12 @@
 
   #exchange(holder: number, owner: string): void {
     this.report(holder, owner);
+    // Delivers the report, and then its response.
     this.#deliver(this.#inFlight.length - 1, false);
     this.#deliver(this.#inFlight.length - 1, false);
   }
 
-  exchange(holder: number): void {
+  exchangeWithFirstOwner(holder: number): void {
     this.#exchange(holder, "x");
   }
 
@@ -175,13 +186,14 @@
     while (this.#inFlight.length > 0) this.#deliver(0, false);
   }
 
-  #deliver(choice: number, again: boolean): void {
+  /** Delivers a message in flight; `position` is taken modulo their number. */
+  #deliver(position: number, duplicate: boolean): void {
     if (this.#inFlight.length === 0) return;
-    const index = choice % this.#inFlight.length;
+    const index = position % this.#inFlight.length;
     const message = this.#inFlight[index];
     if (message === undefined) return;
-    if (!again) this.#inFlight.splice(index, 1);
-    const { holder, owner, report, sentAt } = message;
+    if (!duplicate) this.#inFlight.splice(index, 1);
+    const { holder, owner, reportNumber, sentAt } = message;
     if (message.kind === "report") {
       const response = decodeResponse(
         this.#owners.get(owner)?.handleReport(message.body),
@@ -193,9 +205,14 @@
     }
     this.#stamps.set(`${holder}/${owner}`, message.response.stamp);
     const granted = message.response.grants[0] ?? 0;
-    this.#holdings[holder]?.applyGrant(owner, { report, sentAt, granted });
+    this.#holdings[holder]?.applyGrant(owner, {
+      report: reportNumber,
+      sentAt,
+      granted,
+    });
   }
 
+  /** Restarts an owner, which forgets its grants. */
   #restart(name: string): void {
     this.#owners.set(name, new ShareOwner(this.clock, TIMES));
   }
@@ -208,11 +225,14 @@
 test("allowances never add up to more than the limit", () => {
   fc.assert(
     fc.property(fc.array(step, { minLength: 20, maxLength: 200 }), (steps) => {
-      const fleet = new Fleet();
+      const simulation = new LimitSimulation();
       for (const step of steps) {
-        fleet.perform(step);
-        const total = sum(fleet.allowances());
-        assert.ok(total <= TOTAL + 1e-6, `${total} of ${TOTAL}`);
+        simulation.perform(step);
+        const total = sum(simulation.allowances());
+        assert.ok(
+          total <= TOTAL + 1e-6,
+          `allowances add up to ${total}, limit ${TOTAL}`,
+        );
       }
     }),
     { seed: 7, numRuns: 3_000 },
@@ -220,65 +240,73 @@
 });
 
 test("a holder with demand gets what the others do not use", () => {
-  const fleet = new Fleet();
-  fleet.perform({ type: "demand", holder: 0, amount: 200 });
+  const simulation = new LimitSimulation();
+  simulation.perform({ type: "demand", holder: 0, amount: 200 });
   for (let round = 0; round < 4; round += 1) {
     for (let holder = 0; holder < HOLDERS; holder += 1) {
-      fleet.report(holder, "x");
+      simulation.report(holder, "x");
     }
-    fleet.deliverAll();
-    fleet.clock.advance(TIMES.periodMs);
+    simulation.deliverAll();
+    simulation.clock.advance(TIMES.periodMs);
   }
-  const allowances = fleet.allowances();
+  const allowances = simulation.allowances();
   assert.ok((allowances[0] ?? 0) > 90, allowances.join(" "));
 });
 
 test("two holders with demand evenly share what the others do not use", () => {
-  const fleet = new Fleet();
-  fleet.perform({ type: "demand", holder: 0, amount: 200 });
-  fleet.perform({ type: "demand", holder: 1, amount: 200 });
+  const simulation = new LimitSimulation();
+  simulation.perform({ type: "demand", holder: 0, amount: 200 });
+  simulation.perform({ type: "demand", holder: 1, amount: 200 });
   for (let round = 0; round < 12; round += 1) {
     for (let holder = 0; holder < HOLDERS; holder += 1) {
-      fleet.report(holder, "x");
+      simulation.report(holder, "x");
     }
-    fleet.deliverAll();
-    fleet.clock.advance(TIMES.periodMs);
+    simulation.deliverAll();
+    simulation.clock.advance(TIMES.periodMs);
   }
-  const [first = 0, second = 0] = fleet.allowances();
+  const [first = 0, second = 0] = simulation.allowances();
   assert.ok(Math.abs(first - second) < 1, `${first} and ${second}`);
   assert.ok(first > 45, `${first}`);
 });
 
-test("allowances return to the floor when the owner fails", () => {
-  // The owner fails while grants are outstanding, and none replaces it. Holders
-  // that yielded must get their floor back, but not before the grants expire.
-  const fleet = new Fleet();
-  fleet.perform({ type: "demand", holder: 0, amount: 200 });
+test("allowances return to each holder's floor when the owner fails", () => {
+  // No report reaches an owner after these rounds, as if the owner had failed
+  // while grants were outstanding and no other had replaced it. Holders that
+  // yielded must get their floor back, the limit divided by the number of
+  // holders, but not before the grants expire.
+  const simulation = new LimitSimulation();
+  simulation.perform({ type: "demand", holder: 0, amount: 200 });
   for (let round = 0; round < 4; round += 1) {
     for (let holder = 0; holder < HOLDERS; holder += 1) {
-      fleet.report(holder, "x");
+      simulation.report(holder, "x");
     }
-    fleet.deliverAll();
-    fleet.clock.advance(TIMES.periodMs);
+    simulation.deliverAll();
+    simulation.clock.advance(TIMES.periodMs);
   }
-  fleet.clock.advance(TIMES.grantMs);
-  assert.equal(fleet.allowances()[0], TOTAL / HOLDERS);
-  fleet.clock.advance(TIMES.yieldMs);
-  assert.deepEqual(fleet.allowances(), Array(HOLDERS).fill(TOTAL / HOLDERS));
+  simulation.clock.advance(TIMES.grantMs);
+  assert.equal(simulation.allowances()[0], TOTAL / HOLDERS);
+  simulation.clock.advance(TIMES.yieldMs);
+  assert.deepEqual(
+    simulation.allowances(),
+    Array(HOLDERS).fill(TOTAL / HOLDERS),
+  );
 });
 
-test("a yield that arrives after its expiry backs no grant", () => {
+test("an amount whose yield expired before the report arrived is not granted", () => {
   // A holder yields, but its report is delayed, and it takes its floor back
-  // when the yield expires. Then the report arrives. If the owner counted the
-  // yield from the arrival, it would grant an allowance that the holder uses
-  // again.
-  const fleet = new Fleet();
-  fleet.perform({ type: "demand", holder: 0, amount: 200 });
-  fleet.exchange(1);
-  fleet.report(1, "x");
-  fleet.clock.advance(TIMES.yieldMs);
-  fleet.deliverAll();
-  fleet.exchange(0);
-  fleet.exchange(0);
-  assert.deepEqual(fleet.allowances(), Array(HOLDERS).fill(TOTAL / HOLDERS));
+  // when the yield expires. Then the report arrives. If the owner measured the
+  // yield time from the arrival, it would grant an amount that the holder is
+  // using again.
+  const simulation = new LimitSimulation();
+  simulation.perform({ type: "demand", holder: 0, amount: 200 });
+  simulation.exchangeWithFirstOwner(1);
+  simulation.report(1, "x");
+  simulation.clock.advance(TIMES.yieldMs);
+  simulation.deliverAll();
+  simulation.exchangeWithFirstOwner(0);
+  simulation.exchangeWithFirstOwner(0);
+  assert.deepEqual(
+    simulation.allowances(),
+    Array(HOLDERS).fill(TOTAL / HOLDERS),
+  );
 });
