--- a/packages/table/src/edit_test.ts
+++ b/packages/table/src/edit_test.ts
@@ -151,9 +151,9 @@
 test("a table above the store's size limit is rejected before it is written", async () => {
   const store = await storeWithTable();
   const { stored } = await readFrom(store);
-  const workspaces = Array.from({ length: 10_000 }, (_, at) => ({
-    name: `workspace-${at}`,
-    keyDigests: [at.toString(16).padStart(64, "0")],
+  const workspaces = Array.from({ length: 10_000 }, (_, index) => ({
+    name: `workspace-${index}`,
+    keyDigests: [index.toString(16).padStart(64, "0")],
     defaultClass: "quote",
   }));
   const wanted = {
--- a/packages/table/src/history_test.ts
+++ b/packages/table/src/history_test.ts
@@ -41,8 +41,12 @@
 test("a missing page of the history is reported, not skipped", async () => {
   const store = await storeWithTable();
   const edit = await rowEdit(store, rowOf({ weight: 5 }));
-  for (let at = 0; at < 80; at += 1) {
-    const other = await rowEdit(store, rowOf({ weight: 10 + at }), `o${at}`);
+  for (let index = 0; index < 80; index += 1) {
+    const other = await rowEdit(
+      store,
+      rowOf({ weight: 10 + index }),
+      `o${index}`,
+    );
     await runOnVirtualClock(applyEdit(store, other));
   }
   const pages = await runOnVirtualClock(store.list("table-history"));
--- a/packages/table/src/table_at_test.ts
+++ b/packages/table/src/table_at_test.ts
@@ -17,8 +17,12 @@
 
 test("a rollback restores an earlier table by a new edit", async () => {
   const store = await storeWithTable();
-  for (let at = 1; at <= 100; at += 1) {
-    const edit = await rowEdit(store, rowOf({ weight: 1 + at }), `e${at}`);
+  for (let index = 1; index <= 100; index += 1) {
+    const edit = await rowEdit(
+      store,
+      rowOf({ weight: 1 + index }),
+      `e${index}`,
+    );
     await runOnVirtualClock(applyEdit(store, edit));
   }
   const current = await readFrom(store);
