--- a/packages/coordination/src/connection/link_settings.ts
+++ b/packages/coordination/src/connection/link_settings.ts
@@ -33,7 +33,8 @@
   readonly maxHandshakes: number;
   /**
    * Time-out for connecting and the handshake together, and for the handshake
-   * of an accepted connection.
+   * of an accepted connection. Two links established within this time of each
+   * other count as dialled at the same time.
    */
   readonly dialTimeoutMs: number;
   /**
--- a/packages/coordination/src/connection/peer.ts
+++ b/packages/coordination/src/connection/peer.ts
@@ -18,7 +18,7 @@
 import type { PeerUnreachable } from "../process/peers.ts";
 import { peerUnreachable } from "../process/peers.ts";
 
-/** Services of the process that a peer and its links use. */
+/** What a peer and its links use of the process. */
 export interface PeerContext extends LinkContext {
   readonly key: Uint8Array;
   self(): Identity;
@@ -59,7 +59,7 @@
   }
 
   /**
-   * Sends a message at once, or queues it while a link is being dialled.
+   * Sends a message immediately, or queues it while a link is being dialled.
    *
    * @returns false if the message is dropped.
    */
@@ -135,6 +135,7 @@
     return best;
   }
 
+  /** Whether one of two usable links is preferred to the other. */
   #prefers(link: Link, other: Link): boolean {
     const newerMs = link.establishedAt - other.establishedAt;
     const simultaneous =
@@ -213,27 +214,27 @@
     { readonly link: Link; readonly reader: FrameReader },
     LinkClosed
   > {
-    const host = this.#context;
-    const endpoint = host.resolve(this.#name);
+    const context = this.#context;
+    const endpoint = context.resolve(this.#name);
     if (endpoint === undefined) return Effect.fail(linkClosed("refused"));
     return dial(endpoint).pipe(
       Effect.flatMap((socket) => this.#authenticate(socket)),
       Effect.timeoutOrElse({
-        duration: host.settings.dialTimeoutMs,
+        duration: context.settings.dialTimeoutMs,
         orElse: () => Effect.fail(linkClosed("silent", "dial")),
       }),
     );
   }
 
   #authenticate(socket: Socket) {
-    const host = this.#context;
+    const context = this.#context;
     const reader = new FrameReader(socket, MAX_HANDSHAKE_FRAME_BYTES);
-    const self = host.self();
-    const options = { socket, reader, key: host.key, self };
+    const self = context.self();
+    const options = { socket, reader, key: context.key, self };
     return dialHandshake(options, this.#name).pipe(
       Effect.map((session) => {
         const dialler = self.name;
-        const link = new Link(host, { socket, session, dialler });
+        const link = new Link(context, { socket, session, dialler });
         return { link, reader };
       }),
       Effect.onError(() => Effect.sync(() => socket.destroy())),
--- a/packages/coordination/src/process/claim_client.ts
+++ b/packages/coordination/src/process/claim_client.ts
@@ -20,9 +20,9 @@
 import type { Peers, PeerUnreachable } from "./peers.ts";
 
 /**
- * Members that are tried before the request is decided locally. With only one,
- * the loss of a serving member would make all others write the partition at
- * once, until the membership view shows the loss.
+ * Maximum number of members that are tried before the request is decided
+ * locally. If it were 1, the loss of a serving member would make all others
+ * write the partition concurrently, until the membership view shows the loss.
  */
 const MAX_REMOTE_ATTEMPTS = 2;
 
@@ -62,6 +62,7 @@
       let mayStand = false;
       for (const name of candidates) {
         if (name === self) break;
+        // Half of the remaining time is left for further attempts.
         const budgetMs = Math.floor((deadline - clock.monotonic()) / 2);
         if (budgetMs <= 0) break;
         const decision = yield* this.#requestFrom(name, {
@@ -112,6 +113,7 @@
   }
 }
 
+/** Whether the handler of the unreachable member may have run. */
 function mayHaveArrived({ reason }: PeerUnreachable): boolean {
   return reason !== "no-link" && reason !== "refused";
 }
--- a/packages/coordination/src/process/claim_decision.ts
+++ b/packages/coordination/src/process/claim_decision.ts
@@ -8,7 +8,10 @@
 import type { KeptAnswer } from "./claims.ts";
 import type { ClaimRecord, ClaimState } from "./claim_record.ts";
 
-/** A request for a claim. A retry with the same id refers to the same claim. */
+/**
+ * A request for a claim. A retry with the same id refers to the same claim. The
+ * fields are those of the {@linkcode ClaimRecord}.
+ */
 export interface ClaimRequest {
   readonly _tag: "Claim";
   readonly key: string;
@@ -17,7 +20,7 @@
   readonly by: string;
 }
 
-/** Records the outcome of a claim. */
+/** A request to record the outcome of a claim. */
 export interface SettleRequest {
   readonly _tag: "Settle";
   readonly key: string;
@@ -32,19 +35,22 @@
 export type PartitionRequest = ClaimRequest | SettleRequest;
 
 /**
- * Decision on a request. An `Append` takes effect only once its record is
- * written.
+ * Decision on a request. An `Append` adds its record to the partition, and takes
+ * effect only once the record is written.
  */
 export type ClaimDecision =
   | { readonly _tag: "Append"; readonly record: ClaimRecord }
   /** The claim is recorded in the store. */
   | { readonly _tag: "Claimed" }
+  /** Another attempt holds the key, and no answer to it is kept. */
   | {
     readonly _tag: "Taken";
     readonly by: string;
     readonly state: ClaimState;
   }
+  /** An earlier attempt with the same digest received this answer. */
   | { readonly _tag: "Answered"; readonly answer: KeptAnswer }
+  /** The key was claimed with a different digest. */
   | { readonly _tag: "Mismatch" }
   /** The claimant has already withdrawn this claim, so it must not be used. */
   | { readonly _tag: "Withdrawn" }
--- a/packages/coordination/src/process/claim_ledger.ts
+++ b/packages/coordination/src/process/claim_ledger.ts
@@ -56,7 +56,7 @@
 
 /** Decisions on a batch of requests, and the writes that they require. */
 export interface BatchPlan {
-  /** In the order of the requests. */
+  /** One decision for each request, in their order. */
   readonly decisions: readonly ClaimDecision[];
   /** The next head; absent when nothing needs to be written. */
   readonly head?: ClaimHead;
@@ -114,12 +114,12 @@
       head.records.map((record) => [record.key, record]),
     );
     const before = new Set(this.#segments);
-    const named = new Set(head.segments);
+    const referenced = new Set(head.segments);
     this.#segments = head.segments;
-    // This includes a segment that was sealed here for a head that another
-    // process's write preceded.
+    // This includes a segment that this process sealed for a head that was not
+    // written, because another process wrote the head first.
     for (const name of [...this.#loadedSegments.keys()]) {
-      if (!named.has(name)) this.#removeSegment(name);
+      if (!referenced.has(name)) this.#removeSegment(name);
     }
     for (const name of head.segments) {
       if (!before.has(name)) this.#indexSegment(name);
--- a/packages/coordination/src/process/claim_objects.ts
+++ b/packages/coordination/src/process/claim_objects.ts
@@ -159,13 +159,13 @@
     const { store } = this.#options;
     return Effect.gen({ self: this }, function* () {
       const { items } = yield* store.list(this.#segmentKind);
-      const named = new Set(head.segments);
+      const referenced = new Set(head.segments);
       for (const item of items) {
         const name = Number(item.name);
         // Only the head that replaces version `name` can add a reference to
         // this segment. The current head is past that version and has none, so
         // no head ever will.
-        if (named.has(name) || name >= headVersion) continue;
+        if (referenced.has(name) || name >= headVersion) continue;
         yield* this.#discard({ name, version: item.version });
       }
       return items;
--- a/packages/coordination/src/process/claim_partition.ts
+++ b/packages/coordination/src/process/claim_partition.ts
@@ -20,7 +20,8 @@
 /** Delay of settlements, so that they can share a write with claims. */
 const SETTLE_DELAY_MS = 100;
 /**
- * Limits the size of a head to half a megabyte with names of maximum length.
+ * Maximum number of requests in one write. It limits the size of a head to half
+ * a megabyte with names of maximum length.
  */
 const MAX_BATCH = 1_000;
 
@@ -152,6 +153,7 @@
       this.#resolve(preview.batch, preview.plan);
       if (preview.plan.head === undefined) return;
       if (!waited) yield* this.#rateLimiter.acquire();
+      // Plans again, to include requests that arrived during the wait.
       const { batch, plan } = this.#planBatch();
       if (plan.head === undefined) {
         return this.#resolve(batch, plan);
--- a/packages/coordination/src/process/claim_record.ts
+++ b/packages/coordination/src/process/claim_record.ts
@@ -6,9 +6,12 @@
 import { createHash } from "node:crypto";
 import type { KeptAnswer } from "./claims.ts";
 
-/** Number of characters kept of a base64url digest: 132 bits. */
+/** Number of base64url characters kept of a key's digest: 132 bits. */
 const KEY_DIGEST_CHARACTERS = 22;
-/** 96 bits, enough to distinguish two bodies under one key. */
+/**
+ * Number of base64url characters kept of a request's digest: 96 bits, enough to
+ * distinguish two bodies under one key.
+ */
 const BODY_DIGEST_CHARACTERS = 16;
 
 /** State of a claim. */
@@ -59,7 +62,7 @@
     .slice(0, KEY_DIGEST_CHARACTERS);
 }
 
-/** Returns the digest of a request, as stored in records. */
+/** Returns the shortened digest of a request's digest, as stored in records. */
 export function bodyDigest(digest: string): string {
   return createHash("sha256").update(digest).digest("base64url")
     .slice(0, BODY_DIGEST_CHARACTERS);
@@ -128,14 +131,14 @@
   return [...row, [answer.status, headers, body]];
 }
 
-/** Returns the number of bytes that a record occupies in the store. */
+/** Estimates the number of bytes that a record occupies in the store. */
 export function storedBytes(record: ClaimRecord): number {
   const answer = record.answer === undefined ? 0 : answerBytes(record.answer);
   const fields = record.key.length + record.digest.length + record.id.length;
   return fields + Buffer.byteLength(record.by) + ROW_PUNCTUATION_BYTES + answer;
 }
 
-/** Returns the number of bytes that an answer occupies in the store. */
+/** Estimates the number of bytes that an answer occupies in the store. */
 export function answerBytes(answer: KeptAnswer): number {
   const BASE64_GROWTH = 4 / 3;
   let size = ROW_PUNCTUATION_BYTES + answer.body.length * BASE64_GROWTH;
--- a/packages/coordination/src/process/claim_routing.ts
+++ b/packages/coordination/src/process/claim_routing.ts
@@ -18,7 +18,7 @@
  * processes with different views may choose different members, which only
  * causes conflicts.
  */
-export function servers(view: View, partition: number): readonly string[] {
+export function rankServers(view: View, partition: number): readonly string[] {
   const key = `claims/${partition}`;
   const inState = (wanted: MemberState) =>
     view.members
@@ -35,13 +35,13 @@
   #view: View | undefined;
   readonly #servers = new Map<number, readonly string[]>();
 
-  /** Returns the same as {@linkcode servers}. */
+  /** Returns the result of {@linkcode rankServers}, cached. */
   servers(view: View, partition: number): readonly string[] {
     if (view !== this.#view) {
       this.#view = view;
       this.#servers.clear();
     }
-    const known = this.#servers.get(partition) ?? servers(view, partition);
+    const known = this.#servers.get(partition) ?? rankServers(view, partition);
     this.#servers.set(partition, known);
     return known;
   }
--- a/packages/coordination/src/process/claims_in_store.ts
+++ b/packages/coordination/src/process/claims_in_store.ts
@@ -219,6 +219,10 @@
     return Effect.succeed({ _tag: "Claimed", claim });
   }
 
+  /**
+   * Reports the attempt that holds the key. A running attempt of a process that
+   * is not in the view may have run.
+   */
   #takenOutcome(
     decision: ClaimDecision & { readonly _tag: "Taken" },
   ): ClaimOutcome {
@@ -256,12 +260,14 @@
     return Effect.andThen(withdrawal, Effect.fail(failure));
   }
 
+  /** Settles a claim as not run, so that the key is free again. */
   #withdraw(request: ClaimRequest): Effect.Effect<void> {
     return this.#settler.settle(request, { _tag: "NotRun" });
   }
 
   /**
-   * Reads or creates the layout. Until then, claims time out as unavailable.
+   * Reads or creates the layout, and then starts to make and serve claims. Until
+   * then, claims time out as unavailable.
    */
   #initialize(scope: Scope.Scope): Effect.Effect<void> {
     const { store, peers, membership } = this.#options;
--- a/packages/coordination/src/process/host_list_client.ts
+++ b/packages/coordination/src/process/host_list_client.ts
@@ -140,16 +140,16 @@
     return poll(this.#http, path, { timeoutMs }).pipe(
       Effect.match({
         onFailure: (failure) => failure,
-        onSuccess: (answer) => this.#accept(answer),
+        onSuccess: (response) => this.#accept(response),
       }),
     );
   }
 
-  #accept(answer: HostListResponse): undefined {
+  #accept(response: HostListResponse): undefined {
     this.#setCurrent(true, "answered");
-    if (answer.revision === this.#revision) return;
-    this.#revision = answer.revision;
-    const { hosts, findings } = parseHosts(answer.hosts);
+    if (response.revision === this.#revision) return;
+    this.#revision = response.revision;
+    const { hosts, findings } = parseHosts(response.hosts);
     if (findings.length > 0) this.#options.onFindings?.(findings);
     this.#hosts = hosts;
     for (const listener of [...this.#listeners]) listener(hosts);
--- a/packages/coordination/src/process/membership_gossip.ts
+++ b/packages/coordination/src/process/membership_gossip.ts
@@ -41,8 +41,8 @@
 /**
  * Changed records to gossip, the least often sent first. Each is sent a bounded
  * number of times, which grows with the logarithm of the number of members:
- * that many transmissions reach all members by epidemic dissemination. So a
- * change costs each member the same few datagrams, whichever member made it.
+ * that many transmissions reach all members by epidemic dissemination. A change
+ * therefore costs each member the same few datagrams, whichever member made it.
  */
 export class GossipQueue {
   readonly #queued = new Map<string, QueuedRecord>();
--- a/packages/coordination/src/process/membership_pending.ts
+++ b/packages/coordination/src/process/membership_pending.ts
@@ -34,7 +34,7 @@
   /**
    * Waits for the ack; false if it does not arrive within `ms` milliseconds.
    */
-  isAckedWithin(ms: number): Effect.Effect<boolean> {
+  waitForAck(ms: number): Effect.Effect<boolean> {
     return Deferred.await(this.#acked).pipe(
       Effect.as(true),
       Effect.timeoutOrElse({
--- a/packages/coordination/src/process/membership_prober.ts
+++ b/packages/coordination/src/process/membership_prober.ts
@@ -53,6 +53,7 @@
   readonly #pendingProbes = new PendingProbes();
   #periodCount = 0;
   #localHealthScore = 0;
+  /** Monotonic time before which no member is suspected or removed. */
   #suspectsFrom = Number.NEGATIVE_INFINITY;
 
   constructor(options: ProberOptions, random: Random.Random) {
@@ -121,21 +122,21 @@
     { self: this },
     function* (): Effect.fn.Return<void> {
       const { table, settings } = this.#options;
-      table.leave();
+      table.markLeaving();
       this.#options.onChange();
       const names = this.#schedule.sample(settings.leaveFanout, []);
       if (names.length === 0) return;
       yield* this.#pendingProbes.track((pending) => {
         const { sequence } = pending;
         for (const name of names) this.#outbox.send("ping", name, { sequence });
-        return pending.isAckedWithin(settings.periodMs);
+        return pending.waitForAck(settings.periodMs);
       });
     },
   );
 
   /** Announces that this process has left. */
   announceLeft(): void {
-    this.#options.table.depart();
+    this.#options.table.markLeft();
     this.#sendGossip(this.#options.settings.leaveFanout);
   }
 
@@ -143,8 +144,8 @@
    * Recovers from a pause of this process. To a process that was paused, all
    * other members seem not to have answered: their datagrams are still unread,
    * timers fire before these are read, and the others may have removed this
-   * process. So it first refutes its removal, requests records from others, and
-   * neither suspects nor removes a member until their answers have had time to
+   * process. It therefore first refutes its removal, requests records from
+   * others, and neither suspects nor removes a member until their answers have had time to
    * arrive.
    */
   #recoverFromPause(pausedMs: number): void {
@@ -172,7 +173,7 @@
       const wantsRecords = this.#periodCount <= BOOTSTRAP_PERIODS;
       this.#outbox.send("ping", target, { sequence, wantsRecords });
       const answerMs = settings.answerMs * multiplier;
-      if (yield* pending.isAckedWithin(answerMs)) {
+      if (yield* pending.waitForAck(answerMs)) {
         return this.#adjustLocalHealth(-1);
       }
       const helpers = this.#schedule.sample(settings.helpers, [target]);
@@ -183,11 +184,11 @@
         });
       }
       const remainingMs = settings.periodMs * multiplier - answerMs;
-      if (yield* pending.isAckedWithin(remainingMs)) {
+      if (yield* pending.waitForAck(remainingMs)) {
         return this.#adjustLocalHealth(-1);
       }
       // The timer may have fired late, before the socket was read.
-      if (yield* pending.isAckedWithin(SOCKET_DRAIN_MS)) return;
+      if (yield* pending.waitForAck(SOCKET_DRAIN_MS)) return;
       const expectedMs = settings.periodMs * multiplier + SOCKET_DRAIN_MS;
       const lateMs = clock.monotonic() - startedAt - expectedMs;
       // Helpers send a nack when they get no ack either. If nacks are missing
@@ -243,7 +244,7 @@
     switch (probe.kind) {
       case "ping":
         // A lower incarnation is answered too: if the sender is in fact a later
-        // start whose clock went back, the record of it in the ack shows it the
+        // start whose clock went back, the ack contains its record with the
         // higher incarnation.
         return this.#outbox.sendTo(sender, {
           kind: "ack",
@@ -271,7 +272,7 @@
     return this.#pendingProbes.track((pending) => {
       const { sequence } = pending;
       this.#outbox.send("ping", subject, { sequence });
-      return pending.isAckedWithin(this.#options.settings.answerMs);
+      return pending.waitForAck(this.#options.settings.answerMs);
     }).pipe(Effect.map((acked) => {
       const requester = request.sender.member.name;
       const { sequence } = request;
@@ -279,7 +280,10 @@
     }));
   }
 
-  /** Changes the score: 0 is healthy, higher means slower or less reachable. */
+  /**
+   * Changes the local health score: 0 is healthy, and a higher score means that
+   * this process is slower or less reachable.
+   */
   #adjustLocalHealth(change: number): void {
     const { maxSlowness } = this.#options.settings;
     const score = this.#localHealthScore + change;
--- a/packages/coordination/src/process/membership_record.ts
+++ b/packages/coordination/src/process/membership_record.ts
@@ -11,7 +11,7 @@
 /** Health of a member. A removed member is absent from the view. */
 export type Health = "alive" | "suspect" | "removed";
 
-/** The state of a member, as claimed by one member. */
+/** The state of a member, as reported by one member. */
 export interface MemberRecord {
   readonly member: Member;
   /**
@@ -24,7 +24,7 @@
    * The member has announced that it leaves; not reset within an incarnation.
    */
   readonly leaving: boolean;
-  /** Name of the member that made this claim. */
+  /** Name of the member that reported this state. */
   readonly by: string;
 }
 
@@ -34,9 +34,9 @@
 
 /**
  * Whether one record of a member takes precedence over another: the higher
- * incarnation wins, then more refutations, then the worse health. So a false
- * suspicion stands until the member itself refutes it, and a delayed message of
- * an earlier incarnation changes nothing.
+ * incarnation wins, then more refutations, then the worse health. A false
+ * suspicion therefore stands until the member itself refutes it, and a delayed
+ * message of an earlier incarnation changes nothing.
  */
 export function supersedes(
   received: MemberRecord,
--- a/packages/coordination/src/process/membership_schedule.ts
+++ b/packages/coordination/src/process/membership_schedule.ts
@@ -8,8 +8,8 @@
 
 /**
  * Schedules probes in rounds: each round holds all members in shuffled order.
- * So each member probes every other within two rounds, while purely random
- * picks could leave some unprobed for arbitrarily long.
+ * Each member therefore probes every other within two rounds, while purely
+ * random picks could leave some unprobed for arbitrarily long.
  */
 export class ProbeSchedule {
   readonly #table: MemberTable;
@@ -22,7 +22,7 @@
     this.#random = random;
   }
 
-  /** Schedules a member before all others. */
+  /** Schedules a member for the next probe, ahead of the current round. */
   prioritize(name: string): void {
     this.#urgent.add(name);
   }
--- a/packages/coordination/src/process/membership_self.ts
+++ b/packages/coordination/src/process/membership_self.ts
@@ -36,17 +36,17 @@
     return this.#record;
   }
 
-  /** Handles a claim about this process, and refutes it if it is wrong. */
-  refute(claim: MemberRecord): void {
+  /** Handles a report about this process, and refutes it if it is wrong. */
+  refute(report: MemberRecord): void {
     const { member, health, refutations } = this.#record;
-    const { incarnation } = claim.member;
+    const { incarnation } = report.member;
     if (health === "removed") return;
     if (incarnation > member.incarnation) return this.#raiseAbove(incarnation);
     if (incarnation < member.incarnation) return;
-    if (claim.health === "alive" || claim.refutations < refutations) return;
+    if (report.health === "alive" || report.refutations < refutations) return;
     const { onEvent } = this.#options;
-    onEvent({ type: "refuted", health: claim.health, by: claim.by });
-    this.#update({ refutations: claim.refutations + 1 });
+    onEvent({ type: "refuted", health: report.health, by: report.by });
+    this.#update({ refutations: report.refutations + 1 });
   }
 
   /** Asserts that this process is alive, ahead of any suspicion of it. */
@@ -55,12 +55,12 @@
   }
 
   /** Marks this process as leaving. */
-  leave(): void {
+  markLeaving(): void {
     if (!this.#record.leaving) this.#update({ leaving: true });
   }
 
   /** Marks this process as removed. */
-  depart(): void {
+  markLeft(): void {
     this.#update({ health: "removed" });
   }
 
--- a/packages/coordination/src/process/membership_table.ts
+++ b/packages/coordination/src/process/membership_table.ts
@@ -163,13 +163,13 @@
   }
 
   /** Marks this process as leaving. */
-  leave(): void {
-    this.#self.leave();
+  markLeaving(): void {
+    this.#self.markLeaving();
   }
 
   /** Marks this process as removed, for the last datagrams that it sends. */
-  depart(): void {
-    this.#self.depart();
+  markLeft(): void {
+    this.#self.markLeft();
   }
 
   /** Merges the platform's host list into the table. */
--- a/packages/coordination/src/process/share_ledger.ts
+++ b/packages/coordination/src/process/share_ledger.ts
@@ -33,10 +33,10 @@
 }
 
 /**
- * The owner's side of one limit. Grants are backed by yields alone: the amount
+ * The owner's side of one limit. Grants are made from yields alone: the amount
  * granted at any time is at most what holders have yielded to this owner and do
- * not use. Several processes that consider themselves the owner therefore do no
- * harm.
+ * not use. Several processes that consider themselves the owner therefore cannot
+ * exceed the limit together.
  */
 export class ShareLedger {
   readonly #times: ShareTimes;
@@ -88,7 +88,7 @@
     const wants: number[] = [];
     const end = now + this.#times.grantMs;
     for (const [name, entry] of this.#holders) {
-      // Only an amount that stays yielded until the grant ends can back it.
+      // Only amounts that stay yielded until the grant ends can be granted.
       if (entry.yieldedUntil >= end) pool += entry.yielded;
       if (name !== holder) grantedElsewhere += largestGrant(entry.grants, now);
       if (this.#isReporting(entry, now)) wants.push(entry.wanted);
@@ -109,8 +109,9 @@
 }
 
 /**
- * Returns the max-min fair level, at which all wants, each capped at it, add up
- * to the pool; infinite if the pool covers them all.
+ * Returns the max-min fair level: the cap at which all wanted amounts, each
+ * limited to the cap, add up to the pool. It is infinite if the pool covers all
+ * wanted amounts.
  *
  * @example
  * ```ts
--- a/packages/coordination/src/process/shares.ts
+++ b/packages/coordination/src/process/shares.ts
@@ -55,7 +55,7 @@
   setDemand(amount: number): void;
   /** Applies a change of the limit. */
   resize(limit: { readonly total: number; readonly holders: number }): void;
-  /** Gives the share up. */
+  /** Stops holding the share. */
   close(): void;
 }
 
@@ -96,20 +96,23 @@
     this.#owner = new ShareOwner(this.#clock, this.#times);
   }
 
-  /** Joins a limit; the floor may be used immediately. */
+  /**
+   * Joins a limit. The floor, the limit divided by the number of holders, may be
+   * used immediately.
+   */
   hold(limit: SharedLimit): Share {
     const holding = new ShareHolding(
       limit.total / limit.holders,
       this.#times,
     );
     const { limit: name, holder } = limit;
-    const held: LocalShare = { limit: name, holder, holding };
-    this.#localShares.add(held);
+    const localShare: LocalShare = { limit: name, holder, holding };
+    this.#localShares.add(localShare);
     return {
       allowance: () => holding.allowance(this.#clock.monotonic()),
       setDemand: (amount) => holding.setDemand(amount),
       resize: ({ total, holders }) => holding.setFloor(total / holders),
-      close: () => void this.#localShares.delete(held),
+      close: () => void this.#localShares.delete(localShare),
     };
   }
 
@@ -156,12 +159,17 @@
     return byOwner;
   }
 
-  #reportTo(owner: string, held: readonly LocalShare[]): Effect.Effect<void> {
+  #reportTo(
+    owner: string,
+    localShares: readonly LocalShare[],
+  ): Effect.Effect<void> {
     return Effect.suspend(() => {
       const sentAt = this.#clock.monotonic();
       const report = this.#reportCount += 1;
       const timestamp = this.#timestamps.get(owner);
-      const offers = held.map(({ limit, holder, holding }): LimitOffer => ({
+      const offers = localShares.map((
+        { limit, holder, holding },
+      ): LimitOffer => ({
         limit,
         holder,
         ...holding.offer(owner, sentAt),
@@ -173,7 +181,7 @@
         const response = decodeResponse(message);
         if (response === undefined) return;
         this.#timestamps.set(owner, response.stamp);
-        for (const [index, { holding }] of held.entries()) {
+        for (const [index, { holding }] of localShares.entries()) {
           const granted = response.grants[index] ?? 0;
           holding.applyGrant(owner, { report, sentAt, granted });
         }
--- a/packages/coordination/src/process/write_rate_limiter.ts
+++ b/packages/coordination/src/process/write_rate_limiter.ts
@@ -25,7 +25,10 @@
   readonly #clock: Clock;
   readonly #minIntervalMs: number;
   #intervalMs: number;
-  /** Time at which the bucket would be full of unused slots. */
+  /**
+   * Monotonic time of the next write's slot. If it is more than `BURST - 1`
+   * intervals in the past, that time is used instead.
+   */
   #nextAt = 0;
 
   constructor(clock: Clock, options: { readonly writesPerSecond: number }) {
@@ -72,7 +75,10 @@
     this.#intervalMs = Math.max(this.#intervalMs, longer);
   }
 
-  /** Lengthens the interval after a failed write. */
+  /**
+   * Lengthens the interval after a failed write, and makes no write before
+   * `retryAfterMs` have passed.
+   */
   recordFailure(retryAfterMs = 0): void {
     const doubled = Math.min(MAX_INTERVAL_MS, this.#intervalMs * 2);
     this.#intervalMs = Math.max(this.#minIntervalMs, doubled);
--- a/packages/coordination/src/version/json_delta_test.ts
+++ b/packages/coordination/src/version/json_delta_test.ts
@@ -7,16 +7,16 @@
 const json = fc.jsonValue({ maxDepth: 4 }) as fc.Arbitrary<Json>;
 
 /** Encodes a value as JSON and decodes it, since JSON has no -0. */
-function roundTrip(value: Json): Json {
-  return JSON.parse(JSON.stringify(value)) as Json;
+function roundTrip<T>(value: T): T {
+  return JSON.parse(JSON.stringify(value)) as T;
 }
 
 test("a delta changes the earlier value into the later one", () => {
   fc.assert(
     fc.property(json, json, (a, b) => {
       const [from, to] = [roundTrip(a), roundTrip(b)];
-      const delta = roundTrip(makeDelta(from, to) as unknown as Json);
-      assert.deepEqual(applyDelta(from, delta as never), to);
+      const delta = roundTrip(makeDelta(from, to));
+      assert.deepEqual(applyDelta(from, delta), to);
     }),
     { seed: 1, numRuns: 2_000 },
   );
@@ -31,6 +31,7 @@
     row.index === 7 ? { ...row, weight: 2 } : row
   );
   const delta = makeDelta({ rows, title: "t" }, { rows: changed, title: "t" });
+  // All 500 items together are longer than 10,000 characters.
   assert.ok(JSON.stringify(delta).length < 200, JSON.stringify(delta));
 });
 
--- a/packages/coordination/src/version/published_value.ts
+++ b/packages/coordination/src/version/published_value.ts
@@ -126,7 +126,7 @@
     });
   }
 
-  /** Whether {@linkcode PublishedValue.ready} would complete at once. */
+  /** Whether {@linkcode PublishedValue.ready} would complete immediately. */
   get isReady(): boolean {
     this.#pauseDetector.check();
     return Deferred.isDoneUnsafe(this.#ready);
@@ -151,7 +151,7 @@
 
   /**
    * Applies a value that this process has written to the store, and broadcasts
-   * it at once, so that an outage of the store does not delay it.
+   * it immediately, so that an outage of the store does not delay it.
    */
   publish(candidate: { readonly version: number; readonly value: unknown }) {
     const { version, value } = candidate;
@@ -192,6 +192,10 @@
   /**
    * Compares with the store and all peers, and retries until one has answered.
    */
+  /**
+   * Reads the store and catches up with the peers, and retries until the store or
+   * a peer has responded, or this process has a value. Then `ready` can complete.
+   */
   #sync(): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       while (true) {
--- a/packages/coordination/src/version/store_follower.ts
+++ b/packages/coordination/src/version/store_follower.ts
@@ -7,8 +7,8 @@
 import type { Store, StoredObject, Unavailable } from "../process/store.ts";
 
 /**
- * A watch on a connection that has gone silent looks like a watch without
- * events until its wait is over. An edit made meanwhile takes effect only after
+ * Maximum wait of one watch. A watch on a connection that has gone silent looks
+ * like a watch without events until its wait is over. An edit made meanwhile takes effect only after
  * that, and later still if the list that follows also uses a silent connection.
  * Since two members of each failure domain watch, one call per second by each
  * is far below the rate that the store can serve.
--- a/packages/coordination/src/version/version_exchange.ts
+++ b/packages/coordination/src/version/version_exchange.ts
@@ -16,7 +16,10 @@
 const QUERY_TIMEOUT_MS = 1_000;
 const QUERY_CONCURRENCY = 32;
 
-/** Where a version was received from. */
+/**
+ * Where a version was received from: the store, this process's own write, or a
+ * member of the same (`domain`) or another (`foreign`) failure domain.
+ */
 export type VersionSource = "store" | "own" | "domain" | "foreign";
 
 /** Settings of a {@linkcode VersionExchange}. */
--- a/packages/coordination/tests/claims_fixture.ts
+++ b/packages/coordination/tests/claims_fixture.ts
@@ -5,7 +5,7 @@
 import { ClaimsInStore } from "../src/process/claims_in_store.ts";
 import type { ClaimsInStoreOptions } from "../src/process/claims_in_store.ts";
 import type { ClaimOutcome, ClaimUnavailable } from "../src/process/claims.ts";
-import { servers } from "../src/process/claim_routing.ts";
+import { rankServers } from "../src/process/claim_routing.ts";
 import {
   FakeMembership,
   memberNamed,
@@ -57,7 +57,7 @@
 
   /** Returns the daemons in the order in which they serve the partition. */
   serverOrder(): readonly string[] {
-    return servers(this.membership(this.#names[0] ?? "").view(), 0);
+    return rankServers(this.membership(this.#names[0] ?? "").view(), 0);
   }
 }
 
--- a/packages/coordination/tests/shares_property_test.ts
+++ b/packages/coordination/tests/shares_property_test.ts
@@ -250,6 +250,7 @@
     simulation.clock.advance(TIMES.periodMs);
   }
   const allowances = simulation.allowances();
+  // The limit less the tenth of their floors that the other two never yield.
   assert.ok((allowances[0] ?? 0) > 90, allowances.join(" "));
 });
 
@@ -266,6 +267,7 @@
   }
   const [first = 0, second = 0] = simulation.allowances();
   assert.ok(Math.abs(first - second) < 1, `${first} and ${second}`);
+  // Half of the limit less the tenth of its floor that the third never yields.
   assert.ok(first > 45, `${first}`);
 });
 
