--- a/packages/router/src/connection/broadcast_interval.ts
+++ b/packages/router/src/connection/broadcast_interval.ts
@@ -42,7 +42,7 @@
 const PROPAGATION_PER_RELAY_MS = 30;
 /** Relays on the path between two failure domains with one relay each. */
 const RELAYS_OF_SMALL_DOMAINS = 2;
-/** The same where the relays of each domain report to a head. */
+/** The same where the relays of each domain are linked to its head. */
 const RELAYS_OF_LARGE_DOMAINS = 4;
 
 /** The state from which intervals are derived. */
@@ -51,7 +51,7 @@
   readonly peers: number;
   /** Whether loads go through relays. */
   readonly relayed: boolean;
-  /** Number of daemons in the own failure domain. */
+  /** Number of daemons in this daemon's failure domain. */
   readonly domainSize: number;
   /** Which versions are newer than those sent to peers. */
   readonly unsent: {
--- a/packages/router/src/connection/broadcast_timer.ts
+++ b/packages/router/src/connection/broadcast_timer.ts
@@ -6,9 +6,9 @@
 
 /** Intervals of a {@linkcode BroadcastTimer}. */
 export interface BroadcastTiming {
-  /** Shortest time between two updates at present. */
+  /** Minimum time between two updates at present, in ms. */
   intervalMs(): number;
-  /** Time between two calls while nothing changes. */
+  /** Time between two calls while nothing changes, in ms. */
   readonly idleMs: number;
 }
 
--- a/packages/router/src/connection/crash_detector.ts
+++ b/packages/router/src/connection/crash_detector.ts
@@ -1,5 +1,5 @@
 /**
- * Detects whether a runner has crashed when its responses break off.
+ * Detects whether a runner has crashed when its responses are interrupted.
  *
  * @module
  */
@@ -11,15 +11,15 @@
 import type { Runner } from "../process/runner.ts";
 
 /**
- * Delay from the first broken response until the runner is probed. The
- * responses of the other requests at the runner break off in this time, too.
+ * Delay in ms from the first interrupted response until the runner is probed. The
+ * responses to other requests at the runner are interrupted in this time, too.
  */
 const PROBE_DELAY_MS = 30;
-/** Shortest time between two probes of a runner that breaks many responses. */
+/** Minimum ms between two probes of a runner that interrupts many responses. */
 const PROBE_INTERVAL_MS = 200;
-/** Time-out for a live runner to accept a connection. */
+/** Time-out in ms for a live runner to accept a connection. */
 const CONNECT_TIMEOUT_MS = 300;
-/** Most fingerprints in a log line. */
+/** Maximum number of fingerprints in a log line. */
 const MAX_LOGGED = 8;
 
 /**
@@ -29,8 +29,8 @@
 export type BrokenRun = Pick<CrashedRun, "fingerprint" | "startedAt">;
 
 /**
- * Probes a runner once after responses of it broke off. The runner has crashed
- * only if it refuses a connection: a single response also breaks off when the
+ * Probes a runner once after its responses were interrupted. The runner has crashed
+ * only if it refuses a connection: a response is also interrupted when the
  * network resets its connection, or when the runner fails some of its requests.
  */
 export class CrashDetector {
@@ -53,7 +53,7 @@
   }
 
   /**
-   * Records a response that broke off at the runner's side, and schedules a
+   * Records a response that was interrupted on the runner's side, and schedules a
    * probe.
    */
   recordBrokenRun(runner: Runner, broken: BrokenRun): void {
--- a/packages/router/src/connection/fleet_sync.ts
+++ b/packages/router/src/connection/fleet_sync.ts
@@ -42,7 +42,7 @@
   readonly network: PeerNetwork;
   readonly log: EventLog;
   readonly metrics: Pick<RequestMetrics, "dependency">;
-  /** Fleet size from which loads go through relays. */
+  /** Fleet size from which loads go through relays (see link_plan.ts). */
   readonly relaysFrom: number;
   /**
    * Average bytes per second sent to one neighbour where loads go through
@@ -70,6 +70,7 @@
   readonly #exchange: StateExchange;
   readonly #followers: StoreFollowers;
   readonly #registration: Registration;
+  /** Addresses in the settings at which other daemons may be reached. */
   #seeds: readonly string[] = [];
 
   constructor(state: SharedState, options: FleetSyncOptions) {
@@ -121,7 +122,7 @@
           this.#peers.discover([...this.#seeds, ...addresses]),
       },
     });
-    state.directory.onChange(() => this.#openGateIfInformed());
+    state.directory.onChange(() => this.#openGateIfComplete());
   }
 
   /** The port on which links of other daemons are accepted. */
@@ -152,7 +153,7 @@
     return !alone && this.#exchange.receivesFleetUpdates;
   }
 
-  /** Whether neighbours' updates include all daemons of the recent fleet. */
+  /** Whether neighbours account for all daemons that were recently in the fleet. */
   get seesWholeFleet(): boolean {
     return this.#exchange.seesWholeFleet;
   }
@@ -191,10 +192,10 @@
     this.#peers.discover(seeds);
   }
 
-  /** Handles a configuration that has come into force. */
+  /** Handles a change of the current configuration. */
   configurationChanged(): void {
     this.#exchange.wake();
-    this.#openGateIfInformed();
+    this.#openGateIfComplete();
   }
 
   /** Stops at once. */
@@ -241,7 +242,8 @@
     this.#followers.restartWatches();
   }
 
-  #openGateIfInformed(): void {
+  /** Opens the gate once this daemon has a configuration and the runners. */
+  #openGateIfComplete(): void {
     if (this.#state.configuration() === undefined) return;
     if (this.#state.directory.revision > 0) this.#gate.open();
   }
--- a/packages/router/src/connection/outbox.ts
+++ b/packages/router/src/connection/outbox.ts
@@ -12,23 +12,25 @@
 import type { PrefixUpdate } from "../process/prefix_index.ts";
 
 /**
- * Prompt updates in one message; beyond them the oldest are dropped. An engine
+ * Maximum number of prompt updates in one message; beyond it the oldest are
+ * dropped. An engine
  * may then prefill, once, a prompt that another one has cached.
  */
 const MAX_PARTS = 2_000;
 /**
- * Crashed requests in one message: about 1 KB, together with as many complete
+ * Maximum number of crashed requests in one message: about 1 KB, together with as many complete
  * responses that clear some. When hundreds of runners crash at once, the others
  * wait for the next message.
  */
 const MAX_CRASHES = 25;
 /**
- * Crashed requests that wait to be sent; beyond them the oldest are dropped. A
+ * Maximum number of crashed requests that wait to be sent; beyond it the oldest are
+ * dropped. A
  * request that crashes its runners arrives again, and is reported then.
  */
 const MAX_CRASHES_WAITING = 1_000;
 
-/** Limits of runners in one message, about 3 KB; others wait. */
+/** Maximum number of rate limits in one message, about 3 KB; others wait. */
 const MAX_LIMITS = 100;
 
 /** The origin of a change. */
--- a/packages/router/src/connection/peers.ts
+++ b/packages/router/src/connection/peers.ts
@@ -15,19 +15,23 @@
 /** First delay before an address is dialled again; doubled with each failure. */
 const MIN_BACKOFF_MS = 150;
 const MAX_BACKOFF_MS = 2_000;
-/** Consecutive failed dials after which a candidate address is dropped. */
+/**
+ * Consecutive failed dials after which a candidate, the address of an unknown
+ * daemon, is dropped.
+ */
 const MAX_CANDIDATE_DIALS = 5;
 /** Consecutive failed dials after which an address is reported as unreachable. */
 const UNREACHABLE_DIALS = 2;
 /**
- * Most links of a daemon. A relay needs some thirty, and more while all daemons
+ * Maximum number of links of a daemon. A relay, which forwards the updates of other
+ * daemons, needs some thirty, and more while all daemons
  * start at once; the other file descriptors are for callers and runners.
  */
 const MAX_LINKS = 500;
 
 /**
- * Remembered addresses of daemons of another version, each of which is logged
- * once.
+ * Maximum number of addresses kept of daemons of another version, each of which is
+ * logged once.
  */
 const MAX_MISMATCHED = 1_000;
 
@@ -78,7 +82,7 @@
   readonly #targets = new Map<string, Target>();
   /** Addresses to maintain links to. */
   #maintained: ReadonlySet<string> = new Set();
-  /** Addresses to dial until a daemon answers. */
+  /** Addresses to dial until a daemon responds or the dials fail too often. */
   readonly #candidates = new Set<string>();
   /** Addresses of daemons of another version that have been logged. */
   readonly #mismatched = new Set<string>();
@@ -122,7 +126,7 @@
     );
   }
 
-  /** Dials the addresses of unknown daemons until they answer or are given up. */
+  /** Dials the addresses of unknown daemons until they respond or are dropped. */
   discover(addresses: readonly string[]): void {
     for (const address of addresses) {
       if (address === this.#own.address) continue;
--- a/packages/router/src/process/contact_book.ts
+++ b/packages/router/src/process/contact_book.ts
@@ -1,5 +1,5 @@
 /**
- * Address book of other daemons, which holds a bounded part of the fleet.
+ * Contacts of other daemons, which are a bounded part of the fleet.
  *
  * @module
  */
@@ -8,8 +8,8 @@
 import { groupBy } from "./group.ts";
 
 /**
- * Time in ms for which a dead incarnation is not added again. Daemons that do not
- * know of its death yet keep sending its contact; without this time each of them
+ * Time in ms for which a dead incarnation is not added again. Daemons that have not
+ * received its removal yet keep sending its contact; without this time each of them
  * would make all others dial it once more.
  */
 const TOMBSTONE_MS = 30_000;
--- a/packages/router/src/process/daemon_registry.ts
+++ b/packages/router/src/process/daemon_registry.ts
@@ -8,8 +8,8 @@
 import { pause } from "./pause.ts";
 
 /**
- * Registry of daemons' addresses. An entry outlives its daemon. All calls throw
- * {@linkcode FeedError}.
+ * Registry of daemons' addresses. An entry outlives its daemon. All methods
+ * reject with {@linkcode FeedError} if the store fails.
  */
 export interface DaemonRegistry {
   /** Adds a daemon's entry, or replaces it. */
@@ -52,8 +52,8 @@
 
 /**
  * Registers this daemon in the store if others should find it there, and searches
- * the store for other daemons while it has no peers. Daemons learn all else from
- * each other, as calls of every daemon would be the largest part of all calls when
+ * the store for other daemons while it has no peers. Daemons get all other
+ * contacts from each other, as calls of every daemon would be the largest part of all calls when
  * a fleet starts.
  */
 export class Registration {
--- a/packages/router/src/process/fleet_time.ts
+++ b/packages/router/src/process/fleet_time.ts
@@ -8,7 +8,7 @@
  * Maximum difference in ms between this host's wall clock and the median of its own
  * and its neighbours' times before the wall clock is considered wrong. Synchronized
  * clocks differ by some ms, and a neighbour's time is up to 100 ms old when it is
- * read.
+ * recorded.
  */
 const TOLERANCE_MS = 250;
 /** Time in ms after which a neighbour's time is ignored. */
--- a/packages/router/src/process/leader_lease.ts
+++ b/packages/router/src/process/leader_lease.ts
@@ -28,7 +28,7 @@
 const SETTLE_MS = 200;
 
 /**
- * A revision of the lease, as seen in the store. Daemons send it to each other so
+ * A revision of the lease, as read from the store. Daemons send it to each other so
  * that most of them need not read the store.
  */
 export interface LeaseObservation {
@@ -99,7 +99,7 @@
   #attempts = 0;
   #term: Term | undefined;
   #unconfirmed: UnconfirmedWrite | undefined;
-  /** Monotonic ms from which this leader may act. */
+  /** Monotonic ms from which this leader may call the platform. */
   #actsFrom = Infinity;
 
   constructor(options: LeaderLeaseOptions) {
@@ -165,13 +165,13 @@
     this.#ownWrite = false;
   }
 
-  /** Whether a call that takes up to `callMs` may start now. */
+  /** Whether a call of the platform that takes up to `callMs` may start now. */
   mayAct(callMs: number): boolean {
     return this.#clock.monotonic() >= this.#actsFrom &&
       this.#remainingMs() > callMs;
   }
 
-  /** Records that the leader has acted just now. */
+  /** Records that the leader has called the platform just now. */
   recordAction(): void {
     this.#actedAt = timestampOf(this.#clock);
   }
@@ -180,11 +180,11 @@
   async tryTake(): Promise<void> {
     const found = await this.#tryStore(() => this.#store.read());
     if (found === "unknown") return;
-    const seen = found && {
+    const observed = found && {
       version: found.revision,
       holding: found.record.holding,
     };
-    const free = this.#observer.isFree(seen, this.#clock.monotonic());
+    const free = this.#observer.isFree(observed, this.#clock.monotonic());
     this.#holderId = found?.record.holding.holderId ?? "";
     this.#ownWrite = false;
     if (free) await this.#take(found);
@@ -321,7 +321,9 @@
     const holding = found?.record.holding;
     const own = holding?.holderId === this.#own.incarnation &&
       holding.fencing === term.fencing;
-    if (found === undefined || !own) return this.#end("taken by another one");
+    if (found === undefined || !own) {
+      return this.#end("taken by another one");
+    }
     term.revision = found.revision;
     term.state = found.record.work;
     this.#recordOwnWrite(found.revision, this.#clock.monotonic());
--- a/packages/router/src/process/limit_share.ts
+++ b/packages/router/src/process/limit_share.ts
@@ -21,13 +21,13 @@
  */
 const MIN_PER_S = 0.2;
 /**
- * Daemons with a share per request per second, plus a constant. Each of them
- * may send one request at any time, so more of them would send too many at
- * once.
+ * Maximum number of daemons with a share: so many for each request per second of
+ * the limit, plus a constant. Each of them may send one request at any time, so
+ * more of them would send too many at once.
  */
 const HOLDERS_PER_S = 2;
 const EXTRA_HOLDERS = 3;
-/** Burst after a pause, in seconds' worth of the limit. */
+/** Burst after a pause: the requests that the limit allows in so many seconds. */
 const BURST_S = 2;
 
 /**
--- a/packages/router/src/process/runner_directory.ts
+++ b/packages/router/src/process/runner_directory.ts
@@ -117,7 +117,7 @@
   /** Applies the changes up to a revision, unless it is not newer. */
   applyChange(
     revision: number,
-    entered: readonly Runner[],
+    updated: readonly Runner[],
     removed: readonly string[],
   ): void {
     if (revision <= this.#list.revision) return;
@@ -126,7 +126,7 @@
       runners.delete(name);
       this.#stale.forget(name);
     }
-    for (const runner of entered) {
+    for (const runner of updated) {
       runners.set(runner.name, this.#newest(runners, runner));
     }
     this.#set({ revision, runners: [...runners.values()] });
--- a/packages/router/src/process/runner_limits.ts
+++ b/packages/router/src/process/runner_limits.ts
@@ -44,7 +44,7 @@
  * daemons that were partitioned when it ended.
  */
 const ENDED_LIMIT_TTL_MS = 600_000;
-/** Milliseconds between two checks which daemons share the limits. */
+/** Milliseconds between two checks of the fleet view. */
 const VIEW_CHECK_MS = 1_000;
 /**
  * Log lines per runner and interval: one for a limit's start, one for its end.
@@ -52,7 +52,10 @@
 const MAX_LOG_LINES = 2;
 /** Interval in ms of the bound on log lines. */
 const LOG_INTERVAL_MS = 1_000;
-/** Runners remembered for an unreadable limit, so that each is logged once. */
+/**
+ * Maximum number of runners kept for an unreadable limit, so that each is logged
+ * once.
+ */
 const MAX_UNREADABLE_RUNNERS = 1_000;
 
 interface Limit {
@@ -60,8 +63,9 @@
   /** When the runner last stated the limit, as far as known. */
   at: number;
   broadcastAt: number;
-  /** Start of the current log interval, and changes since then. */
+  /** Start of the current log interval. */
   loggedAt: number;
+  /** Changes of the limit in this interval. */
   lines: number;
   share: Rate;
   /** Cache key of `share`: version of the fleet view, and rotation. */
@@ -110,7 +114,7 @@
   }
 
   /** Requests per second that a runner accepts, if it states a limit. */
-  of(runner: string): number | undefined {
+  perSecond(runner: string): number | undefined {
     return this.#limits.get(runner)?.perS;
   }
 
--- a/packages/router/src/process/runner_limits_test.ts
+++ b/packages/router/src/process/runner_limits_test.ts
@@ -55,7 +55,7 @@
   record(limits, undefined, 2_100);
   const values = logged.map(({ fields }) => fields.per_s);
   assert.deepEqual(values, [1.4, 2, undefined]);
-  assert.equal(limits.of("r"), undefined);
+  assert.equal(limits.perSecond("r"), undefined);
 });
 
 test("log lines are bounded when the limit differs in each response", () => {
@@ -79,7 +79,7 @@
   for (const now of [10, 20, 30]) {
     record(limits, { kind: "unreadable", text: "-3" }, now);
   }
-  assert.equal(limits.of("r"), 1.4);
+  assert.equal(limits.perSecond("r"), 1.4);
   assert.equal(logged.length, 2);
   assert.deepEqual(logged[1]!.fields, { runner: "r", text: "-3" });
 });
@@ -90,9 +90,9 @@
   const { limits } = limitsWithLog();
   record(limits, 1.4, 100);
   limits.recordStated("r", undefined, { sentAt: 90, now: 110 });
-  assert.equal(limits.of("r"), 1.4);
+  assert.equal(limits.perSecond("r"), 1.4);
   limits.recordStated("r", undefined, { sentAt: 101, now: 120 });
-  assert.equal(limits.of("r"), undefined);
+  assert.equal(limits.perSecond("r"), undefined);
 });
 
 test("an update of another daemon applies unless a newer one is known", () => {
@@ -102,9 +102,9 @@
   assert.deepEqual(limits.applyUpdates([update], 160), []);
   record(limits, undefined, 200);
   assert.deepEqual(limits.applyUpdates([{ ...update, at: 190 }], 210), []);
-  assert.equal(limits.of("r"), undefined);
+  assert.equal(limits.perSecond("r"), undefined);
   limits.applyUpdates([{ ...update, at: 250 }], 260);
-  assert.equal(limits.of("r"), 1.4);
+  assert.equal(limits.perSecond("r"), 1.4);
 });
 
 test("an unchanged limit is broadcast again periodically", () => {
--- a/packages/router/src/process/unreachable_daemons.ts
+++ b/packages/router/src/process/unreachable_daemons.ts
@@ -1,5 +1,5 @@
 /**
- * Tracking of daemons that could not be reached recently.
+ * Tracks the daemons that could not be reached recently.
  *
  * @module
  */
--- a/packages/router/src/request/decision_log.ts
+++ b/packages/router/src/request/decision_log.ts
@@ -151,7 +151,7 @@
     candidates: choice.candidates,
     in_flight: load.total.inFlight,
     reported: load.requestCount(daemon.now()),
-    limit_per_s: daemon.limits.of(choice.runner.id),
+    limit_per_s: daemon.limits.perSecond(choice.runner.id),
     failed_percent: Math.round(100 * load.failureRate(daemon.now())),
     backlog_tokens: load.total.unreadTokens,
     prefill_tokens: choice.prefillTokens,
--- a/packages/router/src/request/runner_search.ts
+++ b/packages/router/src/request/runner_search.ts
@@ -187,7 +187,7 @@
    * Whether the runner is rate-limited and another waiting request goes first.
    */
   #mustYield({ runner }: RunnerChoice): boolean {
-    const limited = this.#daemon.limits.of(runner.id) !== undefined;
+    const limited = this.#daemon.limits.perSecond(runner.id) !== undefined;
     return limited &&
       !this.#limitQueue.isFirst(this.#queueKey, this.#daemon.now());
   }
@@ -196,7 +196,7 @@
   #limitedRunners(tried: ReadonlySet<string>): readonly Runner[] {
     const { runners, limits } = this.#daemon.fleet(this.#routed.service.name);
     return runners.filter(({ id }) =>
-      !tried.has(id) && limits.of(id) !== undefined
+      !tried.has(id) && limits.perSecond(id) !== undefined
     );
   }
 
--- a/packages/router/tests/limit_updates_test.ts
+++ b/packages/router/tests/limit_updates_test.ts
@@ -33,7 +33,7 @@
   perS: number | undefined,
 ) {
   for (const { limits, contact } of members) {
-    assert.equal(limits.of(RUNNER), perS, contact.name);
+    assert.equal(limits.perSecond(RUNNER), perS, contact.name);
   }
 }
 
--- a/packages/router/tests/limited_runner_test.ts
+++ b/packages/router/tests/limited_runner_test.ts
@@ -100,7 +100,7 @@
   const { routers } = fleet.linked;
   fleet.perS = 1.4;
   await waitUntil(() =>
-    routers.every(({ limits }) => limits.of("r-0") === 1.4)
+    routers.every(({ limits }) => limits.perSecond("r-0") === 1.4)
   );
   return fleet;
 }
@@ -123,7 +123,7 @@
   const { routers } = fleet.linked;
   fleet.perS = undefined;
   await waitUntil(() =>
-    routers.every(({ limits }) => limits.of("r-0") === undefined)
+    routers.every(({ limits }) => limits.perSecond("r-0") === undefined)
   );
   const before = fleet.arrivals.length;
   await waitUntil(() => fleet.arrivals.length >= before + 20);
