--- a/packages/coordination/src/connection/frame.ts
+++ b/packages/coordination/src/connection/frame.ts
@@ -10,7 +10,20 @@
 
 export { encodeFrame, LENGTH_BYTES };
 
-/** Why a link was closed. */
+/**
+ * Why a link was closed, or why a connection did not become a link.
+ *
+ * - `ended`: the peer closed the connection.
+ * - `error`: the socket failed.
+ * - `frame-too-large`: a received frame is larger than the maximum.
+ * - `forged`: a received frame is not authentic.
+ * - `malformed`: an authentic message or identity is not valid.
+ * - `refused`: the handshake was refused, the member is unknown, there is a link
+ *   to a later incarnation, or the peer reads too slowly; `detail` says which.
+ * - `silent`: nothing was received within the time-out.
+ * - `idle`: the link was not used, and was closed in order.
+ * - `stopped`: this process has stopped its links.
+ */
 export interface LinkClosed {
   readonly _tag: "LinkClosed";
   readonly reason:
--- a/packages/coordination/src/node.ts
+++ b/packages/coordination/src/node.ts
@@ -62,7 +62,7 @@
   readonly peers: Peers;
   readonly membership: Membership;
   readonly hostList: HostList;
-  /** Announces that this process is leaving; it continues to answer. */
+  /** Announces that this process is leaving; it continues to answer probes. */
   readonly leave: Effect.Effect<void>;
   /** Traffic since the start, for metrics. */
   traffic(): NodeTraffic;
@@ -169,7 +169,7 @@
 }
 
 /**
- * Closes the resources of a failed attempt at once, not with the outer scope.
+ * Closes the resources of a failed attempt immediately, not with the outer scope.
  */
 function inOwnScope<A, E>(
   effect: Effect.Effect<A, E, Scope.Scope>,
--- a/packages/coordination/src/process/claims_in_store.ts
+++ b/packages/coordination/src/process/claims_in_store.ts
@@ -166,12 +166,12 @@
     const { request } = attempt;
     switch (decision._tag) {
       case "Claimed":
-        return this.#claimedOutcome(attempt);
+        return this.#toClaimedOutcome(attempt);
       case "Answered":
       case "Mismatch":
         return Effect.succeed(decision);
       case "Taken":
-        return Effect.succeed(this.#takenOutcome(decision));
+        return Effect.succeed(this.#toTakenOutcome(decision));
       case "Full":
         return Effect.fail({
           _tag: "ClaimUnavailable",
@@ -193,7 +193,7 @@
    * during the request, the claim may have been made long ago and even have
    * expired since; its caller has disconnected and may have retried elsewhere.
    */
-  #claimedOutcome(
+  #toClaimedOutcome(
     attempt: {
       readonly key: string;
       readonly request: ClaimRequest;
@@ -223,7 +223,7 @@
    * Reports the attempt that holds the key. A running attempt of a process that
    * is not in the view may have run.
    */
-  #takenOutcome(
+  #toTakenOutcome(
     decision: ClaimDecision & { readonly _tag: "Taken" },
   ): ClaimOutcome {
     const { by } = decision;
--- a/packages/coordination/src/process/clock.ts
+++ b/packages/coordination/src/process/clock.ts
@@ -38,10 +38,11 @@
 }
 
 /**
- * Returns the milliseconds since a timestamp, on the clock that shows more. The
- * monotonic clock stands still while a whole machine is suspended, which the
- * holder of a lease would not notice; the wall clock is set right after that. A
- * wall clock that jumps ahead by mistake only makes the caller too careful.
+ * Returns the milliseconds since a timestamp: the larger of the times on the two
+ * clocks. The monotonic clock does not advance while a whole machine is
+ * suspended, so the holder of a lease would not notice the suspension; the wall
+ * clock is set right after it. A wall clock that jumps ahead by mistake only
+ * makes the caller too careful.
  */
 export function elapsedSince(timestamp: Timestamp, clock: Clock): number {
   return Math.max(
--- a/packages/coordination/src/process/http_client.ts
+++ b/packages/coordination/src/process/http_client.ts
@@ -1,5 +1,5 @@
 /**
- * Sends HTTP requests to the store over persistent connections.
+ * Sends HTTP requests to the platform over persistent connections.
  *
  * @module
  */
@@ -27,7 +27,7 @@
   readonly body?: string | undefined;
 }
 
-/** Sends requests to one address. */
+/** Sends requests to one address: the platform's store or host list. */
 export class HttpClient {
   readonly #base: URL;
   readonly #agent: Agent;
@@ -102,7 +102,10 @@
   }
 }
 
-/** Tracks whether any byte of a request may have left this process. */
+/**
+ * Tracks whether any byte of a request may have left this process, and thus
+ * whether a write may have taken effect.
+ */
 class RequestTracker {
   readonly #isWrite: boolean;
   #connected = false;
--- a/packages/coordination/src/process/http_store.ts
+++ b/packages/coordination/src/process/http_store.ts
@@ -190,7 +190,7 @@
       ),
     );
     return Effect.flatMap(
-      this.#sendUnlessHeld(this.#readGate, call),
+      this.#sendUnlessBlocked(this.#readGate, call),
       (response) =>
         this.#countFailures(
           responseBody<StoreChanges>(response),
@@ -205,7 +205,7 @@
         timeoutMs: this.#timeoutMs,
       });
     });
-    return this.#sendUnlessHeld(this.#readGate, call);
+    return this.#sendUnlessBlocked(this.#readGate, call);
   }
 
   #write(
@@ -222,10 +222,10 @@
         timeoutMs: this.#timeoutMs,
       });
     });
-    return this.#sendUnlessHeld(this.#writeGate, call);
+    return this.#sendUnlessBlocked(this.#writeGate, call);
   }
 
-  #sendUnlessHeld(
+  #sendUnlessBlocked(
     gate: RetryAfterGate,
     call: Effect.Effect<StoreResponse, Unavailable>,
   ): Effect.Effect<StoreResponse, Unavailable> {
--- a/packages/coordination/src/process/membership_transport.ts
+++ b/packages/coordination/src/process/membership_transport.ts
@@ -51,7 +51,8 @@
   }
 
   /**
-   * Closes after the last datagrams, which announce the departure, are sent.
+   * Closes the socket once the last datagrams are sent, which announce that this
+   * process has left.
    */
   close(): Effect.Effect<void> {
     return Effect.callback((resume) => {
--- a/packages/coordination/src/testing/memory_network.ts
+++ b/packages/coordination/src/testing/memory_network.ts
@@ -20,8 +20,8 @@
 }
 
 /**
- * What is done with a message: deliver it, lose it silently, or refuse it at
- * once.
+ * What is done with a message: deliver it, lose it silently, or refuse it
+ * immediately.
  */
 export type DeliveryAction = "deliver" | "lose" | "refuse";
 
@@ -45,8 +45,12 @@
     this.#members.delete(name);
   }
 
-  /** @internal */
-  handler(delivery: Delivery): MessageHandler | DeliveryAction {
+  /**
+   * Records a message, and returns its handler or why it is not delivered.
+   *
+   * @internal
+   */
+  resolveHandler(delivery: Delivery): MessageHandler | DeliveryAction {
     this.deliveries.push(delivery);
     const action = this.intercept(delivery);
     if (action !== "deliver") return action;
@@ -55,7 +59,7 @@
   }
 
   /** @internal */
-  interceptAnswer(delivery: Delivery): DeliveryAction {
+  interceptResponse(delivery: Delivery): DeliveryAction {
     this.deliveries.push(delivery);
     return this.intercept(delivery);
   }
@@ -82,7 +86,7 @@
       channel,
       kind: "send",
     };
-    const handler = this.#network.handler(delivery);
+    const handler = this.#network.resolveHandler(delivery);
     if (typeof handler === "string") return handler !== "refuse";
     const copy: unknown = decode(encode(message));
     setImmediate(() => Effect.runFork(handler(this.#name, copy)));
@@ -108,7 +112,7 @@
         channel,
         kind: "request",
       };
-      const handler = this.#network.handler(outbound);
+      const handler = this.#network.resolveHandler(outbound);
       if (handler === "refuse") return yield* failed("no-link");
       if (typeof handler === "string") return yield* Effect.never;
       const body: unknown = decode(encode(message.body));
@@ -119,7 +123,7 @@
         channel,
         kind: "answer",
       };
-      const action = this.#network.interceptAnswer(inbound);
+      const action = this.#network.interceptResponse(inbound);
       if (action === "refuse") return yield* failed("closed");
       if (action === "lose") return yield* Effect.never;
       return decode(encode(response)) as unknown;
--- a/packages/coordination/tests/claims_age_test.ts
+++ b/packages/coordination/tests/claims_age_test.ts
@@ -32,7 +32,7 @@
 async function fleetWithKeys(t: TestContext, count: number) {
   const fleet = new ClaimFleet(t, ["a"]);
   const clock = new FakeClock();
-  const a = await fleet.daemon("a", { clock, settings: settings() });
+  const a = await fleet.startDaemon("a", { clock, settings: settings() });
   for (let index = 0; index < count; index += 1) {
     const outcome = await tryClaim(a, `key ${index}`);
     assert.equal(outcome._tag, "Claimed");
@@ -47,7 +47,7 @@
 test("a process that starts later finds claims in sealed segments", async (t) => {
   const { fleet } = await fleetWithKeys(t, 60);
   assert.ok((await segments(fleet)).items.length > 4);
-  const later = await fleet.daemon("a", { settings: settings() });
+  const later = await fleet.startDaemon("a", { settings: settings() });
   for (let index = 0; index < 60; index += 1) {
     assert.equal((await tryClaim(later, `key ${index}`))._tag, "Taken");
   }
@@ -74,7 +74,7 @@
   // request again.
   const { fleet } = await fleetWithKeys(t, 60);
   const year = 365 * 24 * 3_600_000;
-  const skewed = await fleet.daemon("a", {
+  const skewed = await fleet.startDaemon("a", {
     clock: new FakeClock({ at: year, skew: year }),
     settings: settings(),
   });
@@ -85,7 +85,7 @@
 test("a full partition refuses new keys and keeps live claims", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
   const clock = new FakeClock();
-  const a = await fleet.daemon("a", {
+  const a = await fleet.startDaemon("a", {
     clock,
     settings: settings({ maxSegments: 2 }),
   });
@@ -102,7 +102,9 @@
 
 test("a partition that fills up keeps claims but no more answers", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
-  const a = await fleet.daemon("a", { settings: settings({ maxSegments: 8 }) });
+  const a = await fleet.startDaemon("a", {
+    settings: settings({ maxSegments: 8 }),
+  });
   const answer = { status: 200, headers: [], body: new Uint8Array(10) };
   const answered: string[] = [];
   for (let index = 0; index < 30; index += 1) {
@@ -124,7 +126,7 @@
   // must neither count nor prevent the next process from sealing.
   const fleet = new ClaimFleet(t, ["a"]);
   const stopped = Deferred.makeUnsafe<"stopped">();
-  const first = await fleet.daemon("a", {
+  const first = await fleet.startDaemon("a", {
     settings: settings(),
     crashPoints: {
       reached: (point) => {
@@ -143,7 +145,7 @@
     keys.push(key);
   }
   assert.equal((await segments(fleet)).items.length, 1);
-  const next = await fleet.daemon("a", { settings: settings() });
+  const next = await fleet.startDaemon("a", { settings: settings() });
   assert.equal((await tryClaim(next, "new"))._tag, "Claimed");
   for (const key of keys) {
     assert.equal((await tryClaim(next, key))._tag, "Taken");
@@ -152,7 +154,7 @@
 
 test("objects stay far below the store's size limit at any rate of claims", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
-  const a = await fleet.daemon("a", { settings: { timeoutMs: 60_000 } });
+  const a = await fleet.startDaemon("a", { settings: { timeoutMs: 60_000 } });
   const keys = Array.from({ length: 5_000 }, (_, index) => `key ${index}`);
   const outcomes = await Promise.all(keys.map((key) => tryClaim(a, key)));
   assert.ok(outcomes.every(({ _tag }) => _tag === "Claimed"));
--- a/packages/coordination/tests/claims_crash_test.ts
+++ b/packages/coordination/tests/claims_crash_test.ts
@@ -35,7 +35,7 @@
     const stopped = Deferred.makeUnsafe<void>();
     let runs = 0;
     const run = () => void (runs += 1);
-    const a = await fleet.daemon("a", {
+    const a = await fleet.startDaemon("a", {
       membership: fleet.membership("a"),
       crashPoints: {
         reached: (reached) => {
@@ -50,7 +50,7 @@
     fleet.network.intercept = () => "refuse";
     const first = Effect.runFork(attemptRequest(a, run));
     await Effect.runPromise(Deferred.await(stopped));
-    const b = await fleet.daemon("b");
+    const b = await fleet.startDaemon("b");
     const second = await Effect.runPromise(attemptRequest(b, run));
     assert.ok(runs <= 1, `${runs} runs`);
     const free = point === "claim.before_ask" || point === "claim.before_write";
--- a/packages/coordination/tests/claims_exploration_test.ts
+++ b/packages/coordination/tests/claims_exploration_test.ts
@@ -31,8 +31,8 @@
 
 interface Rules {
   /**
-   * Whether the store checks versions; false to test that explore finds the
-   * fault.
+   * Whether the store checks versions. False to test that `explore` finds the
+   * fault that this causes.
    */
   readonly conditional: boolean;
   readonly retentionMs: number;
@@ -84,10 +84,10 @@
   }
 
   /** Delivers a claim: the claimant may now send its request. */
-  deliver(id: string, askedAt: number) {
+  deliver(id: string, requestedAt: number) {
     if (!this.#stored(id)) this.findings.push(`"${id}" is not in the store`);
     for (const earlier of this.#delivered) {
-      if (askedAt - earlier.at > WINDOW_MS) continue;
+      if (requestedAt - earlier.at > WINDOW_MS) continue;
       this.findings.push(`"${id}" was delivered after "${earlier.id}"`);
     }
     this.#delivered.push({ id, at: this.time });
@@ -176,10 +176,10 @@
   id: string,
 ): Actor {
   yield NO_FAULTS;
-  const askedAt = sim.time;
+  const requestedAt = sim.time;
   const decision = yield* serve(sim, ledger, claimRequest(id));
-  const inTime = sim.time - askedAt <= sim.rules.timeoutMs;
-  if (decision === "Claimed" && inTime) return sim.deliver(id, askedAt);
+  const inTime = sim.time - requestedAt <= sim.rules.timeoutMs;
+  if (decision === "Claimed" && inTime) return sim.deliver(id, requestedAt);
   if (decision === "Claimed" || decision === "Undecided") {
     yield* serve(sim, ledger, withdrawalRequest(id));
   }
@@ -192,12 +192,12 @@
   id: string,
 ) {
   let done = false;
-  const askedAt = sim.time;
+  const requestedAt = sim.time;
   return servers.map(function* (ledger): Actor {
     const decision = yield* serve(sim, ledger, claimRequest(id));
     if (done || decision !== "Claimed") return;
     done = true;
-    sim.deliver(id, askedAt);
+    sim.deliver(id, requestedAt);
   });
 }
 
--- a/packages/coordination/tests/claims_fixture.ts
+++ b/packages/coordination/tests/claims_fixture.ts
@@ -29,7 +29,7 @@
    * Starts a daemon; there is one partition, so that the server of a key is
    * known.
    */
-  async daemon(
+  async startDaemon(
     name: string,
     options: Partial<ClaimsInStoreOptions> = {},
   ): Promise<ClaimsInStore> {
--- a/packages/coordination/tests/claims_test.ts
+++ b/packages/coordination/tests/claims_test.ts
@@ -24,8 +24,8 @@
 
 test("a retry through another daemon finds the claim of the first attempt", async (t) => {
   const fleet = new ClaimFleet(t, ["a", "b", "c"]);
-  const [a, b] = [await fleet.daemon("a"), await fleet.daemon("b")];
-  await fleet.daemon("c");
+  const [a, b] = [await fleet.startDaemon("a"), await fleet.startDaemon("b")];
+  await fleet.startDaemon("c");
   assert.equal((await tryClaim(a, "key"))._tag, "Claimed");
   assert.deepEqual(await tryClaim(b, "key"), {
     _tag: "Taken",
@@ -38,7 +38,7 @@
 
 test("a retry gets the answer of the first attempt while it is kept", async (t) => {
   const fleet = new ClaimFleet(t, ["a", "b"]);
-  const [a, b] = [await fleet.daemon("a"), await fleet.daemon("b")];
+  const [a, b] = [await fleet.startDaemon("a"), await fleet.startDaemon("b")];
   const claim = expectClaim(await tryClaim(a, "key"));
   await Effect.runPromise(claim.settle({ _tag: "Answered", answer: ANSWER }));
   await Effect.runPromise(a.drain());
@@ -55,7 +55,7 @@
 
 test("an answer too large to keep is reported as answered, without its content", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
-  const a = await fleet.daemon("a");
+  const a = await fleet.startDaemon("a");
   const claim = expectClaim(await tryClaim(a, "key"));
   const answer = { ...ANSWER, body: new Uint8Array(100_000) };
   await Effect.runPromise(claim.settle({ _tag: "Answered", answer }));
@@ -69,7 +69,7 @@
 
 test("settling a claim as not run frees its key", async (t) => {
   const fleet = new ClaimFleet(t, ["a", "b"]);
-  const [a, b] = [await fleet.daemon("a"), await fleet.daemon("b")];
+  const [a, b] = [await fleet.startDaemon("a"), await fleet.startDaemon("b")];
   const claim = expectClaim(await tryClaim(a, "key"));
   await Effect.runPromise(claim.settle({ _tag: "NotRun" }));
   await Effect.runPromise(a.drain());
@@ -78,9 +78,9 @@
 
 test("a claim whose holder has failed is reported as may-have-run", async (t) => {
   const fleet = new ClaimFleet(t, ["a", "b"]);
-  const a = await fleet.daemon("a");
+  const a = await fleet.startDaemon("a");
   const membership = fleet.membership("b");
-  const b = await fleet.daemon("b", { membership });
+  const b = await fleet.startDaemon("b", { membership });
   await tryClaim(a, "key");
   membership.set([memberNamed("b")]);
   assert.deepEqual(await tryClaim(b, "key"), {
@@ -92,7 +92,7 @@
 
 test("concurrent claims are batched into few writes", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
-  const a = await fleet.daemon("a");
+  const a = await fleet.startDaemon("a");
   const keys = Array.from({ length: 300 }, (_, index) => `key ${index}`);
   const outcomes = await Promise.all(keys.map((key) => tryClaim(a, key)));
   assert.ok(outcomes.every(({ _tag }) => _tag === "Claimed"));
@@ -106,7 +106,7 @@
   // another's claim, the first attempt would be reported as possibly run.
   // Reading back finds the claim's own id.
   const fleet = new ClaimFleet(t, ["a"]);
-  const a = await fleet.daemon("a");
+  const a = await fleet.startDaemon("a");
   fleet.store.plan = faultyHead(["lose-reply", "lose-reply"]);
   assert.equal((await tryClaim(a, "key"))._tag, "Claimed");
   assert.equal((await tryClaim(a, "key"))._tag, "Taken");
@@ -114,7 +114,7 @@
 
 test("a claim whose write request was lost is made by a retry", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
-  const a = await fleet.daemon("a");
+  const a = await fleet.startDaemon("a");
   fleet.store.plan = faultyHead(["lose-request", "refuse"]);
   assert.equal((await tryClaim(a, "key"))._tag, "Claimed");
 });
@@ -122,7 +122,7 @@
 test("a daemon that reaches no server of the partition makes the claim itself", async (t) => {
   const fleet = new ClaimFleet(t, ["a", "b", "c"]);
   const name = fleet.serverOrder()[2] ?? "";
-  const entry = await fleet.daemon(name);
+  const entry = await fleet.startDaemon(name);
   assert.equal((await tryClaim(entry, "key"))._tag, "Claimed");
   assert.equal((await tryClaim(entry, "key"))._tag, "Taken");
 });
@@ -132,8 +132,10 @@
   // the claimant reads the store itself, finds its own id and may send.
   const fleet = new ClaimFleet(t, ["a", "b"]);
   const [server = "", entry = ""] = fleet.serverOrder();
-  await fleet.daemon(server);
-  const claims = await fleet.daemon(entry, { settings: { timeoutMs: 2_000 } });
+  await fleet.startDaemon(server);
+  const claims = await fleet.startDaemon(entry, {
+    settings: { timeoutMs: 2_000 },
+  });
   fleet.network.intercept = ({ kind }) =>
     kind === "answer" ? "lose" : "deliver";
   assert.equal((await tryClaim(claims, "key"))._tag, "Claimed");
@@ -146,7 +148,9 @@
   // time.
   const fleet = new ClaimFleet(t, ["a", "b"]);
   const alone = (name: string) =>
-    fleet.daemon(name, { membership: new FakeMembership(memberNamed(name)) });
+    fleet.startDaemon(name, {
+      membership: new FakeMembership(memberNamed(name)),
+    });
   const [a, b] = [await alone("a"), await alone("b")];
   const keys = Array.from({ length: 40 }, (_, index) => `key ${index}`);
   for (const key of keys) {
@@ -170,8 +174,8 @@
     return Deferred.await(woken);
   });
   const membership = new FakeMembership(memberNamed("a"));
-  const a = await fleet.daemon("a", { store, membership });
-  const b = await fleet.daemon("b", {
+  const a = await fleet.startDaemon("a", { store, membership });
+  const b = await fleet.startDaemon("b", {
     membership: new FakeMembership(memberNamed("b")),
   });
   const late = tryClaim(a, "key");
@@ -183,7 +187,7 @@
 
 test("a claim is refused in time when the store is down, and its key stays free", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
-  const a = await fleet.daemon("a", { settings: { timeoutMs: 200 } });
+  const a = await fleet.startDaemon("a", { settings: { timeoutMs: 200 } });
   assert.equal((await tryClaim(a, "warm"))._tag, "Claimed");
   fleet.store.plan = () => "refuse";
   const refused = await tryClaim(a, "key");
@@ -197,7 +201,7 @@
   // Otherwise each claim refused during an outage would queue a withdrawal, and
   // there would be no room to keep the answers of requests that did run.
   const fleet = new ClaimFleet(t, ["a"]);
-  const a = await fleet.daemon("a", { settings: { timeoutMs: 200 } });
+  const a = await fleet.startDaemon("a", { settings: { timeoutMs: 200 } });
   assert.equal((await tryClaim(a, "warm"))._tag, "Claimed");
   fleet.store.plan = () => "refuse";
   const keys = Array.from({ length: 20 }, (_, index) => `key ${index}`);
@@ -209,7 +213,7 @@
   // The write takes effect, its reply is lost, and the store goes down before
   // it can be read back. The caller receives "not run", so its retry must run.
   const fleet = new ClaimFleet(t, ["a"]);
-  const a = await fleet.daemon("a", { settings: { timeoutMs: 200 } });
+  const a = await fleet.startDaemon("a", { settings: { timeoutMs: 200 } });
   let down = false;
   fleet.store.plan = (call) => {
     if (down) return "refuse";
@@ -228,7 +232,7 @@
   // elsewhere.
   const fleet = new ClaimFleet(t, ["a"]);
   const clock = new FakeClock();
-  const a = await fleet.daemon("a", {
+  const a = await fleet.startDaemon("a", {
     clock,
     crashPoints: {
       reached: (point) =>
@@ -243,7 +247,7 @@
 test("a claim can't be used after a pause between claim and send", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
   const clock = new FakeClock();
-  const a = await fleet.daemon("a", { clock });
+  const a = await fleet.startDaemon("a", { clock });
   const claim = expectClaim(await tryClaim(a, "key"));
   assert.equal(claim.mayStart(), true);
   clock.advance(7_001);
@@ -258,7 +262,7 @@
       ifVersion: 0,
     }),
   );
-  const a = await fleet.daemon("a", { settings: { timeoutMs: 100 } });
+  const a = await fleet.startDaemon("a", { settings: { timeoutMs: 100 } });
   const outcome = await tryClaim(a, "key");
   assert.equal(outcome._tag, "ClaimUnavailable");
   assert.match(JSON.stringify(outcome), /record 0 is not valid/);
@@ -266,7 +270,7 @@
 
 test("later processes use the partition layout of the first one", async (t) => {
   const fleet = new ClaimFleet(t, ["a"]);
-  await tryClaim(await fleet.daemon("a"), "key");
-  const later = await fleet.daemon("a", { settings: { partitions: 64 } });
+  await tryClaim(await fleet.startDaemon("a"), "key");
+  const later = await fleet.startDaemon("a", { settings: { partitions: 64 } });
   assert.equal((await tryClaim(later, "key"))._tag, "Taken");
 });
--- a/packages/coordination/tests/membership_pause_test.ts
+++ b/packages/coordination/tests/membership_pause_test.ts
@@ -4,7 +4,7 @@
 import * as Effect from "effect/Effect";
 import * as Random from "effect/Random";
 import * as TestClock from "effect/testing/TestClock";
-import type { Clock as Clocks } from "../src/process/clock.ts";
+import type { Clock as ProcessClock } from "../src/process/clock.ts";
 import { NO_DIGEST } from "../src/process/digest.ts";
 import { fixedHostList } from "../src/process/host_list.ts";
 import { ProbeCodec } from "../src/process/membership_datagram.ts";
@@ -75,7 +75,7 @@
   const run = Effect.gen(function* () {
     const testClock = yield* Clock.clockWith(Effect.succeed);
     let pausedMs = 0;
-    const clock: Clocks = {
+    const clock: ProcessClock = {
       now: () => testClock.currentTimeMillisUnsafe() + pausedMs,
       monotonic: () => testClock.currentTimeMillisUnsafe() + pausedMs,
     };
@@ -180,7 +180,7 @@
 
 test("after a pause, a process first refutes its removal and requests records", () =>
   // The others have removed m1 during the pause. It asserts that it is alive,
-  // with a higher number of refutations, before it receives a claim of its
+  // with a higher number of refutations, before it receives a report of its
   // removal, and requests records.
   withPausableProcess(({ members, pause }) =>
     Effect.gen(function* () {
--- a/packages/coordination/tests/published_value_test.ts
+++ b/packages/coordination/tests/published_value_test.ts
@@ -38,7 +38,7 @@
     this.#test = t;
   }
 
-  async daemon(
+  async startDaemon(
     name: string,
     options: Partial<PublishedValueOptions<string>> & {
       readonly plan?: FaultPlan;
@@ -97,7 +97,7 @@
   const watching = new Set<string>();
   const daemons = await Promise.all(
     MEMBERS.map(({ name }) =>
-      fleet.daemon(name, {
+      fleet.startDaemon(name, {
         plan: ({ operation }) => {
           if (operation === "watch") watching.add(name.slice(0, 1) + name);
           return "none";
@@ -117,9 +117,9 @@
 test("a daemon without access to the store receives edits from its peers", async (t) => {
   const fleet = new Fleet(t);
   await fleet.write("first");
-  const isolated = await fleet.daemon("a1", { plan: () => "refuse" });
+  const isolated = await fleet.startDaemon("a1", { plan: () => "refuse" });
   const rest = await Promise.all(
-    ["a2", "a3", "b1"].map((name) => fleet.daemon(name)),
+    ["a2", "a3", "b1"].map((name) => fleet.startDaemon(name)),
   );
   await Promise.all(rest.map(whenReady));
   assert.equal((await whenReady(isolated)).value, "first");
@@ -136,7 +136,7 @@
   const plan: FaultPlan = ({ operation }) =>
     operation === "watch" ? Effect.never : down ? "refuse" : "none";
   const daemons = await Promise.all(
-    MEMBERS.map(({ name }) => fleet.daemon(name, { plan })),
+    MEMBERS.map(({ name }) => fleet.startDaemon(name, { plan })),
   );
   await Promise.all(daemons.map(whenReady));
   down = true;
@@ -153,11 +153,11 @@
   await fleet.write("first");
   // Each knows only the other, so that it compares with no third member.
   const [self = memberNamed(""), peer = memberNamed("")] = MEMBERS;
-  const isolated = await fleet.daemon("a1", {
+  const isolated = await fleet.startDaemon("a1", {
     plan: () => "refuse",
     membership: new FakeMembership(self, [peer]),
   });
-  const other = await fleet.daemon("a2");
+  const other = await fleet.startDaemon("a2");
   await Promise.all([whenReady(isolated), whenReady(other)]);
   fleet.network.intercept = ({ kind }) => kind === "send" ? "lose" : "deliver";
   const version = await fleet.write("second");
@@ -166,8 +166,8 @@
 
 test("a version on a heartbeat is fetched from its sender", async (t) => {
   const fleet = new Fleet(t);
-  const from = await fleet.daemon("b1", { plan: () => "refuse" });
-  const to = await fleet.daemon("a1", { plan: () => "refuse" });
+  const from = await fleet.startDaemon("b1", { plan: () => "refuse" });
+  const to = await fleet.startDaemon("a1", { plan: () => "refuse" });
   fleet.network.intercept = ({ kind }) => kind === "send" ? "lose" : "deliver";
   from.publish({ version: 7, value: "seventh" });
   to.digest.receive("b1", from.digest.read());
@@ -178,7 +178,7 @@
   // A peer resumes after a pause or a partition and broadcasts its old version.
   // Applying it would undo an accepted edit.
   const fleet = new Fleet(t);
-  const daemon = await fleet.daemon("a1", { plan: () => "refuse" });
+  const daemon = await fleet.startDaemon("a1", { plan: () => "refuse" });
   daemon.publish({ version: 9, value: "ninth" });
   const stale = fleet.network.peers("b1");
   const update = { kind: "whole", version: 8, value: "eighth" };
@@ -196,11 +196,11 @@
   const versions = [["a2", 4], ["b1", 6], ["b2", 5]] as const;
   fleet.network.intercept = () => "lose";
   for (const [name, version] of versions) {
-    const peer = await fleet.daemon(name, { plan: () => "refuse" });
+    const peer = await fleet.startDaemon(name, { plan: () => "refuse" });
     peer.publish({ version, value: `version ${version}` });
   }
   fleet.network.intercept = () => "deliver";
-  const late = await fleet.daemon("a1", { plan: () => "refuse" });
+  const late = await fleet.startDaemon("a1", { plan: () => "refuse" });
   assert.deepEqual(await whenReady(late), { version: 6, value: "version 6" });
 });
 
@@ -209,7 +209,7 @@
   await fleet.write("first");
   const readAttempted = Deferred.makeUnsafe<void>();
   let down = true;
-  const daemon = await fleet.daemon("a1", {
+  const daemon = await fleet.startDaemon("a1", {
     plan: ({ operation }) => {
       if (operation === "read") Deferred.doneUnsafe(readAttempted, Effect.void);
       return down ? "refuse" : "none";
@@ -232,14 +232,14 @@
   let down = false;
   const plan: FaultPlan = ({ operation }) =>
     operation === "watch" ? Effect.never : down ? "refuse" : "none";
-  const daemon = await fleet.daemon("a1", {
+  const daemon = await fleet.startDaemon("a1", {
     plan,
     clock,
     pauseDetector: pauseWatch,
   });
   await whenReady(daemon);
   fleet.network.intercept = () => "lose";
-  const peer = await fleet.daemon("a2", { plan: () => "refuse" });
+  const peer = await fleet.startDaemon("a2", { plan: () => "refuse" });
   const version = await fleet.write("second");
   peer.publish({ version, value: "second" });
   fleet.network.intercept = () => "deliver";
@@ -260,7 +260,7 @@
   const pauseWatch = new PauseDetector({ clock: new FakeClock() });
   const isolated = await Promise.all(
     ["a1", "a2", "a3"].map((name) =>
-      fleet.daemon(name, {
+      fleet.startDaemon(name, {
         clock,
         pauseDetector: pauseWatch,
         plan: ({ operation }) => operation === "watch" ? Effect.never : "none",
@@ -279,7 +279,7 @@
 test("an invalid value is rejected and the current one stays in effect", async (t) => {
   const fleet = new Fleet(t);
   const rejected: number[] = [];
-  const daemon = await fleet.daemon("a1", {
+  const daemon = await fleet.startDaemon("a1", {
     plan: () => "refuse",
     onRejected: (version) => rejected.push(version),
   });
@@ -293,8 +293,8 @@
 
 test("peerVersions lists the members that are behind or unreachable", async (t) => {
   const fleet = new Fleet(t);
-  const daemon = await fleet.daemon("a1", { plan: () => "refuse" });
-  await fleet.daemon("a2", { plan: () => "refuse" });
+  const daemon = await fleet.startDaemon("a1", { plan: () => "refuse" });
+  await fleet.startDaemon("a2", { plan: () => "refuse" });
   fleet.network.intercept = ({ kind }) => kind === "send" ? "lose" : "deliver";
   daemon.publish({ version: 3, value: "third" });
   const versions = await Effect.runPromise(daemon.peerVersions());
