--- a/packages/router/src/connection/caller_server.ts
+++ b/packages/router/src/connection/caller_server.ts
@@ -12,7 +12,7 @@
 /** Milliseconds between checks for requests that take too long to arrive. */
 const CHECK_MS = 500;
 /**
- * Largest head that the server parses. The configured limit, which may change
+ * Maximum size of a head that the server parses. The configured limit, which may change
  * while connections are open, is checked afterwards.
  */
 const MAX_HEAD_BYTES = 64 * 1024;
@@ -71,8 +71,8 @@
     return listen(this.#server, address);
   }
 
-  /** Applies limits; on open connections from their next request on. */
-  limit(limits: CallerLimits): void {
+  /** Applies limits, which open connections use from their next request on. */
+  applyLimits(limits: CallerLimits): void {
     this.#server.keepAliveTimeout = limits.idleTimeoutMs;
     // Also bounds how long a connection may be open before its first request.
     this.#server.headersTimeout = limits.idleTimeoutMs;
--- a/packages/router/src/connection/compressed_item.ts
+++ b/packages/router/src/connection/compressed_item.ts
@@ -7,7 +7,7 @@
 import { constants, deflateRawSync, inflateRawSync } from "node:zlib";
 import { decodeItem, encodeItem } from "@umbermast/coordination/codec";
 
-/** Largest encoded value before compression. */
+/** Maximum size in bytes of an encoded value before compression. */
 const MAX_BYTES = 32 * 1024 * 1024;
 
 const compressed = new WeakMap<object, Buffer>();
--- a/packages/router/src/connection/crash_detector.ts
+++ b/packages/router/src/connection/crash_detector.ts
@@ -35,7 +35,7 @@
  */
 export class CrashDetector {
   readonly #log: EventLog;
-  readonly #metrics: Pick<RequestMetrics, "runnerEnded">;
+  readonly #metrics: Pick<RequestMetrics, "runnerCrashed">;
   readonly #record: CrashRecord;
   readonly #broken = new Map<string, CrashedRun[]>();
   /** Ids of runners that were probed in the last probe interval. */
@@ -43,7 +43,7 @@
 
   constructor(options: {
     readonly log: EventLog;
-    readonly metrics: Pick<RequestMetrics, "runnerEnded">;
+    readonly metrics: Pick<RequestMetrics, "runnerCrashed">;
     /** Receives the requests that were at a crashed runner. */
     readonly record: CrashRecord;
   }) {
@@ -76,7 +76,7 @@
     this.#broken.delete(runner.id);
     this.#probed.add(runner.id);
     setTimeout(() => this.#probed.delete(runner.id), PROBE_INTERVAL_MS).unref();
-    if (crashed) this.#metrics.runnerEnded(runner.service);
+    if (crashed) this.#metrics.runnerCrashed(runner.service);
     if (crashed) this.#record.recordCrashes(runs, performance.now());
     const logged = runs.slice(0, MAX_LOGGED).map((run) => run.fingerprint);
     this.#log.event("runner_probed", {
--- a/packages/router/src/connection/crash_detector_test.ts
+++ b/packages/router/src/connection/crash_detector_test.ts
@@ -23,7 +23,7 @@
   return {
     detector: new CrashDetector({
       log,
-      metrics: { runnerEnded() {} },
+      metrics: { runnerCrashed() {} },
       record: new CrashRecord(SILENT_LOG),
     }),
     found,
--- a/packages/router/src/connection/peer_link.ts
+++ b/packages/router/src/connection/peer_link.ts
@@ -10,14 +10,14 @@
 import { packMessage, unpackMessage } from "./peer_encoding.ts";
 import type { PeerMessage } from "./peer_message.ts";
 
-/** Largest frame; a configuration of a megabyte fits. */
+/** Maximum size of a frame; a configuration of a megabyte fits. */
 const MAX_FRAME_BYTES = 8 * 1024 * 1024;
 /**
- * Most bytes buffered for a slow peer. Beyond them the link is closed: an update
+ * Maximum bytes buffered for a slow peer. Beyond them the link is closed: an update
  * that arrives seconds late is misleading, and a new link starts with a snapshot.
  */
 const MAX_BUFFERED_BYTES = 1024 * 1024;
-/** Default time without activity after which a link is closed. */
+/** Default time in ms without activity after which a link is closed. */
 export const IDLE_TIMEOUT_MS = 1_500;
 
 /** Encodes a message once, to be sent on many links. */
--- a/packages/router/src/connection/peer_network.ts
+++ b/packages/router/src/connection/peer_network.ts
@@ -10,7 +10,7 @@
 import type { Link, LinkEvents } from "./peer_link.ts";
 
 /**
- * Time-out for opening a link. The first packet of a dial to a host without power
+ * Time-out in ms for opening a link. The first packet of a dial to a host without power
  * is lost, so only another dial finds out that the host has power again.
  */
 const CONNECT_TIMEOUT_MS = 250;
--- a/packages/router/src/process/lifecycle.ts
+++ b/packages/router/src/process/lifecycle.ts
@@ -9,7 +9,7 @@
 export class Lifecycle {
   readonly #log: EventLog;
   readonly #requirements = new Map<string, () => boolean>();
-  #leaving = false;
+  #shuttingDown = false;
   #closed = false;
   #ready = false;
 
@@ -23,8 +23,8 @@
   }
 
   /** Whether the daemon has received SIGTERM. */
-  get leaving(): boolean {
-    return this.#leaving;
+  get shuttingDown(): boolean {
+    return this.#shuttingDown;
   }
 
   /** Whether requests are refused, as the time to accept them after SIGTERM is over. */
@@ -42,14 +42,14 @@
     const missing = [...this.#requirements]
       .filter(([, met]) => !met())
       .map(([name]) => name);
-    if (this.#leaving) missing.push("leaving");
+    if (this.#shuttingDown) missing.push("leaving");
     this.#logChange(missing);
     return missing;
   }
 
   /** Makes the daemon not ready from now on. */
   startShutdown(): void {
-    this.#leaving = true;
+    this.#shuttingDown = true;
     this.missing();
   }
 
--- a/packages/router/src/process/metrics.ts
+++ b/packages/router/src/process/metrics.ts
@@ -111,12 +111,12 @@
     this.#connections.inc({ service });
   }
 
-  /** Counts a runner that ended while it had requests of this daemon. */
-  runnerEnded(service: string): void {
+  /** Counts a runner that crashed while it had requests of this daemon. */
+  runnerCrashed(service: string): void {
     this.#ends.inc({ service });
   }
 
-  /** Sets the version of the configuration in force. */
+  /** Sets the version of the current configuration. */
   version(version: number): void {
     this.#version.set(version);
   }
--- a/packages/router/src/process/restart_detector.ts
+++ b/packages/router/src/process/restart_detector.ts
@@ -12,7 +12,8 @@
 /** Milliseconds between queries to a runner that does not respond. */
 const QUERY_INTERVAL_MS = 1_000;
 /**
- * Queries to one runner. After a longer silence its entry has been removed, or
+ * Maximum number of queries to one runner. After a longer silence its entry has been
+ * removed, or
  * its next entry contains the new start time.
  */
 const MAX_QUERIES = 8;
--- a/packages/router/src/process/retry_budget.ts
+++ b/packages/router/src/process/retry_budget.ts
@@ -17,9 +17,9 @@
 /** Number of counting intervals per window. */
 const INTERVALS = 10;
 /**
- * Fraction of the ratio that is used. An observer's windows start at other
- * times than ours, so that requests counted here may belong to a burst before
- * them.
+ * Fraction of the ratio that is used. Others that check the ratio use windows that
+ * start at other times, so that requests counted here may belong to a burst before
+ * their window.
  */
 const RATIO_FRACTION = 0.6;
 /**
@@ -64,8 +64,8 @@
       retries += counted.retries;
     }
     const { ratio, extra } = this.#bounds;
-    const own = EXTRA_FRACTION * extra / Math.max(1, this.#daemons());
-    if (retries + 1 > RATIO_FRACTION * ratio * requests + own) return false;
+    const share = EXTRA_FRACTION * extra / Math.max(1, this.#daemons());
+    if (retries + 1 > RATIO_FRACTION * ratio * requests + share) return false;
     interval.retries += 1;
     return true;
   }
--- a/packages/router/src/process/runner_loads.ts
+++ b/packages/router/src/process/runner_loads.ts
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Returns ids of runners on which the own load changed since the last call.
+   * Returns ids of runners on which this daemon's load changed since the last call.
    */
   takeChanged(): readonly string[] {
     const changed = [...this.#changed];
--- a/packages/router/src/process/stale_entries.ts
+++ b/packages/router/src/process/stale_entries.ts
@@ -1,5 +1,5 @@
 /**
- * Quarantine for runner entries that seem to belong to an earlier incarnation.
+ * Holds back runner entries that seem to belong to an earlier incarnation.
  *
  * @module
  */
--- a/packages/router/src/process/stream_pace.ts
+++ b/packages/router/src/process/stream_pace.ts
@@ -17,7 +17,7 @@
  * outweigh the mean, a single one should not.
  */
 const PRIOR_TOKENS = 40;
-/** Tokens before the first estimate: the first ones after a start are slow. */
+/** Minimum tokens before the first estimate, as the first ones after a start are slow. */
 const MIN_TOKENS = 40;
 
 /** Mean time per token with exponential decay. */
--- a/packages/router/src/request/caller.ts
+++ b/packages/router/src/request/caller.ts
@@ -30,10 +30,9 @@
 const RECOMPUTED_HEADERS: ReadonlySet<string> = new Set(["content-length"]);
 
 /**
- * Whether a runner's response states where its body ends. One that does not may
- * have been truncated without notice. It is relayed without a length too, so
- * that the caller can draw the same conclusion, instead of a length that
- * vouches for a partial body.
+ * Whether a runner's response states where its body ends. A response that does not
+ * may have been truncated without notice. It is relayed without a length, too: with
+ * one, the caller would take a partial body for a complete one.
  */
 function isFramed(headers: RawHeaders): boolean {
   return headerOf(headers, "content-length") !== undefined ||
--- a/packages/router/src/request/local_outcomes.ts
+++ b/packages/router/src/request/local_outcomes.ts
@@ -44,7 +44,7 @@
     return { kind: "refused", refusal };
   }
 
-  /** Returns the outcome when runners crash while running the request. */
+  /** Returns the outcome when runners crashed while running the request. */
   quarantine({ leftMs }: Quarantine): Outcome {
     if (this.#progress.mayHaveRun) return this.failure("quarantined");
     return { kind: "refused", refusal: quarantineRefusal(leftMs) };
--- a/packages/router/src/request/progress.ts
+++ b/packages/router/src/request/progress.ts
@@ -31,7 +31,8 @@
    */
   expiresAt = Infinity;
   /**
-   * The same for each attempt of the request; empty until the body is received.
+   * Hash that is the same for each attempt of the request; empty until the body is
+   * received.
    */
   fingerprint = "";
 
--- a/packages/router/src/request/refusals.ts
+++ b/packages/router/src/request/refusals.ts
@@ -1,5 +1,5 @@
 /**
- * Refusals of requests that have not run, with the time of a retry.
+ * Refusals of requests that have not run, with a retry delay.
  *
  * @module
  */
@@ -8,8 +8,7 @@
 /** Minimum retry delay in ms; random jitter adds up to as much again. */
 const MIN_RETRY_DELAY_MS = 250;
 /**
- * Share of its remaining time that a caller stays away at most when told to
- * retry later.
+ * Maximum share of a caller's remaining time that the retry delay takes.
  */
 const MAX_RETRY_DELAY_SHARE = 0.33;
 
--- a/packages/router/src/request/runner_pools.ts
+++ b/packages/router/src/request/runner_pools.ts
@@ -1,5 +1,6 @@
 /**
- * Assigns the runners of a service to pools, and prompts to home runners.
+ * Assigns the runners of a service to pools, and prompts to home runners: the runner
+ * on which all daemons prefer to place a prompt, because it is cached there.
  *
  * @module
  */
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -353,7 +353,7 @@
     const caller = new Caller(
       request,
       response,
-      () => this.#lifecycle.leaving,
+      () => this.#lifecycle.shuttingDown,
     );
     new Exchange(this, caller).run().catch((error: unknown) => {
       const reason = error instanceof Error ? error.stack : String(error);
@@ -368,7 +368,7 @@
     if (configuration.version <= current) return;
     this.#configuration = configuration;
     this.#routingTable = new RoutingTable(configuration);
-    this.#server.limit(configuration.limits);
+    this.#server.applyLimits(configuration.limits);
     this.metrics.version(configuration.version);
     this.log.event("configuration_in_force", {
       version: configuration.version,
