--- a/packages/router/src/leadership.ts
+++ b/packages/router/src/leadership.ts
@@ -28,7 +28,7 @@
 }
 
 /** The parts of the router that the leader uses. */
-export interface LeadershipParts extends Omit<AutoscalerSources, "log"> {
+export interface LeadershipDependencies extends Omit<AutoscalerSources, "log"> {
   readonly own: Contact;
   readonly log: EventLog;
   readonly metrics: LeaderMetrics;
@@ -51,9 +51,9 @@
   constructor(
     settings: LeadershipSettings | undefined,
     { leaderStore, api }: LeaderPlatform,
-    parts: LeadershipParts,
+    dependencies: LeadershipDependencies,
   ) {
-    const { own, log } = parts;
+    const { own, log } = dependencies;
     this.#log = log;
     if (settings === undefined || api === undefined) return;
     const { leaseMs, usage } = settings;
@@ -69,7 +69,10 @@
       clock: SYSTEM_CLOCK,
       log,
     });
-    this.#leader = this.#createLeader(this.lease, api, { settings, parts });
+    this.#leader = this.#createLeader(this.lease, api, {
+      settings,
+      dependencies,
+    });
   }
 
   /** Counts a request of a workspace that a runner has started. */
@@ -94,10 +97,10 @@
 
   #createLeader(lease: LeaderLease, api: PlatformApi, options: {
     readonly settings: LeadershipSettings;
-    readonly parts: LeadershipParts;
+    readonly dependencies: LeadershipDependencies;
   }): Leader {
     const { leaseMs, ordersRunners, usage: timing } = options.settings;
-    const { own, log, metrics, fleetSync, random } = options.parts;
+    const { own, log, metrics, fleetSync, random } = options.dependencies;
     const meter = this.usage;
     return new Leader({
       name: own.name,
@@ -109,7 +112,9 @@
         timing,
         complete: () => fleetSync().seesWholeFleet,
       },
-      scalingPolicy: ordersRunners ? new Autoscaler(options.parts) : undefined,
+      scalingPolicy: ordersRunners
+        ? new Autoscaler(options.dependencies)
+        : undefined,
       eligible: () => fleetSync().mayLead,
       leaseChanged: () => fleetSync().leaseChanged(),
       now: () => this.time.now(),
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -55,10 +55,11 @@
   readonly engineCache: EngineCache;
 }
 
-/** Interval at which waiting requests check for free capacity. */
+/** Interval in ms at which waiting requests check for free capacity. */
 const CAPACITY_CHECK_MS = 20;
 /**
- * Fewest daemons among which the budget for extra retries is divided. Until a
+ * Minimum number of daemons among which the budget for extra retries is divided.
+ * Until a
  * daemon has found the others, its share is safe for a fleet of this size.
  */
 const MIN_DAEMONS = 8;
@@ -275,7 +276,7 @@
     return this.#lifecycle.missing().length === 0;
   }
 
-  /** Opens the ports and starts to follow the store. */
+  /** Opens the ports, and starts to read and watch the store. */
   async start(): Promise<void> {
     const { readiness, metrics } = this.#settings;
     const readinessServer = createReadinessServer(
@@ -341,7 +342,7 @@
     return cut === 0;
   }
 
-  /** Whether a query to a runner fits its rate limit; if so, it is counted. */
+  /** Whether a runner's rate limit allows a query now; counts it if so. */
   #mayQuery(id: string): boolean {
     const now = this.now();
     if (!this.limits.allowsRequest(id, now)) return false;
@@ -362,7 +363,7 @@
     });
   }
 
-  /** Puts a configuration into force if it is newer than the current one. */
+  /** Applies a configuration if it is newer than the current one. */
   #applyConfiguration(configuration: Configuration, source: string): void {
     const current = this.#routingTable?.version ?? -1;
     if (configuration.version <= current) return;
--- a/packages/router/src/version/configuration.ts
+++ b/packages/router/src/version/configuration.ts
@@ -31,18 +31,18 @@
   readonly repetition: Repetition;
   /** Whether responses are event streams. */
   readonly streaming: boolean;
-  /** Time-out of a request, after which the caller gets a final response. */
+  /** Time-out of a request in ms, after which the caller gets a final response. */
   readonly timeoutMs: number;
-  /** Latency target for the response, or for the first event of a stream. */
+  /** Target latency in ms of the response, or of the first event of a stream. */
   readonly targetMs: number;
-  /** Latency target for the gap between two events of a stream. */
+  /** Target in ms for the gap between two events of a stream. */
   readonly gapTargetMs: number | undefined;
-  /** Longest time without an event that callers of a stream tolerate. */
+  /** Maximum ms without an event that callers of a stream tolerate. */
   readonly patienceMs: number;
   /** Tier of the route, 0 being the most urgent. */
   readonly tier: number;
   readonly destinations: readonly Destination[];
-  /** Most runners to which one request is sent. */
+  /** Maximum number of runners to which one request is sent. */
   readonly maxAttempts: number;
   /** Whether requests without a key are accepted. */
   readonly anonymous: boolean;
@@ -50,7 +50,7 @@
 
 /** Capacity and streaming of a model engine. */
 export interface Engine {
-  /** Most requests in one batch. */
+  /** Maximum number of requests in one batch. */
   readonly slots: number;
   /** Capacity of the KV cache, in tokens. */
   readonly memoryTokens: number;
