--- a/packages/router/src/process/autoscaler.ts
+++ b/packages/router/src/process/autoscaler.ts
@@ -90,7 +90,7 @@
     });
   }
 
-  recordNoRunnersLeft(
+  recordDepleted(
     { service, failureDomain }: RunnerOrder,
     now: number,
   ): void {
--- a/packages/router/src/process/autoscaler_test.ts
+++ b/packages/router/src/process/autoscaler_test.ts
@@ -145,7 +145,7 @@
   const simulation = new Simulation(preemptible(8));
   simulation.run(0, 4_000);
   const [order] = simulation.orders;
-  simulation.scaler.recordNoRunnersLeft(order!, 4_000);
+  simulation.scaler.recordDepleted(order!, 4_000);
   simulation.run(4_200, 4_200);
   assert.match(simulation.shown, /^a:8\+/);
   simulation.run(7_200, 7_400);
--- a/packages/router/src/process/leader_lease.ts
+++ b/packages/router/src/process/leader_lease.ts
@@ -321,9 +321,7 @@
     const holding = found?.record.holding;
     const own = holding?.holderId === this.#own.incarnation &&
       holding.fencing === term.fencing;
-    if (found === undefined || !own) {
-      return this.#end("taken by another one");
-    }
+    if (found === undefined || !own) return this.#end("taken by another one");
     term.revision = found.revision;
     term.state = found.record.work;
     this.#recordOwnWrite(found.revision, this.#clock.monotonic());
--- a/packages/router/src/process/order_tracker.ts
+++ b/packages/router/src/process/order_tracker.ts
@@ -89,9 +89,7 @@
       ...this.#sent.filter((other) => !isSamePool(other.order, order)),
       { order, accepted, retryMs, notBefore },
     ];
-    if (end.kind === "none-left") {
-      this.#policy?.recordNoRunnersLeft(order, sent.now);
-    }
+    if (end.kind === "none-left") this.#policy?.recordDepleted(order, sent.now);
     this.#log.event("runners_ordered", {
       service: order.service,
       failure_domain: order.failureDomain,
--- a/packages/router/src/process/order_tracker_test.ts
+++ b/packages/router/src/process/order_tracker_test.ts
@@ -22,7 +22,7 @@
   const noneLeft: RunnerOrder[] = [];
   const policy: ScalingPolicy = {
     desiredOrders: () => desired,
-    recordNoRunnersLeft: (refused) => void noneLeft.push(refused),
+    recordDepleted: (refused) => void noneLeft.push(refused),
   };
   return { tracker: new OrderTracker(policy, SILENT_LOG), noneLeft };
 }
--- a/packages/router/src/process/runner_order.ts
+++ b/packages/router/src/process/runner_order.ts
@@ -26,8 +26,8 @@
     orders: readonly RunnerOrder[],
     now: number,
   ): readonly RunnerOrder[];
-  /** Records that the platform has no runners left for an order. */
-  recordNoRunnersLeft(order: RunnerOrder, now: number): void;
+  /** Records that the pool of an order is depleted: the platform has no runners left. */
+  recordDepleted(order: RunnerOrder, now: number): void;
 }
 
 /** Whether both are for the same service, failure domain and kind. */
--- a/packages/router/tests/leader_test.ts
+++ b/packages/router/tests/leader_test.ts
@@ -182,7 +182,7 @@
   let desired: readonly RunnerOrder[] = [order];
   fixture.scalingPolicy = {
     desiredOrders: () => desired,
-    recordNoRunnersLeft() {},
+    recordDepleted() {},
   };
   fixture.start("a");
   await fixture.clock.advance(ELECTION_MS + 5_000);
