--- a/packages/router/src/process/crash_record_test.ts
+++ b/packages/router/src/process/crash_record_test.ts
@@ -7,7 +7,7 @@
 /** Milliseconds from the start of a run to the crash of its runner. */
 const RUN_MS = 50;
 const QUARANTINE_MS = 600_000;
-const MEMORY_MS = 3_600_000;
+const RETENTION_MS = 3_600_000;
 
 /** A record, and the fields of its log events. */
 function recordWithLog(): { record: CrashRecord; logged: Fields[] } {
@@ -164,7 +164,7 @@
 test("crashes are forgotten after an hour", () => {
   const { record } = recordWithLog();
   recordConsecutive(record, { count: 3 });
-  const later = 200 + RUN_MS + MEMORY_MS + 1;
+  const later = 200 + RUN_MS + RETENTION_MS + 1;
   recordConsecutive(record, { count: 1, from: later });
   assert.equal(isQuarantined(record, "bad", later + 200), false);
 });
--- a/packages/router/src/process/feed.ts
+++ b/packages/router/src/process/feed.ts
@@ -81,7 +81,7 @@
   untilNextCheck(): Promise<void>;
 }
 
-/** Backoff in ms after the first failure; doubled at each further one. */
+/** Backoff in ms after the first failure; doubled after each one, up to the maximum. */
 const INITIAL_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 400;
 /**
--- a/packages/router/src/process/leader.ts
+++ b/packages/router/src/process/leader.ts
@@ -37,7 +37,7 @@
 const CHECK_FRACTION = 0.6;
 /** Time-out of a call to the platform, in ms; the call is then aborted. */
 const TIMEOUT_MS = 900;
-/** Backoff in ms after the first failed call; doubled at each further one. */
+/** Backoff in ms after the first failed call; doubled after each one, up to the maximum. */
 const INITIAL_RETRY_MS = 400;
 const MAX_RETRY_MS = 3_200;
 
--- a/packages/router/src/process/order_tracker.ts
+++ b/packages/router/src/process/order_tracker.ts
@@ -8,7 +8,7 @@
 import { isSamePool } from "./runner_order.ts";
 import type { RunnerOrder, ScalingPolicy } from "./runner_order.ts";
 
-/** Backoff in ms after the first failed attempt; doubled at each further one. */
+/** Backoff in ms after the first failed attempt; doubled after each one, up to the maximum. */
 const INITIAL_RETRY_MS = 400;
 const MAX_RETRY_MS = 6_400;
 
