--- a/packages/coordination/src/process/membership_gossip.ts
+++ b/packages/coordination/src/process/membership_gossip.ts
@@ -21,7 +21,11 @@
     this.#remainingBytes = bytes;
   }
 
-  /** Adds a record; returns false if it does not fit. */
+  /**
+   * Adds a record, unless one of the same member has been added.
+   *
+   * @returns false if the record is undefined or does not fit.
+   */
   add(record: MemberRecord | undefined): boolean {
     if (record === undefined) return false;
     if (this.#records.has(record.member.name)) return true;
--- a/packages/coordination/src/version/published_value.ts
+++ b/packages/coordination/src/version/published_value.ts
@@ -116,8 +116,9 @@
   }
 
   /**
-   * Completes with the current value once it has been compared with the store
-   * and the peers: after the start, and again after a pause of the process.
+   * Completes with the current value once the store or a peer has responded: after
+   * the start, and again after a pause of the process. If neither responds, a
+   * value that this process already has is sufficient.
    */
   get ready(): Effect.Effect<VersionedValue<T>> {
     return Effect.suspend(() => {
@@ -189,9 +190,6 @@
     });
   }
 
-  /**
-   * Compares with the store and all peers, and retries until one has answered.
-   */
   /**
    * Reads the store and catches up with the peers, and retries until the store or
    * a peer has responded, or this process has a value. Then `ready` can complete.
--- a/packages/router/src/process/order_tracker.ts
+++ b/packages/router/src/process/order_tracker.ts
@@ -64,38 +64,41 @@
       return !sentOrder.accepted && now >= sentOrder.notBefore;
     });
     // The bounds of a failure domain apply to preemptible and regular runners
-    // together: orders that may reduce the total are sent first.
-    const needsCapacity = ({ preemptible, runners }: RunnerOrder) =>
+    // together: orders for preemptible runners are sent last, as they may need
+    // capacity that the other orders free.
+    const isPreemptibleDemand = ({ preemptible, runners }: RunnerOrder) =>
       preemptible && runners > 0;
     return [
-      ...due.filter((order) => !needsCapacity(order)),
-      ...due.filter(needsCapacity),
+      ...due.filter((order) => !isPreemptibleDemand(order)),
+      ...due.filter(isPreemptibleDemand),
     ];
   }
 
   /** Records the platform's response to an order. */
-  recordResult(order: RunnerOrder, end: CallOutcome, sent: {
+  recordResult(order: RunnerOrder, end: CallOutcome, call: {
+    /** Fencing token that the order was sent with. */
     readonly fencing: number;
+    /** Time at which the call had ended, in ms of the monotonic clock. */
     readonly now: number;
   }): void {
-    const before = this.#sentOrderOf(order);
-    const isRetry = before?.order.runners === order.runners;
+    const previous = this.#sentOrderOf(order);
+    const isRetry = previous?.order.runners === order.runners;
     const retryMs = isRetry
-      ? Math.min(MAX_RETRY_MS, 2 * before.retryMs)
+      ? Math.min(MAX_RETRY_MS, 2 * previous.retryMs)
       : INITIAL_RETRY_MS;
     const accepted = end.kind === "accepted";
-    const notBefore = sent.now + retryMs;
+    const notBefore = call.now + retryMs;
     this.#sent = [
       ...this.#sent.filter((other) => !isSamePool(other.order, order)),
       { order, accepted, retryMs, notBefore },
     ];
-    if (end.kind === "none-left") this.#policy?.recordDepleted(order, sent.now);
+    if (end.kind === "none-left") this.#policy?.recordDepleted(order, call.now);
     this.#log.event("runners_ordered", {
       service: order.service,
       failure_domain: order.failureDomain,
       preemptible: order.preemptible,
       runners: order.runners,
-      fencing: sent.fencing,
+      fencing: call.fencing,
       end: end.kind,
       reason: end.kind === "failed" ? end.reason : undefined,
     });
--- a/packages/router/src/request/stream_body.ts
+++ b/packages/router/src/request/stream_body.ts
@@ -47,6 +47,7 @@
    */
   write(event: Buffer): boolean {
     const { socket } = this.#response;
+    // The socket is null while an earlier response on the connection is unfinished.
     if (socket === null || !this.#mayWriteDirectly()) {
       return this.#response.write(event);
     }
@@ -57,16 +58,15 @@
     return socket.write(encodeChunk(event));
   }
 
-  /** Calls back once the caller has read the buffered data. */
+  /** Calls the listener once the write buffer has been emptied. */
   onceDrained(listener: () => void): void {
     const { socket } = this.#response;
     (socket ?? this.#response).once("drain", listener);
   }
 
   /**
-   * Whether chunks may be written directly to the connection. They may not
-   * while an earlier response is still being written to it, nor where the
-   * response is not chunked or has no body.
+   * Whether the head has been written and the response is chunked and has a
+   * body, so that its chunks may be written directly to the connection.
    */
   #mayWriteDirectly(): boolean {
     const { req, headersSent, chunkedEncoding } = this.#response;
--- a/packages/table/src/schema.ts
+++ b/packages/table/src/schema.ts
@@ -1,5 +1,5 @@
 /**
- * The table's JSON schema: the shape and range of each field. References between
+ * The table's schema: the shape and range of each field. References between
  * entries are checked in `references.ts`.
  *
  * @module
