--- a/packages/coordination/src/process/membership_gossip.ts
+++ b/packages/coordination/src/process/membership_gossip.ts
@@ -1,5 +1,6 @@
 /**
- * Selection of records to send: a gossip queue and a rotation.
+ * Selection of records to send: a gossip queue and a round-robin of all
+ * records.
  *
  * @module
  */
@@ -43,10 +44,11 @@
 }
 
 /**
- * Changed records to gossip, the least often sent first. Each is sent a bounded
+ * A queue of changed records, the least often sent first. Each is sent a bounded
  * number of times, which grows with the logarithm of the number of members:
- * that many transmissions reach all members by epidemic dissemination. A change
- * therefore costs each member the same few datagrams, whichever member made it.
+ * that many transmissions reach all members by epidemic dissemination. Each
+ * member therefore sends the same small number of datagrams for a change, whichever
+ * member the change comes from.
  */
 export class GossipQueue {
   readonly #queued = new Map<string, QueuedRecord>();
@@ -61,7 +63,10 @@
     this.#queued.set(record.member.name, { record, sendCount: 0 });
   }
 
-  /** Fills a buffer from the queue; records sent `limit` times are dropped. */
+  /**
+   * Fills a buffer from the queue until a record does not fit. Records that have
+   * been sent `limit` times leave the queue.
+   */
   fill(buffer: RecordBuffer, limit: number): void {
     const queued = [...this.#queued.values()].sort((a, b) =>
       a.sendCount - b.sendCount
--- a/packages/coordination/src/process/membership_settings.ts
+++ b/packages/coordination/src/process/membership_settings.ts
@@ -12,37 +12,43 @@
    */
   readonly periodMs: number;
   /**
-   * Wait for a direct ack before indirect probes are requested, in
-   * milliseconds.
+   * Time to wait for the ack of a direct probe before indirect probes are
+   * requested, in milliseconds.
    */
   readonly answerMs: number;
-  /** Number of members asked to probe one that does not answer. */
+  /** Number of members asked to probe an unresponsive member indirectly. */
   readonly helpers: number;
   /**
-   * Minimum time from suspicion to removal, in periods, for up to ten members;
-   * grows with the logarithm of the number of members.
+   * Minimum time from suspicion to removal, in periods, in a group of up to ten
+   * members. In larger groups it grows with the logarithm of the number of members.
    */
   readonly suspicionPeriods: number;
-  /** A suspicion without confirmations lasts this many times the minimum. */
+  /**
+   * Factor by which the minimum time is multiplied while no other member has
+   * confirmed the suspicion.
+   */
   readonly suspicionStretch: number;
   /** Number of confirmations that reduce a suspicion to the minimum time. */
   readonly suspicionConfirmations: number;
   /** Number of periods between probes of a removed member. */
   readonly reprobePeriods: number;
-  /** How long a removed, unlisted member is probed again, in milliseconds. */
+  /**
+   * How long a removed member that the platform does not list is probed again, in
+   * milliseconds.
+   */
   readonly reprobeForMs: number;
   /** Interval of gossip while records are queued, in milliseconds. */
   readonly gossipMs: number;
   /** Number of members that gossip is sent to per interval. */
   readonly gossipFanout: number;
   /**
-   * Gossip is sent this many times the binary logarithm of the number of
-   * members.
+   * Each changed record is sent this many times the binary logarithm of the number
+   * of members.
    */
   readonly retransmits: number;
   /**
-   * Records per probe in addition to gossip, so that all views eventually
-   * converge.
+   * Number of records, taken in turn from all, that are sent with each probe in
+   * addition to gossip, so that all views eventually converge.
    */
   readonly rotatingRecords: number;
   /** Largest datagram sent or accepted, in bytes. */
@@ -52,13 +58,16 @@
    * milliseconds.
    */
   readonly pauseMs: number;
-  /** Maximum local health score; waits are multiplied by the score plus one. */
+  /**
+   * Maximum local health score (0 is healthy); probe time-outs are multiplied by the
+   * score plus one.
+   */
   readonly maxSlowness: number;
   /** Number of members notified directly when this process leaves. */
   readonly leaveFanout: number;
 }
 
-/** Settings for hosts a few milliseconds apart. */
+/** Settings for a network latency of a few milliseconds between hosts. */
 export const DEFAULT_PROBE_SETTINGS: ProbeSettings = {
   periodMs: 1000,
   answerMs: 400,
--- a/packages/coordination/src/version/published_value.ts
+++ b/packages/coordination/src/version/published_value.ts
@@ -19,7 +19,7 @@
 import { VersionHistory } from "./version_history.ts";
 import { chooseWatchers } from "./watchers.ts";
 
-const COMPARE_INTERVAL_MS = 1_000;
+const PULL_INTERVAL_MS = 1_000;
 const SYNC_RETRY_MS = 1_000;
 
 /** A value and the version that the store assigned to it. */
@@ -39,8 +39,7 @@
   /** Validates a value from the store or a peer; throws if it is invalid. */
   readonly decode: (value: unknown) => T;
   /**
-   * Called with a version that `decode` rejects; the current one stays in
-   * effect.
+   * Called with a version that `decode` rejects; the current value is then kept.
    */
   readonly onRejected?: (version: number, error: unknown) => void;
   readonly clock?: Clock;
@@ -49,13 +48,13 @@
 }
 
 /**
- * A local copy of the newest version of one object in the store.
+ * A local replica of one object in the store, kept at the newest version.
  *
  * Two members of each failure domain watch the store and broadcast changes
- * within their domain. Each member also compares versions with a random member
- * every second, which recovers versions missed through lost messages or a
- * network partition. A version is applied only if it is higher than the current
- * one, whoever sends it, so a stale copy never reverts the value.
+ * within their domain. Each member also pulls a newer version, if there is one,
+ * from a random member every second, which recovers versions missed through lost
+ * messages or a network partition. A version is applied only if it is higher than
+ * the current one, whoever sends it, so a stale copy never reverts the value.
  *
  * Construct it, run {@linkcode PublishedValue.start}, then await
  * {@linkcode PublishedValue.ready}.
@@ -152,7 +151,8 @@
 
   /**
    * Applies a value that this process has written to the store, and broadcasts
-   * it immediately, so that an outage of the store does not delay it.
+   * it immediately, so that peers receive it even if the store fails after the
+   * write.
    */
   publish(candidate: { readonly version: number; readonly value: unknown }) {
     const { version, value } = candidate;
@@ -167,7 +167,10 @@
     return this.#exchange.peerVersions();
   }
 
-  /** Keeps the value up to date until the scope closes. */
+  /**
+   * Starts to keep the value up to date, until the scope closes. Does not wait for
+   * {@linkcode PublishedValue.ready}.
+   */
   start(): Effect.Effect<void, never, Scope.Scope> {
     return Effect.gen({ self: this }, function* () {
       const scope = yield* Effect.scope;
@@ -182,11 +185,11 @@
       }
       yield* Effect.forkScoped(this.#sync());
       yield* Effect.forkScoped(this.#follower.run());
-      const compare = Effect.andThen(
-        Effect.sleep(COMPARE_INTERVAL_MS),
+      const pull = Effect.andThen(
+        Effect.sleep(PULL_INTERVAL_MS),
         this.#exchange.pullFromRandomPeer(),
       );
-      yield* Effect.forkScoped(Effect.forever(compare));
+      yield* Effect.forkScoped(Effect.forever(pull));
     });
   }
 
@@ -206,7 +209,8 @@
         ], { concurrency: "unbounded" });
         const hasValue = this.#current !== undefined;
         // A daemon that had a value before a pause keeps using it if it reaches
-        // neither store nor peers: refusing all callers would make it no newer.
+        // neither the store nor a peer: refusing all callers would not make the
+        // value newer.
         if (storeRead || reached > 0 || hasValue) break;
         yield* Effect.sleep(SYNC_RETRY_MS);
       }
--- a/packages/router/src/process/leader_record.ts
+++ b/packages/router/src/process/leader_record.ts
@@ -7,7 +7,10 @@
 import type { RunnerOrder } from "./runner_order.ts";
 import type { Counts } from "./usage_meter.ts";
 
-/** The final counts of one window. Every attempt to report it sends the same. */
+/**
+ * The final usage counts of one time window. Every attempt to send the report
+ * sends the same counts.
+ */
 export interface UsageReport {
   readonly window: number;
   readonly counts: Counts;
@@ -15,7 +18,7 @@
   readonly accepted: boolean;
 }
 
-/** Known counts of the windows that have no report yet. */
+/** Usage counts collected so far for the windows without a report. */
 export interface UsageCheckpoint {
   /** Incarnations of the daemons whose counts are included. */
   readonly lives: readonly string[];
@@ -27,7 +30,7 @@
 
 /** State that a leader hands over to its successor. */
 export interface LeaderState {
-  /** First window without a report; undefined before the first leader's first step. */
+  /** First window without a report; undefined until the first leader sets it. */
   readonly nextWindow: number | undefined;
   /** The latest reports, ordered by window. */
   readonly reports: readonly UsageReport[];
@@ -36,13 +39,15 @@
   readonly orders: readonly RunnerOrder[];
 }
 
-/** The stored object: the lease, and the state of the leader. */
+/** The object that the leader stores. */
 export interface LeaderRecord {
+  /** The leader's lease. */
   readonly holding: LeaseHolding;
+  /** The leader's state, which its successor continues from. */
   readonly work: LeaderState;
 }
 
-/** The record, with the revision at which the store holds it. */
+/** The record and its revision in the store. */
 export interface StoredRecord {
   readonly revision: number;
   readonly record: LeaderRecord;
@@ -55,8 +60,8 @@
   | { readonly kind: "conflict"; readonly found: StoredRecord | undefined };
 
 /**
- * Access to the record in the platform's store. Both calls throw `FeedError`
- * without a response, even though a write may have taken effect.
+ * Access to the record in the platform's store. Both calls reject with
+ * `FeedError` if no response arrives; a write may have taken effect nevertheless.
  */
 export interface LeaderStore {
   /** Returns the record, if there is one. */
--- a/packages/router/src/process/order_tracker.ts
+++ b/packages/router/src/process/order_tracker.ts
@@ -1,5 +1,6 @@
 /**
- * Tracks the delivery of orders for runners to the platform, with retries.
+ * Tracks orders, the requests to the platform for a number of runners, and
+ * schedules their retries.
  *
  * @module
  */
@@ -8,7 +9,10 @@
 import { isSamePool } from "./runner_order.ts";
 import type { RunnerOrder, ScalingPolicy } from "./runner_order.ts";
 
-/** Backoff in ms after the first failed attempt; doubled after each one, up to the maximum. */
+/**
+ * Backoff in ms after the first failed attempt; doubled after each further one, up
+ * to {@linkcode MAX_RETRY_MS}.
+ */
 const INITIAL_RETRY_MS = 400;
 const MAX_RETRY_MS = 6_400;
 
@@ -16,7 +20,7 @@
   readonly order: RunnerOrder;
   readonly accepted: boolean;
   readonly retryMs: number;
-  /** Earliest retry, in monotonic ms. */
+  /** Earliest time of a retry, in ms of the monotonic clock. */
   readonly notBefore: number;
 }
 
@@ -34,13 +38,17 @@
   }
 
   /**
-   * Starts a new term: whether an earlier leader's orders arrived is unknown.
+   * Starts a new term. All orders become due again, because it is unknown whether
+   * those of an earlier leader arrived.
    */
   reset(): void {
     this.#sent = [];
   }
 
-  /** Returns all orders as they should be, or nothing if none has changed. */
+  /**
+   * Returns the orders with those replaced or added whose number of runners differs
+   * from the policy's; undefined if none differs.
+   */
   reconcile(
     orders: readonly RunnerOrder[],
     now: number,
--- a/packages/router/src/request/stream_body.ts
+++ b/packages/router/src/request/stream_body.ts
@@ -24,17 +24,18 @@
 /**
  * Writes events to a caller, each in a single write.
  *
- * `ServerResponse.write` splits a chunk into four pieces that it buffers until
- * the next tick, for each event anew: 350 of 2,280 profile samples of a router
- * that relays 170 events a second. Written to the connection as a chunk of its
- * own, an event takes one system call and no tick.
+ * `ServerResponse.write` splits each chunk into four pieces and buffers them
+ * until the next tick. This took 350 of 2,280 profile samples in a router that
+ * relays 170 events a second. An event that is written directly to the connection
+ * as one chunk takes one system call and is not delayed to the next tick.
  */
 export class StreamBody {
   readonly #response: ServerResponse;
   #headFlushed = false;
 
   /**
-   * @param response a response whose head is written before the first event.
+   * @param response response to write to; `writeHead` must be called on it before
+   * the first event.
    */
   constructor(response: ServerResponse) {
     this.#response = response;
@@ -43,7 +44,7 @@
   /**
    * Writes an event.
    *
-   * @returns false when the caller reads slowly; see {@linkcode onceDrained}.
+   * @returns false if the write buffer is full; see {@linkcode onceDrained}.
    */
   write(event: Buffer): boolean {
     const { socket } = this.#response;
