--- a/packages/daemon/src/process/scheduling/broker_replies.ts
+++ b/packages/daemon/src/process/scheduling/broker_replies.ts
@@ -1,5 +1,5 @@
 /**
- * A broker's replies to entries, with a log line for each decision.
+ * A broker's replies to entry daemons, with a log line for each decision.
  *
  * @module
  */
@@ -17,7 +17,7 @@
 /** Details of a grant, for the log. */
 export interface GrantDetails {
   readonly choice: RunnerChoice;
-  /** Rule by which the ask was served before the others. */
+  /** Rule that put the ask before the other waiting asks. */
   readonly order: "tier" | "minimum_share";
   readonly waitedMs: number;
   /** Number of asks that still wait. */
@@ -40,44 +40,48 @@
   }
 
   /** Logs and sends a new grant. */
-  grant(held: GrantedSlot, ask: AskMessage, details: GrantDetails): void {
+  grant(slot: GrantedSlot, ask: AskMessage, details: GrantDetails): void {
     const { choice, order, waitedMs, stillWaiting } = details;
     this.#log.decision("slot_granted", {
       ...askFields(ask),
-      entry: held.entry,
-      runner: held.runner,
+      entry: slot.entry,
+      runner: slot.runner,
       runnersUp: choice.runnersUp.join(","),
       why: choice.why,
       order,
       waitedMs: Math.round(waitedMs),
       stillWaiting,
     });
-    this.sendGrant(held);
+    this.sendGrant(slot);
   }
 
-  /** Sends a grant; also used to resend one. */
-  sendGrant(held: GrantedSlot): void {
-    this.#send(held.entry, {
+  /** Sends a grant without logging it, for the first time or again. */
+  sendGrant(slot: GrantedSlot): void {
+    this.#send(slot.entry, {
       type: "grant",
       service: this.#service,
-      askId: held.askId,
-      epoch: held.epoch,
-      runner: held.runner,
+      askId: slot.askId,
+      epoch: slot.epoch,
+      runner: slot.runner,
       validForMs: GRANT_VALIDITY_MS,
     });
   }
 
-  /** Refuses a waiting ask that was shed because the queue is full. */
+  /**
+   * Refuses an ask that the full queue has shed.
+   *
+   * @param state tier of the shed ask, and number of asks that still wait.
+   */
   shed(
-    waiting: WaitingAsk,
+    shedAsk: WaitingAsk,
     state: { readonly tier: number; readonly waiting: number },
   ): void {
     this.#log.decision("ask_shed", {
-      ...askFields(waiting.ask),
+      ...askFields(shedAsk.ask),
       ...state,
       why: "queue_full",
     });
-    this.#sendRefusal(waiting.entry, waiting.ask, {
+    this.#sendRefusal(shedAsk.entry, shedAsk.ask, {
       code: "queue_full",
       retryAfterMs: DEFAULT_RETRY_AFTER_MS,
     });
--- a/packages/daemon/src/process/setting_types.ts
+++ b/packages/daemon/src/process/setting_types.ts
@@ -1,6 +1,7 @@
 /**
- * Types of settings. Each validates its value and describes the accepted values,
- * for findings and for the generated settings page.
+ * Schemas of settings, one function for each type of value. Each schema validates
+ * its value and describes the accepted values, for validation errors and for the
+ * generated settings page.
  *
  * @module
  */
@@ -16,7 +17,7 @@
   readonly default?: A;
 }
 
-function leaf<A>(
+function declareSetting<A>(
   accepts: (value: unknown) => value is A,
   expected: string,
   description: Description<A>,
@@ -33,7 +34,7 @@
   expected: string,
   text: string,
 ) {
-  return leaf(accepts, expected, { text });
+  return declareSetting(accepts, expected, { text });
 }
 
 /** A setting that may be absent. */
@@ -42,7 +43,7 @@
   expected: string,
   description: Description<A> & { readonly default: A },
 ) {
-  return leaf(accepts, expected, description).pipe(
+  return declareSetting(accepts, expected, description).pipe(
     Schema.withDecodingDefaultKey(Effect.succeed(description.default)),
   ).annotate({
     description: description.text,
@@ -103,7 +104,10 @@
   return typeof value === "string" && NAME.test(value);
 }
 
-/** A name that is valid in logs, metrics and object names. */
+/**
+ * A name that is valid in logs, metrics and names of stored objects. It starts with
+ * a letter or digit.
+ */
 export function name(text: string) {
   return required(
     isName,
@@ -118,7 +122,7 @@
   return typeof value === "string" && value.length >= MIN_SECRET_LENGTH;
 }
 
-/** A secret; its value never appears in findings or logs. */
+/** A secret; its value never appears in validation errors or logs. */
 export function secret(text: string) {
   return required(
     isSecret,
@@ -127,7 +131,10 @@
   );
 }
 
-/** Whether an expectation belongs to a secret, whose value must not be shown. */
+/**
+ * Whether a description of accepted values is that of a secret, whose value must not
+ * be shown.
+ */
 export function expectsSecret(expected: string): boolean {
   return expected.startsWith("a secret");
 }
@@ -138,15 +145,15 @@
   return url.protocol === "http:" && url.username === "" && url.search === "";
 }
 
-/** The root URL of an HTTP service. */
+/** The root URL of an HTTP service, without user name or query. */
 export function httpUrl(text: string) {
   return required(isHttpUrl, "a URL that starts with http://", text);
 }
 
-/** The optional root URL of an HTTP service. */
+/** The optional root URL of an HTTP service, without user name or query. */
 export function optionalHttpUrl(text: string) {
   return Schema.optionalKey(
-    leaf(isHttpUrl, "a URL that starts with http://", { text }),
+    declareSetting(isHttpUrl, "a URL that starts with http://", { text }),
   ).annotate({
     description: text,
     expected: "a URL that starts with http://",
@@ -187,7 +194,7 @@
   return typeof value === "boolean";
 }
 
-/** A switch that is on unless it is set to false. */
+/** A Boolean; true by default. */
 export function flag(text: string) {
   return optional(isBoolean, "true or false", { text, default: true });
 }
--- a/packages/table/src/edit.ts
+++ b/packages/table/src/edit.ts
@@ -25,15 +25,18 @@
 
 /** An edit to apply to the stored table. */
 export interface Edit extends EditMetadata {
-  /** Sequence of the version that the edit was made from. */
+  /** Sequence number of the stored table that the edit is based on. */
   readonly baseSequence: number;
   readonly changes: readonly Change[];
 }
 
-/** The edit is durable in the store. */
+/**
+ * The edit is durable in the store, written by this call or by an earlier one with
+ * the same id.
+ */
 export interface Accepted {
   readonly _tag: "Accepted";
-  /** A version of the object that contains the edit. */
+  /** Version of the stored table, which contains the edit. */
   readonly version: number;
   /** The stored value at that version. */
   readonly stored: StoredTable;
@@ -57,7 +60,10 @@
   readonly version: number;
 }
 
-/** The edit was resolved as not accepted and can no longer be accepted. */
+/**
+ * The edit was not accepted and no longer can be: `resolveEdit` has closed it with a
+ * history entry of its own.
+ */
 export interface EditClosed {
   readonly _tag: "EditClosed";
   readonly entry: HistoryEntry;
@@ -73,8 +79,8 @@
 /**
  * Applies an edit by conditional update.
  *
- * Concurrent edits of other entries are merged; if a concurrent edit changed the
- * same entry, this one fails with a conflict. After a lost reply, the table is
+ * Concurrent edits of other table entries are merged; if a concurrent edit changed
+ * the same table entry, this one fails with a conflict. After a lost reply, the table is
  * read back and its history searched for the edit's id. So the edit is reported
  * as accepted exactly when it was accepted, and it is never applied twice, even
  * if this function is called again with the same id.
@@ -100,25 +106,27 @@
 
 /**
  * Writes the first version of the table. Calling it again with the same edit id
- * succeeds while that version is the current one.
+ * succeeds as long as the table has not been edited; afterwards it fails with
+ * `TableExists`.
  */
 export function createTable(
   store: Store,
-  first: { readonly table: Table; readonly metadata: EditMetadata },
+  initial: { readonly table: Table; readonly metadata: EditMetadata },
   options: CommitOptions = {},
 ): Effect.Effect<Accepted, CommitFailure | TableExists> {
-  const value = initialStoredTable(first.table, first.metadata);
+  const value = initialStoredTable(initial.table, initial.metadata);
   const entry = value.history[0] as HistoryEntry;
   return commit(store, (current) =>
     Effect.succeed(
       current === undefined
         ? writeDecision(value, entry)
-        : decideCreate(current, first.metadata.editId, entry),
+        : decideCreate(current, initial.metadata.editId, entry),
     ), options);
 }
 
 /**
- * Finds an edit's own entry in the history, or the entry that closed the edit.
+ * Finds the history entry of an edit, or the one with which `resolveEdit` closed
+ * the edit.
  *
  * @internal
  */
@@ -164,7 +172,11 @@
   };
 }
 
-/** Decides to write a value whose last history entry is the edit. @internal */
+/**
+ * Returns the decision to write a value whose last history entry is the edit.
+ *
+ * @internal
+ */
 export function writeDecision(
   value: StoredTable,
   entry: HistoryEntry,
--- a/packages/table/src/schema.ts
+++ b/packages/table/src/schema.ts
@@ -92,7 +92,7 @@
 
 /**
  * Checks the shape and range of each field, without references between entries.
- * Reports all findings.
+ * Reports all findings, not only the first.
  *
  * @internal
  */
